--- a/Makefile
+++ b/Makefile
@@ -22,6 +22,7 @@
 
 tools:
 	cd tools && $(GO) build -o $(TOOLS)/ tool
+	cd tools/gopls && $(GO) build -o $(TOOLS)/ tool
 
 gen: tools
 	$(TOOLS)/ogen --target pkg/store/storeapi --package storeapi --clean api/platform.yaml
