--- a/Makefile
+++ b/Makefile
@@ -43,7 +43,8 @@
 	$(GO) test ./test/e2e -run TestChaos -count=1 -v -timeout 60m -chaos.seed=$(or $(SEED),1) -chaos.seconds=$$(( $(or $(MINUTES),1) * 60 ))
 
 soak:
-	$(GO) test ./test/platform -run TestSoak -count=1 -v -timeout 90m -soak.seed=$(or $(SEED),1) -soak.seeds=$(or $(SEEDS),1) -soak.seconds=$(or $(SECONDS),12)
+	$(GO) test ./test/platform -run TestSoak -count=1 -v -timeout 90m -soak.seed=$(or $(SEED),1) -soak.seeds=$(or $(SEEDS),1) -soak.seconds=$(or $(SECONDS),12) \
+		$(if $(OTHER),-build.other=$(OTHER))
 
 # Draws where the processor of an owner goes: WORKERS workers, JOBS jobs a second, on the emulated platform.
 profile:
--- /dev/null
+++ b/test/platform/builds_test.go
@@ -0,0 +1,75 @@
+package platform_test
+
+import (
+	"context"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"foldarch.dev/foldarch/platform/emulator"
+	. "github.com/onsi/gomega"
+)
+
+// buildOf returns the build that a host starts with. With -build.other, every second host runs that program.
+func buildOf(n int) string {
+	if *otherBuild != "" && n%2 == 1 {
+		return *otherBuild
+	}
+	return binary
+}
+
+// changeBuild restarts a host with the other build, or with the same one if -build.other is not set.
+func (c *cell) changeBuild(n int) {
+	c.term(n)
+	c.mu.Lock()
+	p := c.hosts[n]
+	if *otherBuild != "" && p.binary == binary {
+		p.binary = *otherBuild
+	} else {
+		p.binary = binary
+	}
+	c.mu.Unlock()
+	c.start(n)
+}
+
+// buildTroubles are the troubles that the soak draws in addition when -build.other is set.
+func buildTroubles() []trouble {
+	if *otherBuild == "" {
+		return nil
+	}
+	return []trouble{{"build changes", hostTrouble(func(c *cell, _ *rand.Rand, n int) { c.changeBuild(n) })}}
+}
+
+// TestRollingChangeOfBuildUnderLoad restarts the hosts one after the other, each with the other build and in the next round with its
+// first one again, the owner last in each round, while jobs run. With -build.other, each build has to own the pool at some time.
+func TestRollingChangeOfBuildUnderLoad(t *testing.T) {
+	const minRounds, maxRounds = 2, 6
+	c := newCell(t, 4, emulator.Options{Workers: 6, Advice: true})
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	load := c.load(ctx, 20, quickJob, chainJob, quickJob, gangJob)
+	owners := map[string]bool{buildOf(0): false, buildOf(1): false}
+	for round := 0; round < minRounds || round < maxRounds && slices.Contains(slices.Collect(maps.Values(owners)), false); round++ {
+		last := c.owner()
+		owners[c.hosts[last].binary] = true
+		for n := range c.hosts {
+			if n != last {
+				c.changeBuild(n)
+				c.awaitReady(n)
+			}
+		}
+		c.changeBuild(last)
+		c.awaitReady(last)
+		c.Eventually(c.owner, "10s", "20ms").ShouldNot(BeElementOf(-1, last), "another host becomes the owner")
+		owners[c.hosts[c.owner()].binary] = true
+	}
+	cancel()
+	load.Wait()
+	counts := c.finish(30 * time.Second)
+	c.Expect(counts.Accepted).To(BeNumerically(">", 0))
+	for build, owned := range owners {
+		c.Expect(owned).To(BeTrue(), "%s owns the pool at some time", build)
+	}
+}
--- a/test/platform/cell_test.go
+++ b/test/platform/cell_test.go
@@ -29,6 +29,7 @@
 	soakSeed    = flag.Uint64("soak.seed", 1, "first seed of the soak")
 	soakSeeds   = flag.Int("soak.seeds", 1, "how many seeds the soak plays")
 	soakSeconds = flag.Int("soak.seconds", 12, "how long each seed lasts")
+	otherBuild  = flag.String("build.other", "", "a foldarch-entry of another build, which every second host starts with")
 )
 
 var binary string
@@ -52,10 +53,11 @@
 
 // process is one entry host.
 type process struct {
-	host emulator.Host
-	cmd  *exec.Cmd
-	log  *bytes.Buffer
-	done chan struct{}
+	host   emulator.Host
+	binary string // the build that it runs
+	cmd    *exec.Cmd
+	log    *bytes.Buffer
+	done   chan struct{}
 }
 
 // cell is an emulated platform with entry hosts.
@@ -120,7 +122,7 @@
 		c.storeLinks = append(c.storeLinks, k)
 		h, err := p.WriteSettings(c.dir, fmt.Sprintf("host-%d", n), k.address())
 		c.Expect(err).NotTo(HaveOccurred())
-		c.hosts = append(c.hosts, &process{host: h})
+		c.hosts = append(c.hosts, &process{host: h, binary: buildOf(n)})
 		c.start(n)
 		doors = append(doors, h.Door)
 	}
@@ -140,7 +142,7 @@
 	p := c.hosts[n]
 	p.log = &bytes.Buffer{}
 	c.logs = append(c.logs, p.log)
-	p.cmd = exec.Command(binary, "platform", "--metrics", strconv.Itoa(emulator.FiguresPort))
+	p.cmd = exec.Command(p.binary, "platform", "--metrics", strconv.Itoa(emulator.FiguresPort))
 	p.cmd.Env = append(os.Environ(), "FOLDARCH_NODE_FILE="+p.host.Settings)
 	p.cmd.Stdout, p.cmd.Stderr = p.log, p.log
 	c.Expect(p.cmd.Start()).To(Succeed())
--- a/test/platform/soak_test.go
+++ b/test/platform/soak_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 	"math/rand/v2"
+	"slices"
 	"sync"
 	"syscall"
 	"testing"
@@ -170,6 +171,7 @@
 	load := c.load(ctx, 20, quickJob, chainJob, quickJob, gangJob)
 	customers.play(ctx, c, load)
 	var all sync.WaitGroup
+	troubles := slices.Concat(troubles, buildTroubles())
 	for ctx.Err() == nil {
 		x := troubles[r.IntN(len(troubles))]
 		own := rand.New(rand.NewPCG(r.Uint64(), 1))
