--- a/pkg/batch/batch_test.go
+++ b/pkg/batch/batch_test.go
@@ -31,23 +31,23 @@
 	g := NewWithT(t)
 	end := End{ID: "a", State: Done, Result: "r"}
 	request := Request{ID: "a", Workload: "fit"}
-	b := NewBook()
+	table := NewBook()
 	for _, e := range []Entry{{Ended: &end}, {Starting: "a"}, {Submitted: &request}, {Ended: &end}, {Submitted: &request}} {
-		b.Apply(e)
+		table.Apply(e)
 	}
-	r, ok := b.Get("a")
+	r, ok := table.Get("a")
 	g.Expect(ok).To(BeTrue())
 	g.Expect(r.State).To(Equal(Done))
 	g.Expect(r.Intended).To(BeTrue())
-	g.Expect(b.Open()).To(BeEmpty())
+	g.Expect(table.Open()).To(BeEmpty())
 }
 
-// Whatever is removed, in whatever order, what is left in the store never tells of a
-// request without its end that has one.
+// After any sequence of removals, the segments that are left in the store must not make a request that
+// has ended seem unfinished: a new owner would run it again.
 func TestRemovalNeverBringsARequestBack(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var entries []Entry
-		book, segments, stored := NewBook(), NewSegments(), map[string][]Entry{}
+		requests, segments, stored := NewBook(), NewSegments(), map[string][]Entry{}
 		for i := range rapid.IntRange(1, 8).Draw(rt, "requests") {
 			id := ID(rune('a' + i))
 			entries = append(entries, Entry{Submitted: &Request{ID: id, Workload: "w"}})
@@ -62,57 +62,58 @@
 			stored[key] = entries[:k]
 			segments.Add(Segment{Key: key, Entries: entries[:k]})
 			for _, e := range entries[:k] {
-				book.Apply(e)
+				requests.Apply(e)
 			}
 			entries = entries[k:]
 		}
 		now := time.Unix(int64(rapid.IntRange(0, 10).Draw(rt, "now")), 0)
 		for {
-			s, ok := segments.Removable(book, now, func(Record) time.Duration { return 0 })
+			s, ok := segments.Removable(requests, now, func(Record) time.Duration { return 0 })
 			if !ok {
 				break
 			}
 			delete(stored, s.Key)
-			segments.Removed(s.Key, book)
-			again := NewBook()
+			segments.Removed(s.Key, requests)
+			reloaded := NewBook()
 			for _, group := range stored {
 				for _, e := range group {
-					again.Apply(e)
+					reloaded.Apply(e)
 				}
 			}
-			if open := again.Open(); len(open) > 0 {
-				rt.Fatalf("a new owner would run %v again", open)
+			if unfinished := reloaded.Open(); len(unfinished) > 0 {
+				rt.Fatalf("a new owner would run %v again", unfinished)
 			}
 		}
 	})
 }
 
-// Guards against the removal of the only trace of a request that was stored a moment ago.
+// Guards against the removal of a segment that was just stored, while its request is not in the table yet:
+// it would be the only record of the request.
 func TestSegmentOfARequestThatIsNotInTheBookYetStays(t *testing.T) {
 	g := NewWithT(t)
-	book, segments := NewBook(), NewSegments()
+	requests, segments := NewBook(), NewSegments()
 	submitted := Entry{Submitted: &Request{ID: "a", Workload: "w"}}
 	segments.Add(Segment{Key: "0", Entries: []Entry{submitted}})
 	keep := func(Record) time.Duration { return time.Hour }
-	_, removable := segments.Removable(book, time.Unix(1e9, 0), keep)
+	_, removable := segments.Removable(requests, time.Unix(1e9, 0), keep)
 	g.Expect(removable).To(BeFalse())
 
-	book.Apply(submitted)
-	book.Apply(Entry{Ended: &End{ID: "a", State: Done, At: time.Unix(0, 0)}})
-	_, removable = segments.Removable(book, time.Unix(1e9, 0), keep)
+	requests.Apply(submitted)
+	requests.Apply(Entry{Ended: &End{ID: "a", State: Done, At: time.Unix(0, 0)}})
+	_, removable = segments.Removable(requests, time.Unix(1e9, 0), keep)
 	g.Expect(removable).To(BeTrue())
 }
 
 func TestJournalWritesTogetherWhatWaits(t *testing.T) {
 	g := NewWithT(t)
 	written := make(chan []Entry, 10)
-	goOn := make(chan struct{})
+	proceed := make(chan struct{})
 	j := NewJournal(shard, time.Microsecond, JournalDeps{
 		Put: func(_ context.Context, _, value string) (int64, error) {
 			var entries []Entry
 			g.Expect(json.Unmarshal([]byte(value), &entries)).To(Succeed())
 			written <- entries
-			<-goOn
+			<-proceed
 			return 1, nil
 		},
 		Authorized: func() bool { return true },
@@ -129,7 +130,7 @@
 		go add()
 	}
 	g.Eventually(func() int { return len(j.ring) }, "10s").Should(Equal(5))
-	close(goOn)
+	close(proceed)
 	g.Eventually(written, "10s").Should(Receive(HaveLen(5)))
 	for range 6 {
 		g.Eventually(results, "10s").Should(Receive(BeNil()))
--- a/pkg/batch/journal.go
+++ b/pkg/batch/journal.go
@@ -12,20 +12,21 @@
 )
 
 const (
-	// Prefix is where the segments of all shards stand in the store.
+	// KeyPrefix is the prefix of the keys under which the segments of all shards are stored.
 	Prefix = "batch/"
-	// maxSegment leaves a wide margin to the largest value of the store.
+	// maxSegmentBytes stays well below the largest value that the store accepts. The last entry of a
+	// segment may exceed it.
 	maxSegment = 256 << 10
-	// ringSize bounds the entries that wait for a write.
+	// queueSize is how many entries can wait for a write.
 	ringSize = 1024
-	// commitTimeout bounds one write with its settling.
+	// commitTimeout bounds one write, including the time to find out whether it took effect.
 	commitTimeout = 1500 * time.Millisecond
 )
 
-// ErrRingFull says that too many entries wait; the entry was not taken.
-var ErrRingFull = errors.New("too many batch entries wait for the store")
+// ErrQueueFull means that an entry was rejected because too many entries wait for a write.
+var ErrRingFull = errors.New("batch journal queue is full")
 
-// Journal writes entries into the store in groups.
+// Journal writes the entries of a shard into the store in groups, called segments.
 type Journal struct {
 	shard    cell.ShardID
 	interval time.Duration
@@ -33,50 +34,52 @@
 	ring     chan pendingEntry
 }
 
-// JournalDeps are what a journal needs of the world.
+// JournalDeps holds the functions that a journal calls.
 type JournalDeps struct {
-	// Put writes a new key of the store; errors as of store.Swap.
+	// Put writes a new key into the store. It returns the same errors as store.Swap.
 	Put func(ctx context.Context, key, value string) (revision int64, err error)
-	// Stored is told of each segment that was written, and of each that may have been.
+	// Stored is called with each segment that was stored or may have been stored.
 	Stored func(Segment)
-	// Authorized is asked right before each write.
+	// Authorized reports whether this process has the authority to write for the shard. It is called
+	// immediately before and after each write.
 	Authorized func() bool
 }
 
+// pendingEntry is an entry that waits for a write; done receives the result.
 type pendingEntry struct {
 	entry Entry
 	size  int
 	done  chan error
 }
 
-// NewJournal returns the journal of a shard that lets interval lie between two writes.
+// NewJournal returns the journal of a shard. It waits for the given interval between two writes.
 func NewJournal(shard cell.ShardID, interval time.Duration, deps JournalDeps) *Journal {
 	return &Journal{shard: shard, interval: interval, deps: deps, ring: make(chan pendingEntry, ringSize)}
 }
 
-// Load reads all segments of a shard, for a new owner, in no certain order.
+// Load reads all stored segments of a shard, in no particular order. A new owner calls it.
 func Load(ctx context.Context, s *store.Store, shard cell.ShardID) ([]Segment, error) {
 	items, _, err := s.List(ctx, prefixOf(shard))
 	if err != nil {
-		return nil, errors.Wrapf(err, "batch segments of %s", shard)
+		return nil, errors.Wrapf(err, "list batch segments of shard %s", shard)
 	}
-	var all []Segment
+	var segments []Segment
 	for _, item := range items {
 		segment := Segment{Key: item.Key, Revision: item.Revision}
 		if err := json.Unmarshal([]byte(item.Value), &segment.Entries); err != nil {
-			return nil, errors.Wrapf(err, "batch segment %s", item.Key)
+			return nil, errors.Wrapf(err, "decode batch segment %s", item.Key)
 		}
-		all = append(all, segment)
+		segments = append(segments, segment)
 	}
-	return all, nil
+	return segments, nil
 }
 
 func prefixOf(shard cell.ShardID) string {
 	return Prefix + shard.String() + "/"
 }
 
-// Append returns nil when the entry is stored. ErrRingFull and store.ErrDown say that it
-// certainly is not; store.ErrUnsettled that this is not known.
+// Append queues an entry and waits until it is stored, and then returns nil. ErrQueueFull and
+// store.ErrUnavailable mean that the entry was certainly not stored, store.ErrUnsettled that it may have been.
 func (j *Journal) Append(ctx context.Context, e Entry) error {
 	text, err := json.Marshal(e)
 	if err != nil {
@@ -92,11 +95,11 @@
 	case err := <-p.done:
 		return err
 	case <-ctx.Done():
-		return errors.Wrap(store.ErrUnsettled, "batch entry")
+		return errors.Wrap(store.ErrUnsettled, "append batch entry: gave up waiting")
 	}
 }
 
-// Run writes segments until ctx ends.
+// Run writes segments until ctx ends, and then rejects the entries that still wait.
 func (j *Journal) Run(ctx context.Context) {
 	for {
 		select {
@@ -110,6 +113,7 @@
 	}
 }
 
+// collect returns the first entry together with the waiting ones that fit into the same segment.
 func (j *Journal) collect(first pendingEntry) []pendingEntry {
 	group, size := []pendingEntry{first}, first.size
 	for size < maxSegment {
@@ -124,6 +128,7 @@
 	return group
 }
 
+// commit writes a group of entries as one segment and reports the result to all who wait for them.
 func (j *Journal) commit(ctx context.Context, group []pendingEntry) {
 	entries := make([]Entry, 0, len(group))
 	for _, p := range group {
@@ -135,13 +140,14 @@
 	}
 }
 
+// write stores a segment under a new key.
 func (j *Journal) write(ctx context.Context, entries []Entry) error {
 	text, err := json.Marshal(entries)
 	if err != nil {
 		return errors.Wrap(err, "encode batch segment")
 	}
 	if !j.deps.Authorized() {
-		return errors.Wrap(store.ErrDown, "no authority to write a batch segment")
+		return errors.Wrap(store.ErrDown, "no authority to write batch segment")
 	}
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
@@ -154,15 +160,16 @@
 		return err
 	}
 	j.deps.Stored(Segment{Key: key, Revision: revision, Entries: entries})
-	// A segment that was stored after the authority ended may have been missed by the
-	// next owner, so it must not be acknowledged.
+	// The next owner may have read the segments before this one was stored, if it was stored after the
+	// authority ended. Its entries must not be acknowledged then.
 	if !j.deps.Authorized() {
-		return errors.Wrap(store.ErrUnsettled, "authority ended while a batch segment was written")
+		return errors.Wrap(store.ErrUnsettled, "authority ended during the write of a batch segment")
 	}
 	return nil
 }
 
-// rest lets the interval pass, so that what comes in meanwhile is written together.
+// waitInterval waits for the interval, so that the entries that arrive in the meantime are written
+// together.
 func (j *Journal) rest(ctx context.Context) {
 	t := time.NewTimer(j.interval)
 	defer t.Stop()
@@ -172,11 +179,12 @@
 	}
 }
 
+// rejectQueued rejects all entries that wait.
 func (j *Journal) refuseRest() {
 	for {
 		select {
 		case p := <-j.ring:
-			p.done <- errors.Wrap(store.ErrDown, "the journal has stopped")
+			p.done <- errors.Wrap(store.ErrDown, "batch journal has stopped")
 		default:
 			return
 		}
--- a/pkg/batch/book.go
+++ b/pkg/batch/request_table.go
@@ -13,16 +13,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ID names a batch request: "hall.index.hash", so that it tells its home shard.
+// ID identifies a batch request. It has the form "hall.index.hash", which contains the home shard.
 type ID string
 
-// NewID returns the id of a caller's key at its home shard; the same key has the same id.
+// NewID returns the id for a caller's idempotency key at its home shard. The same caller and key always
+// give the same id.
 func NewID(home cell.ShardID, caller, key string) ID {
 	sum := xxhash.Sum64String(strconv.Itoa(len(caller)) + caller + key)
 	return ID(fmt.Sprintf("%s.%d.%016x", home.Hall, home.Index, sum))
 }
 
-// Shard returns the home shard that the id tells.
+// Shard returns the home shard that the id contains.
 func (id ID) Shard() (cell.ShardID, error) {
 	parts := strings.Split(string(id), ".")
 	if len(parts) < 3 {
@@ -32,24 +33,24 @@
 	return cell.ParseShardID(strings.Join(parts[:n-2], ".") + "/" + parts[n-2])
 }
 
-// State says how far a batch request is.
+// State is the state of a batch request.
 type State string
 
-// The states.
+// States of a batch request.
 const (
 	Waiting State = "waiting"
 	Running State = "running"
 	Done    State = "done"
 	Failed  State = "failed"
-	Unknown State = "unknown" // it may have run; it is not run again
+	Unknown State = "unknown" // the request may have run and is not run again
 )
 
-// Ended says whether the state is final.
+// Ended reports whether the state is final.
 func (s State) Ended() bool {
 	return s == Done || s == Failed || s == Unknown
 }
 
-// Request is a batch request as a caller made it.
+// Request is a batch request as a caller submitted it.
 type Request struct {
 	ID            ID        `json:"id"`
 	Caller        string    `json:"caller"`
@@ -59,7 +60,7 @@
 	At            time.Time `json:"at"`
 }
 
-// End is how a batch request ended.
+// End describes how a batch request ended.
 type End struct {
 	ID     ID        `json:"id"`
 	State  State     `json:"state"`
@@ -68,35 +69,37 @@
 	At     time.Time `json:"at"`
 }
 
-// Entry is one thing that must not be lost; exactly one field is set.
+// Entry is a change that must be stored: the submission of a request, the intention to start it, or its
+// end. Exactly one field is set.
 type Entry struct {
 	Submitted *Request `json:"submitted,omitempty"`
 	Starting  ID       `json:"starting,omitempty"`
 	Ended     *End     `json:"ended,omitempty"`
 }
 
-// Record is what is known of one request.
+// Record is the state of a request as the owner of its shard knows it.
 type Record struct {
 	Request
 	State    State
 	Worker   string
 	Result   string
 	EndedAt  time.Time
-	Intended bool // an intention to start it was written
+	Intended bool // the intention to start the request was written
 }
 
-// Book is what an owner knows of the batch requests of its shard. It is not safe for
+// RequestTable holds the batch requests of a shard in memory of the shard's owner. It is not safe for
 // concurrent use.
 type Book struct {
 	records map[ID]*Record
 }
 
-// NewBook returns an empty book.
+// NewRequestTable returns an empty table.
 func NewBook() *Book {
 	return &Book{records: map[ID]*Record{}}
 }
 
-// Apply takes an entry in; entries may come twice and an end before its submission.
+// Apply applies an entry. The same entry may be applied several times, and the entries of a request in any
+// order.
 func (b *Book) Apply(e Entry) {
 	switch {
 	case e.Submitted != nil:
@@ -110,6 +113,7 @@
 	}
 }
 
+// getOrCreate returns the record of a request, which it creates if there is none.
 func (b *Book) record(id ID) *Record {
 	r, ok := b.records[id]
 	if !ok {
@@ -119,14 +123,15 @@
 	return r
 }
 
-// Moved records that a request was placed on a worker, or waits again.
+// SetPlacement records that a request was placed on a worker or waits again. It does nothing when the
+// request has ended.
 func (b *Book) Moved(id ID, state State, worker string) {
 	if r, ok := b.records[id]; ok && !r.State.Ended() {
 		r.State, r.Worker = state, worker
 	}
 }
 
-// Get returns what is known of a request.
+// Get returns the record of a request.
 func (b *Book) Get(id ID) (Record, bool) {
 	r, ok := b.records[id]
 	if !ok {
@@ -135,18 +140,18 @@
 	return *r, true
 }
 
-// Open lists the requests that have not ended, by id.
+// Unfinished returns the requests that were submitted and have not ended, sorted by id.
 func (b *Book) Open() []Record {
-	var open []Record
+	var unfinished []Record
 	for _, id := range slices.Sorted(maps.Keys(b.records)) {
 		if r := b.records[id]; !r.State.Ended() && r.Workload != "" {
-			open = append(open, *r)
+			unfinished = append(unfinished, *r)
 		}
 	}
-	return open
+	return unfinished
 }
 
-// Drop forgets a request.
+// Remove removes a request from the table.
 func (b *Book) Drop(id ID) {
 	delete(b.records, id)
 }
--- a/pkg/batch/segments.go
+++ b/pkg/batch/segments.go
@@ -6,38 +6,38 @@
 	"time"
 )
 
-// Segment is one value of the store with the entries that were written together.
+// Segment is a group of entries that are stored together as one value.
 type Segment struct {
 	Key      string
 	Revision int64 // of the key in the store
 	Entries  []Entry
-	// Unsettled says that the store may or may not hold the segment.
+	// Unsettled means that it is not known whether the store contains the segment.
 	Unsettled bool
 }
 
-// Segments knows which segments of a shard the store holds, or may hold, and which of them
-// are of no use any more. It is not safe for concurrent use.
+// SegmentIndex tracks the segments of a shard that the store contains or may contain, and finds those that
+// are no longer needed. It is not safe for concurrent use.
 type Segments struct {
 	byKey map[string]*held
-	// holding counts for each request the segments that tell of it.
+	// segmentCount is the number of segments with entries of a request.
 	holding map[ID]int
-	// open counts for each request the segments that tell of it without its end.
+	// unfinishedCount is the number of segments with entries of a request but without its end.
 	open map[ID]int
 }
 
-// held is what is remembered of a segment.
+// indexedSegment is what SegmentIndex keeps of a segment.
 type held struct {
 	revision  int64
 	unsettled bool
-	ids       map[ID]bool // true when the segment holds the end
+	ids       map[ID]bool // the segment's requests; true when it contains the request's end
 }
 
-// NewSegments returns an empty set.
+// NewSegmentIndex returns an empty index.
 func NewSegments() *Segments {
 	return &Segments{byKey: map[string]*held{}, holding: map[ID]int{}, open: map[ID]int{}}
 }
 
-// Add records a segment that the store holds or may hold.
+// Add adds a segment that the store contains or may contain.
 func (s *Segments) Add(segment Segment) {
 	if _, ok := s.byKey[segment.Key]; ok {
 		return
@@ -56,7 +56,7 @@
 	s.byKey[segment.Key] = h
 }
 
-// about returns the request that an entry tells of, and whether it tells its end.
+// request returns the request that an entry belongs to, and whether the entry is the request's end.
 func (e Entry) about() (ID, bool) {
 	switch {
 	case e.Submitted != nil:
@@ -67,21 +67,23 @@
 	return e.Starting, false
 }
 
-// Removable returns a segment that can be removed from the store: the store is known to hold
-// it, all its requests ended longer ago than keep says, and no other segment would be left
-// to tell of one of them without its end, which would make it run again.
-func (s *Segments) Removable(book *Book, now time.Time, keep func(Record) time.Duration) (Segment, bool) {
+// Removable returns a segment that can be deleted from the store. The store must be known to contain it,
+// and the retention period, given by keep, must have passed since the end of each of its requests. If it
+// contains the end of a request, no other segment may contain entries of that request without the end:
+// after the deletion the request would seem unfinished, and the next owner would run it again.
+func (s *Segments) Removable(requests *Book, now time.Time, keep func(Record) time.Duration) (Segment, bool) {
 	for _, key := range slices.Sorted(maps.Keys(s.byKey)) {
-		if h := s.byKey[key]; !h.unsettled && s.obsolete(h, book, now, keep) {
+		if h := s.byKey[key]; !h.unsettled && s.obsolete(h, requests, now, keep) {
 			return Segment{Key: key, Revision: h.revision}, true
 		}
 	}
 	return Segment{}, false
 }
 
-func (s *Segments) obsolete(h *held, book *Book, now time.Time, keep func(Record) time.Duration) bool {
+// obsolete reports whether no request needs the segment any more.
+func (s *Segments) obsolete(h *held, requests *Book, now time.Time, keep func(Record) time.Duration) bool {
 	for id, isEnd := range h.ids {
-		r, ok := book.Get(id)
+		r, ok := requests.Get(id)
 		if !ok || !r.State.Ended() || now.Before(r.EndedAt.Add(keep(r))) {
 			return false
 		}
@@ -92,9 +94,9 @@
 	return true
 }
 
-// Removed takes a segment out, and lets the book forget the requests of which no segment
-// tells any more.
-func (s *Segments) Removed(key string, book *Book) {
+// Remove removes a segment that was deleted from the store, and removes from the table the requests that
+// no remaining segment contains.
+func (s *Segments) Removed(key string, requests *Book) {
 	h, ok := s.byKey[key]
 	if !ok {
 		return
@@ -105,12 +107,12 @@
 			decrement(s.open, id)
 		}
 		if decrement(s.holding, id) == 0 {
-			book.Drop(id)
+			requests.Drop(id)
 		}
 	}
 }
 
-// decrement lowers the count of a request by one and returns it.
+// decrement decrements the count of a request, deletes it when it is 0, and returns it.
 func decrement(counts map[ID]int, id ID) int {
 	counts[id]--
 	n := counts[id]
@@ -120,7 +122,7 @@
 	return n
 }
 
-// Len returns how many segments the store holds or may hold.
+// Len returns the number of segments that the store contains or may contain.
 func (s *Segments) Len() int {
 	return len(s.byKey)
 }
--- a/pkg/batch/segments_test.go
+++ b/pkg/batch/segments_test.go
@@ -11,12 +11,13 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is removed, no segment is left that tells of a request without its end, be it one whose write got no answer. When all writes were answered, all is removed, though ends
-// were written twice.
+// After any sequence of removals, no remaining segment may contain a request without its end, even if the
+// writes of some segments got no answer. When all writes were answered, all segments must be removed, also
+// when submissions and ends were written twice.
 func TestRemovalAfterLostAnswers(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		g := NewWithT(rt)
-		book, segments, stored := NewBook(), NewSegments(), map[string][]Entry{}
+		requests, segments, stored := NewBook(), NewSegments(), map[string][]Entry{}
 		lost := map[string]bool{}
 		write := func(e Entry) {
 			key := fmt.Sprint(len(stored))
@@ -34,22 +35,22 @@
 			for range rapid.IntRange(1, 2).Draw(rt, "ends") {
 				write(ended)
 			}
-			book.Apply(submitted)
-			book.Apply(ended)
+			requests.Apply(submitted)
+			requests.Apply(ended)
 		}
 		for {
-			s, ok := segments.Removable(book, time.Unix(1, 0), func(Record) time.Duration { return 0 })
+			s, ok := segments.Removable(requests, time.Unix(1, 0), func(Record) time.Duration { return 0 })
 			if !ok {
 				break
 			}
 			g.Expect(lost[s.Key]).To(BeFalse())
 			delete(stored, s.Key)
-			segments.Removed(s.Key, book)
-			left := NewBook()
+			segments.Removed(s.Key, requests)
+			remaining := NewBook()
 			for _, entries := range stored {
-				left.Apply(entries[0])
+				remaining.Apply(entries[0])
 			}
-			g.Expect(left.Open()).To(BeEmpty())
+			g.Expect(remaining.Open()).To(BeEmpty())
 		}
 		if !slices.Contains(slices.Collect(maps.Values(lost)), true) {
 			g.Expect(stored).To(BeEmpty())
--- a/pkg/evacuation/halls.go
+++ b/pkg/evacuation/halls.go
@@ -5,56 +5,61 @@
 	"slices"
 )
 
-// Halls are the data halls that are being evacuated, as far as is known. It is not safe for concurrent use.
+// Halls holds which data halls are being evacuated, as far as this process knows. It is not safe for
+// concurrent use.
 type Halls struct {
 	of map[string]news
 }
 
-// news is the latest that is known of a hall.
+// hallState is the latest known state of a hall.
 type news struct {
-	revision  int64 // of the store
+	revision  int64 // the store's revision at which the hall had this state
 	evacuated bool
 }
 
-// New returns Halls of which none is being evacuated.
+// New returns a Halls in which no hall is being evacuated.
 func New() *Halls {
 	return &Halls{of: map[string]news{}}
 }
 
-// Put takes in that a hall's key was written at a revision of the store. It says whether the hall was not being evacuated before.
+// Put records that a hall's key was written at a revision of the store. It reports whether this begins the
+// evacuation of the hall.
 func (h *Halls) Put(hall string, revision int64) (changed bool) {
 	return h.take(hall, news{revision, true})
 }
 
-// Remove takes in that a hall's key was removed at a revision of the store. It says whether the hall was being evacuated before.
+// Remove records that a hall's key was deleted at a revision of the store. It reports whether this ends the
+// evacuation of the hall.
 func (h *Halls) Remove(hall string, revision int64) (changed bool) {
 	return h.take(hall, news{revision, false})
 }
 
-// List takes in all keys there were at a revision of the store, by hall, with the revisions at which they were written. It says whether
-// that changes which halls are being evacuated.
+// List records all keys that existed at a revision of the store: keys maps each hall to the revision at which
+// its key was written. It reports whether this changes which halls are being evacuated.
 func (h *Halls) List(keys map[string]int64, at int64) (changed bool) {
 	for hall, revision := range keys {
 		changed = h.Put(hall, revision) || changed
 	}
 	for hall := range h.of {
-		if _, there := keys[hall]; !there {
+		if _, listed := keys[hall]; !listed {
 			changed = h.Remove(hall, at) || changed
 		}
 	}
 	return changed
 }
 
-func (h *Halls) take(hall string, n news) (changed bool) {
+// apply records the state of a hall unless a state of the same or a later revision is known. It reports
+// whether the hall's evacuation begins or ends.
+func (h *Halls) take(hall string, state news) (changed bool) {
 	before := h.of[hall]
-	if n.revision <= before.revision {
+	if state.revision <= before.revision {
 		return false
 	}
-	h.of[hall] = n
-	return n.evacuated != before.evacuated
+	h.of[hall] = state
+	return state.evacuated != before.evacuated
 }
 
-// Names lists the halls that are being evacuated, sorted.
+// Names returns the names of the halls that are being evacuated, sorted.
 func (h *Halls) Names() []string {
 	var out []string
 	for _, hall := range slices.Sorted(maps.Keys(h.of)) {
--- a/pkg/evacuation/halls_test.go
+++ b/pkg/evacuation/halls_test.go
@@ -12,12 +12,12 @@
 	g.Expect(h.Names()).To(BeEmpty())
 	g.Expect(h.Put("b", 3)).To(BeTrue())
 	g.Expect(h.Put("a", 4)).To(BeTrue())
-	g.Expect(h.Put("a", 5)).To(BeFalse(), "asked once more")
+	g.Expect(h.Put("a", 5)).To(BeFalse(), "requested once more")
 	g.Expect(h.Names()).To(Equal([]string{"a", "b"}))
 	g.Expect(h.Remove("b", 6)).To(BeTrue())
-	g.Expect(h.Remove("c", 7)).To(BeFalse(), "never asked")
+	g.Expect(h.Remove("c", 7)).To(BeFalse(), "never requested")
 	g.Expect(h.Names()).To(Equal([]string{"a"}))
-	g.Expect(h.Put("b", 8)).To(BeTrue(), "it comes again")
+	g.Expect(h.Put("b", 8)).To(BeTrue(), "requested again after the withdrawal")
 	g.Expect(h.Names()).To(Equal([]string{"a", "b"}))
 }
 
@@ -34,7 +34,8 @@
 	g.Expect(h.Names()).To(Equal([]string{"b"}))
 }
 
-// The withdrawal was missed, since the store had forgotten its history or was away.
+// Guards against a hall that stays evacuated when a process missed the withdrawal, because the store was
+// unavailable or had discarded that part of its history.
 func TestHallThatIsNotListedIsNotEvacuatedAnyMore(t *testing.T) {
 	g := NewWithT(t)
 	h := New()
--- a/pkg/store/doc.go
+++ b/pkg/store/doc.go
@@ -1,18 +1,17 @@
-// Package store is the client of the platform's key-value service and host list. It is
-// the only package that knows the service's wire (api/platform.yaml), so that another
-// wire can take its place.
+// Package store is the client of the platform's key-value service and host list. It is the only
+// package that depends on the service's protocol (api/platform.yaml), so that the protocol can be
+// replaced.
 //
-// The service bears little and has outages, so the client
+// The service has little capacity and has outages, so the client
 //
-//   - holds its own rate of reads and writes below what the service gives (a waiting watch
-//     counts as one read),
+//   - limits its own rates of reads and writes to the configured ones (a waiting watch counts as
+//     one read),
 //   - gives every call a time limit,
-//   - settles a write whose answer was lost by reading the value back: Swap returns only
-//     when it is known whether the write took effect, or returns ErrUnsettled when ctx
-//     ended before.
+//   - finds out by further attempts and by reading the value back whether a write took effect whose
+//     answer was lost: Swap returns when that is known, or with ErrUnsettled when ctx ends before.
 //
-// For the read-back to be conclusive every value written must be unique; writers put a
-// write id into it.
+// Reading back is conclusive only if every written value is unique, so writers include a unique write
+// id in each value.
 //
 // # Usage
 //
--- a/pkg/store/queries.go
+++ b/pkg/store/reads.go
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Read returns one item, or ErrAbsent.
+// Read returns the item of a key, or ErrAbsent when the key does not exist.
 func (s *Store) Read(ctx context.Context, key string) (Item, error) {
 	var item Item
 	err := s.read(ctx, s.cfg.CallTimeout, func(ctx context.Context, c *storeapi.Client) error {
@@ -24,14 +24,14 @@
 	return item, readError(err)
 }
 
-// List returns the items under a prefix and the store's revision at that moment.
+// List returns the items under a prefix and the store's revision at the time of the reading.
 func (s *Store) List(ctx context.Context, prefix string) ([]Item, int64, error) {
 	return s.Watch(ctx, prefix, 0, 0)
 }
 
-// Watch returns the items under a prefix that changed after a revision, deleted ones
-// marked, and the revision to go on from. It waits for a change, at most for the time
-// given; no items then means that nothing changed.
+// Watch returns the items under a prefix that changed after a revision, including deleted ones, which
+// are marked, and the revision to continue from. If nothing has changed it waits for a change, at most
+// for the given time, and returns no items when there was none.
 func (s *Store) Watch(ctx context.Context, prefix string, after int64, wait time.Duration) ([]Item, int64, error) {
 	var items []Item
 	var revision int64
@@ -53,15 +53,15 @@
 	return items, revision, readError(err)
 }
 
-// readError says of a read that failed that it had no effect, which is always true.
+// readError turns ErrUnsettled into ErrUnavailable: a read has no effect, so nothing about it can be unknown.
 func readError(err error) error {
 	if errors.Is(err, ErrUnsettled) {
-		return errors.Mark(errors.Newf("read: %v", err), ErrDown)
+		return errors.Mark(errors.Newf("read failed: %v", err), ErrDown)
 	}
 	return err
 }
 
-// HostState is what the platform says of a host; it is told late.
+// HostState is the state of a host as the platform reports it. It is reported with a delay.
 type HostState string
 
 // The states of a host.
@@ -74,7 +74,7 @@
 // Host is one row of the platform's host list.
 type Host struct {
 	ID      string
-	Worker  bool // otherwise an entry host
+	Worker  bool // false for an entry host
 	Hall    cell.Hall
 	Rack    string
 	Address netip.AddrPort
@@ -104,6 +104,7 @@
 	return hosts, readError(err)
 }
 
+// convertItem converts an item from its form in the protocol.
 func itemOf(i storeapi.Item) Item {
 	return Item{Key: i.Key, Value: i.Value, Revision: i.Revision, Deleted: i.Deleted.Value}
 }
--- a/pkg/store/store.go
+++ b/pkg/store/store.go
@@ -16,36 +16,36 @@
 	"golang.org/x/time/rate"
 )
 
-// idleConnections is how many unused connections to each address of the service are kept.
+// maxIdleConnections is how many idle connections are kept open to each address of the service.
 const idleConnections = 4
 
-// MaxValueBytes is the largest value that the service takes.
+// MaxValueBytes is the largest value that the service accepts.
 const MaxValueBytes = 1 << 20
 
-// The failures of a call, to be told apart with errors.Is.
+// Errors of calls, to be distinguished with errors.Is.
 var (
-	ErrAbsent   = errors.New("the store has no such key")
-	ErrConflict = errors.New("the store holds another revision")
-	ErrTooLarge = errors.New("the value is larger than the store takes")
-	ErrNoLease  = errors.New("the lease has ended")
-	// ErrDown means that the call certainly had no effect.
-	ErrDown = errors.New("the store does not answer")
+	ErrAbsent   = errors.New("key does not exist in the store")
+	ErrConflict = errors.New("key has another revision in the store")
+	ErrTooLarge = errors.New("value exceeds the store's size limit")
+	ErrNoLease  = errors.New("store lease has ended")
+	// ErrUnavailable means that the call certainly had no effect.
+	ErrDown = errors.New("store is unavailable")
 	// ErrUnsettled means that a write may or may not have taken effect.
-	ErrUnsettled = errors.New("the answer of the store was lost")
+	ErrUnsettled = errors.New("no answer from the store: the write may have taken effect")
 )
 
-// Item is one key with its value.
+// Item is a key with its value.
 type Item struct {
 	Key      string
 	Value    string
-	Revision int64 // of the last write; 0 when absent
-	Deleted  bool  // in a listing: the key was deleted at Revision
+	Revision int64 // of the last write; 0 when the key does not exist
+	Deleted  bool  // the key was deleted at Revision; only in results of List and Watch
 }
 
-// LeaseID names a lease of the store; 0 is none.
+// LeaseID identifies a lease of the store; 0 means no lease.
 type LeaseID int64
 
-// Config bounds what one process asks of the store.
+// Config holds the store's addresses and the limits for the calls of one process.
 type Config struct {
 	Addresses       []netip.AddrPort
 	CallTimeout     time.Duration
@@ -67,7 +67,7 @@
 	nWrites metrics.Counter
 }
 
-// New returns a client. Its calls are counted as store.reads and store.writes in registry.
+// New returns a client. It counts its calls in the metrics store.reads and store.writes of the registry.
 func New(cfg Config, d *dialer.Dialer, clk clock.Clock, registry metrics.Registry) (*Store, error) {
 	s := &Store{
 		cfg:     cfg,
@@ -87,7 +87,7 @@
 		s.clients = append(s.clients, c)
 	}
 	if len(s.clients) == 0 {
-		return nil, errors.New("no store address")
+		return nil, errors.New("no store address is configured")
 	}
 	return s, nil
 }
@@ -97,16 +97,17 @@
 	return clock.Time(s.lastOK.Load())
 }
 
-// Up says whether the store answered within the last while.
+// AnsweredWithin reports whether the store has answered this process within the given time before now.
 func (s *Store) Up(within time.Duration) bool {
 	return s.clk.Now().Sub(s.LastAnswer()) < within
 }
 
+// client returns the client for the address in use.
 func (s *Store) client() *storeapi.Client {
 	return s.clients[int(s.current.Load())%len(s.clients)]
 }
 
-// read runs a call without effect under the read rate and the time limit.
+// read makes a call that changes nothing, subject to the read rate and the given time limit.
 func (s *Store) read(ctx context.Context, limit time.Duration, call func(context.Context, *storeapi.Client) error) error {
 	if err := s.reads.Wait(ctx); err != nil {
 		return errors.Mark(err, ErrDown)
@@ -115,7 +116,7 @@
 	return s.call(ctx, limit, call)
 }
 
-// write runs a call with an effect under the write rate and the time limit.
+// write makes a call that changes the store, subject to the write rate and the configured time limit.
 func (s *Store) write(ctx context.Context, call func(context.Context, *storeapi.Client) error) error {
 	if err := s.writes.Wait(ctx); err != nil {
 		return errors.Mark(err, ErrDown)
@@ -124,6 +125,7 @@
 	return s.call(ctx, s.cfg.CallTimeout, call)
 }
 
+// call makes a call with a time limit and returns its error as one of this package.
 func (s *Store) call(ctx context.Context, limit time.Duration, call func(context.Context, *storeapi.Client) error) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -135,11 +137,12 @@
 	return s.classify(err)
 }
 
-// classify turns a failure of the wire into one of the errors of this package.
+// classify converts an error of a call into one of the errors of this package. When the store did not
+// answer, later calls use the next address.
 func (s *Store) classify(err error) error {
 	var refused *storeapi.RefusedStatusCode
 	if !errors.As(err, &refused) {
-		// The other unused connections may carry nothing any more either; each would cost a call its limit.
+		// The other idle connections may be dead as well, and each would cost one call its whole time limit.
 		s.http.CloseIdleConnections()
 		s.current.Add(1)
 		if dialer.NotSent(err) {
@@ -157,10 +160,11 @@
 	case storeapi.RefusalReasonNoLease:
 		return s.answered(ErrNoLease)
 	default:
-		return errors.Mark(errors.Newf("store refused: %s", refused.Response.Reason), ErrDown)
+		return errors.Mark(errors.Newf("store refused the call: %s", refused.Response.Reason), ErrDown)
 	}
 }
 
+// recordAnswer records that the store has answered, and returns err unchanged.
 func (s *Store) answered(err error) error {
 	s.lastOK.Store(int64(s.clk.Now()))
 	return err
--- a/pkg/store/store_test.go
+++ b/pkg/store/store_test.go
@@ -18,7 +18,7 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// newStore returns a client of a fresh stand-in.
+// newStore returns a client of a new emulated store.
 func newStore(t *testing.T) (*store.Store, *standin.Store) {
 	t.Helper()
 	g := NewWithT(t)
@@ -43,7 +43,7 @@
 func TestSwapIsSettledAfterLostAnswers(t *testing.T) {
 	g := NewWithT(t)
 	s, fake := newStore(t)
-	fake.SetFaults(standin.StoreFaults{LoseAnswers: 2}) // every second write
+	fake.SetFaults(standin.StoreFaults{LoseAnswers: 2}) // loses the answer of every second write
 	ctx := context.Background()
 	expect := int64(0)
 	for _, value := range []string{"a", "b", "c", "d", "e"} {
@@ -59,8 +59,8 @@
 	g.Expect(errors.Is(err, store.ErrConflict)).To(BeTrue(), "%v", err)
 }
 
-// An unsettled write was once retried for ever after its context had ended, which held up
-// the journal of a shard for good.
+// Guards against a write without an answer that is retried for ever after its context has ended, which
+// blocked the journal of a shard permanently.
 func TestSwapEndsUnsettledWithItsContext(t *testing.T) {
 	g := NewWithT(t)
 	s, fake := newStore(t)
@@ -80,9 +80,9 @@
 
 func TestSwapIsDownWhenNothingListens(t *testing.T) {
 	g := NewWithT(t)
-	gone := httptest.NewServer(http.NotFoundHandler())
-	gone.Close()
-	s := clientOf(g, gone.URL)
+	closed := httptest.NewServer(http.NotFoundHandler())
+	closed.Close()
+	s := clientOf(g, closed.URL)
 	_, err := s.Swap(context.Background(), store.Item{Key: "k", Value: "v"}, 0)
 	g.Expect(errors.Is(err, store.ErrDown)).To(BeTrue(), "%v", err)
 }
--- a/pkg/store/commands.go
+++ b/pkg/store/writes.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	retryFirst = 50 * time.Millisecond
-	retryMost  = 2 * time.Second
+	retryFirst = 50 * time.Millisecond // upper bound of the delay before the first retry
+	retryMost  = 2 * time.Second       // upper bound of any delay
 )
 
-// Swap writes a value if its key still has the expected revision (0: absent) and returns
-// the new revision. When an answer is lost it reads the value back and, if nothing was
-// written, tries again. Errors: ErrConflict, ErrTooLarge, ErrNoLease; ErrDown when the
-// write certainly had no effect; ErrUnsettled when ctx ended before that was known.
+// Swap writes a value if its key still has the expected revision (0: the key does not exist) and
+// returns the new revision. When an answer is lost it tries again until it is known whether the write
+// took effect. Errors: ErrConflict, ErrTooLarge, ErrNoLease; ErrUnavailable when the write certainly had
+// no effect; ErrUnsettled when ctx ended before it was known whether the write took effect.
 func (s *Store) Swap(ctx context.Context, item Item, expect int64) (int64, error) {
 	return s.SwapUnderLease(ctx, item, expect, 0)
 }
 
-// SwapUnderLease is Swap for a value that the store deletes when a lease ends.
+// SwapUnderLease is like Swap for a value that the store deletes when the lease ends.
 func (s *Store) SwapUnderLease(ctx context.Context, item Item, expect int64, lease LeaseID) (int64, error) {
 	if len(item.Value) > MaxValueBytes {
 		return 0, errors.Wrapf(ErrTooLarge, "key %s has %d bytes", item.Key, len(item.Value))
@@ -34,6 +34,7 @@
 	return revision, err
 }
 
+// swapOnce makes one attempt to write a value.
 func (s *Store) swapOnce(ctx context.Context, item Item, expect int64, lease LeaseID) (int64, error) {
 	var revision int64
 	err := s.write(ctx, func(ctx context.Context, c *storeapi.Client) error {
@@ -51,37 +52,39 @@
 	return revision, err
 }
 
-// settle finds out what became of a write whose answer was lost. The write may still be
-// on its way, so a value that is not there is no proof; writing again with the same
-// expected revision is, since only one of the two can take effect.
+// retryUnsettled repeats a write whose answer was lost. Reading the value alone would not show that the
+// write had no effect, since the first attempt may still be on its way. Writing again with the same
+// expected revision is conclusive, because only one of the two attempts can take effect.
 func (s *Store) settle(ctx context.Context, item Item, expect int64, lease LeaseID, attempt int) (int64, error) {
 	if err := Pause(ctx, attempt); err != nil {
-		return 0, errors.Wrapf(ErrUnsettled, "write of %s", item.Key)
+		return 0, errors.Wrapf(ErrUnsettled, "write of %s: answer lost", item.Key)
 	}
 	revision, err := s.swapOnce(ctx, item, expect, lease)
 	if errors.Is(err, ErrConflict) {
 		return s.readBack(ctx, item)
 	}
 	if errors.Is(err, ErrDown) {
-		return 0, errors.Wrapf(ErrUnsettled, "write of %s", item.Key)
+		return 0, errors.Wrapf(ErrUnsettled, "write of %s: store became unavailable after the answer was lost", item.Key)
 	}
 	return revision, err
 }
 
+// readBack decides, after a conflict, whether an earlier attempt has written the value or another writer
+// has changed the key.
 func (s *Store) readBack(ctx context.Context, item Item) (int64, error) {
 	stored, err := s.Read(ctx, item.Key)
 	switch {
 	case errors.Is(err, ErrAbsent):
 		return 0, ErrConflict
 	case err != nil:
-		return 0, errors.Wrapf(ErrUnsettled, "read back of %s", item.Key)
+		return 0, errors.Wrapf(ErrUnsettled, "read-back of %s failed", item.Key)
 	case stored.Value == item.Value:
 		return stored.Revision, nil
 	}
 	return 0, ErrConflict
 }
 
-// Delete removes a key if it still has the expected revision.
+// Delete deletes a key if it still has the expected revision.
 func (s *Store) Delete(ctx context.Context, key string, expect int64) error {
 	return s.write(ctx, func(ctx context.Context, c *storeapi.Client) error {
 		_, err := c.DeleteValue(ctx, storeapi.DeleteValueParams{Key: key, Expect: expect})
@@ -89,7 +92,7 @@
 	})
 }
 
-// OpenLease opens a lease that ends when it is not renewed within its term.
+// OpenLease opens a lease, which ends when it is not renewed within its term.
 func (s *Store) OpenLease(ctx context.Context, term time.Duration) (LeaseID, error) {
 	var id LeaseID
 	err := s.write(ctx, func(ctx context.Context, c *storeapi.Client) error {
@@ -119,8 +122,8 @@
 	})
 }
 
-// Pause waits before a further attempt, longer with each, by a random part so that many
-// processes do not come back at the same moment. It returns early when ctx ends.
+// Backoff waits before another attempt: exponentially longer with each attempt, with random jitter so
+// that many processes do not retry at the same moment. It returns early, with an error, when ctx ends.
 func Pause(ctx context.Context, attempt int) error {
 	most := min(retryFirst<<min(attempt, 10), retryMost)
 	t := time.NewTimer(most/2 + rand.N(most/2))
--- a/pkg/worker/client.go
+++ b/pkg/worker/client.go
@@ -15,20 +15,20 @@
 	"github.com/cockroachdb/errors"
 )
 
-// The failures of a command.
+// Errors of a command.
 var (
-	// ErrStale means that the worker refused: nothing was carried out.
-	ErrStale = errors.New("the worker refused a stale command")
-	// ErrUnreachable means that nothing reached the worker.
-	ErrUnreachable = errors.New("the worker can't be reached")
-	// ErrLost means that the commands may have been carried out.
-	ErrLost = errors.New("the answer of the worker was lost")
+	// ErrStale means that the worker refused the commands and carried out none of them.
+	ErrStale = errors.New("worker refused a stale command")
+	// ErrUnreachable means that the commands were not sent, or that a status could not be read.
+	ErrUnreachable = errors.New("worker is unreachable")
+	// ErrAnswerLost means that the commands may have been carried out.
+	ErrLost = errors.New("no answer from the worker: the commands may have been carried out")
 )
 
-// State says how far a task is.
+// State is the state of a task on its worker.
 type State string
 
-// The states of a task at its worker.
+// States of a task.
 const (
 	Running  State = "running"
 	Draining State = "draining"
@@ -36,7 +36,7 @@
 	Failed   State = "failed"
 )
 
-// ResultStopped is the result of a failed task that was stopped by a command.
+// ResultStopped is the result of a task that failed because a command stopped it.
 const ResultStopped = "stopped"
 
 // Task is a task as it is sent to a worker.
@@ -49,19 +49,19 @@
 	Slots     int
 }
 
-// Report is what a worker says of one task.
+// Report is what a worker reports about one of its tasks.
 type Report struct {
 	ID        string
 	Workload  string
 	Service   bool
 	Resources cell.Resources
 	State     State
-	Endpoint  netip.AddrPort // of a running service task
+	Endpoint  netip.AddrPort // only for a service task that runs
 	Slots     int
 	Result    string
 }
 
-// Status is what a worker says of itself.
+// Status is what a worker reports about itself.
 type Status struct {
 	Worker      string
 	Incarnation string
@@ -73,25 +73,25 @@
 	Tasks       []Report
 
 	clockMillis int64      // the worker's clock when it answered
-	received    clock.Time // our clock when the answer arrived
+	received    clock.Time // this process's clock when the answer arrived
 }
 
-// Commands are carried out together by one worker.
+// Commands is a set of commands that one worker carries out together.
 type Commands struct {
 	Shard    cell.ShardID
 	Epoch    cell.Epoch
 	Sequence int64
-	// ValidUntil is when the authority of the sender ends, on the sender's clock.
+	// ValidUntil is when the sender's authority ends, on the sender's clock.
 	ValidUntil clock.Time
-	// Known is the last status of the worker.
+	// Known is the last status received from the worker, from which its clock is derived.
 	Known Status
 	Lease time.Duration
 	Start []Task
 	Renew []string
 	Drain []string
-	// Stop names tasks to stop at once, after a checkpoint where a task has one.
+	// Stop lists tasks to stop at once, after a checkpoint if the task makes checkpoints.
 	Stop []string
-	// Forget names ended tasks whose result is kept elsewhere.
+	// Forget lists ended tasks that the worker may drop, since their results are stored elsewhere.
 	Forget []string
 }
 
@@ -104,7 +104,7 @@
 	apis map[netip.AddrPort]*workerapi.Client
 }
 
-// New returns a client.
+// New returns a client that connects through d and takes the time from clk.
 func New(d *dialer.Dialer, clk clock.Clock) *Client {
 	return &Client{
 		http: &http.Client{Transport: d.Transport(1)}, clk: clk,
@@ -112,6 +112,7 @@
 	}
 }
 
+// api returns the generated client for an address, which it creates at first use.
 func (c *Client) api(address netip.AddrPort) (*workerapi.Client, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -126,7 +127,7 @@
 	return api, nil
 }
 
-// Status asks a worker what it runs.
+// Status reads the status of a worker.
 func (c *Client) Status(ctx context.Context, address netip.AddrPort) (Status, error) {
 	api, err := c.api(address)
 	if err != nil {
@@ -139,7 +140,7 @@
 	return c.statusOf(got)
 }
 
-// Command has a worker carry out commands and returns its status after them.
+// Command sends commands to a worker and returns the worker's status after they were carried out.
 func (c *Client) Command(ctx context.Context, address netip.AddrPort, cmds Commands) (Status, error) {
 	api, err := c.api(address)
 	if err != nil {
@@ -156,9 +157,9 @@
 	case *workerapi.Status:
 		return c.statusOf(res)
 	case *workerapi.Stale:
-		return Status{}, errors.Wrapf(ErrStale, "worker knows epoch %d", res.Epoch)
+		return Status{}, errors.Wrapf(ErrStale, "worker has epoch %d", res.Epoch)
 	}
-	return Status{}, errors.Newf("worker answered %T", res)
+	return Status{}, errors.Newf("unexpected answer from worker: %T", res)
 }
 
 func (c *Client) statusOf(s *workerapi.Status) (Status, error) {
@@ -193,8 +194,9 @@
 	return r, nil
 }
 
-// wireCommands converts the end of validity to the worker's clock. The worker's clock
-// read clockMillis before the status arrived here, so the sum is never too late.
+// wireCommands converts commands to their form in the protocol, with the end of their validity on the
+// worker's clock. The worker read its clock before the status arrived here, so the converted time is
+// never after the end of the sender's authority.
 func wireCommands(c Commands) *workerapi.Commands {
 	w := &workerapi.Commands{
 		Shard: c.Shard.String(), Epoch: int64(c.Epoch), Sequence: c.Sequence,
--- a/pkg/worker/doc.go
+++ b/pkg/worker/doc.go
@@ -1,20 +1,20 @@
-// Package worker is the client of the workers. It is the only package that knows their
-// wire (api/worker.yaml).
+// Package worker is the client of the workers. It is the only package that depends on their protocol
+// (api/worker.yaml).
 //
-// A command to a worker carries the shard, its epoch, a sequence number and a time after
-// which the worker must refuse it. That time is on the worker's own clock: each status
-// tells the worker's clock, and the client reckons from the moment the status arrived,
-// so that the command never counts as valid after the authority of its sender has ended,
-// and no two clocks need to agree.
+// A command to a worker carries the shard, its epoch, a sequence number and a time after which the
+// worker must refuse it. That time is on the worker's own clock. Each status contains a reading of that
+// clock, and the client adds the time from the arrival of the status to the end of the sender's
+// authority. So a worker never carries out a command after the authority of its sender has ended, and
+// the clocks need not be synchronized.
 //
 // # Usage
 //
-//	c := worker.New(dialer)
+//	c := worker.New(dialer, clock.System())
 //	status, err := c.Status(ctx, address)
 //	status, err = c.Command(ctx, address, worker.Commands{
 //		Shard: shard, Epoch: 4, ValidUntil: grantEnd, Known: status,
 //		Start: []worker.Task{{ID: "fit-17", …}},
 //	})
-//	errors.Is(err, worker.ErrStale)  // a higher epoch is known there, or it came too late
-//	errors.Is(err, worker.ErrLost)   // it may have been carried out
+//	errors.Is(err, worker.ErrStale)       // the worker knows a higher epoch, or the command came too late
+//	errors.Is(err, worker.ErrAnswerLost)  // the command may have been carried out
 package worker
