--- a/pkg/store/store.go
+++ b/pkg/store/store.go
@@ -31,7 +31,7 @@
 	// ErrUnavailable means that the call certainly had no effect.
 	ErrDown = errors.New("store is unavailable")
 	// ErrUnsettled means that a write may or may not have taken effect.
-	ErrUnsettled = errors.New("no answer from the store: the write may have taken effect")
+	ErrUnsettled = errors.New("it is not known whether the write to the store took effect")
 )
 
 // Item is a key with its value.
--- a/pkg/store/writes.go
+++ b/pkg/store/writes.go
@@ -57,7 +57,7 @@
 // expected revision is conclusive, because only one of the two attempts can take effect.
 func (s *Store) settle(ctx context.Context, item Item, expect int64, lease LeaseID, attempt int) (int64, error) {
 	if err := Pause(ctx, attempt); err != nil {
-		return 0, errors.Wrapf(ErrUnsettled, "write of %s: answer lost", item.Key)
+		return 0, errors.Wrapf(ErrUnsettled, "write of %s: context ended while the outcome was unknown", item.Key)
 	}
 	revision, err := s.swapOnce(ctx, item, expect, lease)
 	if errors.Is(err, ErrConflict) {
