--- a/pkg/ownership/keeper_test.go
+++ b/pkg/ownership/controller_test.go
@@ -17,7 +17,7 @@
 
 var testShard = cell.ShardID{Hall: "h"}
 
-// fakeHall stands in for the store and the other processes of a hall.
+// fakeHall replaces the store and the other processes of a hall.
 type fakeHall struct {
 	mu      sync.Mutex
 	now     clock.Time
@@ -63,10 +63,10 @@
 	f.now = f.now.Add(d)
 }
 
-func (f *fakeHall) change(do func()) {
+func (f *fakeHall) change(apply func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	do()
+	apply()
 }
 
 func (f *fakeHall) lastWritten() Record {
@@ -78,23 +78,23 @@
 	return f.written[len(f.written)-1]
 }
 
-// A new owner once named the owner it had just followed as its successor, because beats
-// still counted that one as alive, and had no authority until it had been silent for long:
-// 3.4 s after a kill instead of 0.4 s.
+// A new owner must not name the owner that it replaced as its successor, even while heartbeats
+// still count that process as alive. Otherwise it has no authority until that successor has been
+// silent for long enough: 3.4 s after a kill instead of 0.4 s.
 func TestFollowerDoesNotNameTheOwnerItFollowed(t *testing.T) {
 	g := NewWithT(t)
 	f := &fakeHall{peers: []Peer{{Holder: alpha, Heard: 1}}, ended: map[string]bool{}}
-	k := NewKeeper(beta, []cell.ShardID{testShard}, DefaultTerms, f.deps())
-	k.Observe(testShard, Record{Epoch: 1, Owner: alpha, Successor: beta, WriteID: "1"}, 1)
+	c := NewKeeper(beta, []cell.ShardID{testShard}, DefaultTerms, f.deps())
+	c.Observe(testShard, Record{Epoch: 1, Owner: alpha, Successor: beta, WriteID: "1"}, 1)
 	f.advance(DefaultTerms.Grant + DefaultTerms.Margin + time.Second)
-	k.Step(context.Background())
+	c.Step(context.Background())
 	g.Eventually(f.lastWritten, "10s").Should(HaveField("Epoch", BeEquivalentTo(2)))
 	g.Expect(f.lastWritten().Owner).To(Equal(beta))
 	g.Expect(f.lastWritten().Successor.IsNone()).To(BeTrue())
 
-	f.change(func() { f.peers[0].Heard = f.now.Add(time.Second) }) // it is heard of again
+	f.change(func() { f.peers[0].Heard = f.now.Add(time.Second) }) // it is heard from again
 	g.Eventually(func() string {
-		k.Step(context.Background())
+		c.Step(context.Background())
 		return f.lastWritten().Successor.ID
 	}, "10s").Should(Equal(alpha.ID))
 }
@@ -102,11 +102,11 @@
 func TestOwnerProvenDeadIsFollowedAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	f := &fakeHall{ended: map[string]bool{alpha.Incarnation: true}}
-	k := NewKeeper(beta, []cell.ShardID{testShard}, DefaultTerms, f.deps())
-	k.Observe(testShard, Record{Epoch: 1, Owner: alpha, Successor: beta, WriteID: "1"}, 1)
+	c := NewKeeper(beta, []cell.ShardID{testShard}, DefaultTerms, f.deps())
+	c.Observe(testShard, Record{Epoch: 1, Owner: alpha, Successor: beta, WriteID: "1"}, 1)
 	f.advance(DefaultTerms.AskEvery + DefaultTerms.Margin + 10*time.Millisecond)
 	g.Eventually(func() cell.Epoch {
-		k.Step(context.Background())
+		c.Step(context.Background())
 		return f.lastWritten().Epoch
 	}, "10s").Should(BeEquivalentTo(2))
 }
@@ -114,24 +114,24 @@
 func TestShardWithoutProofOfItsHoldersEndIsNotClaimed(t *testing.T) {
 	g := NewWithT(t)
 	f := &fakeHall{ended: map[string]bool{alpha.Incarnation: true}}
-	k := NewKeeper(gamma, []cell.ShardID{testShard}, DefaultTerms, f.deps())
-	k.Observe(testShard, Record{Epoch: 1, Owner: alpha, Successor: beta, WriteID: "1"}, 1)
+	c := NewKeeper(gamma, []cell.ShardID{testShard}, DefaultTerms, f.deps())
+	c.Observe(testShard, Record{Epoch: 1, Owner: alpha, Successor: beta, WriteID: "1"}, 1)
 	for range 20 {
 		f.advance(time.Second)
-		k.Step(context.Background())
+		c.Step(context.Background())
 	}
 	g.Expect(f.lastWritten()).To(Equal(Record{}))
 	f.change(func() { f.ended[beta.Incarnation] = true })
 	g.Eventually(func() cell.Epoch {
 		f.advance(time.Second)
-		k.Step(context.Background())
+		c.Step(context.Background())
 		return f.lastWritten().Epoch
 	}, "20s").Should(BeEquivalentTo(2))
 }
 
-// A process that found a shard free waits its turn before it claims it. It once claimed it
-// also when another one had become owner while it waited, and so took a shard from a live
-// owner without any proof. Found by the e2e spec of `foldarch release`.
+// A process that found a shard free waits for its turn before it claims the shard. If another
+// process becomes the owner in the meantime, the claim would take the shard from a live owner
+// without any proof, as the e2e spec of `foldarch release` showed.
 func TestShardThatWasTakenMeanwhileIsNotClaimed(t *testing.T) {
 	g := NewWithT(t)
 	var others []Peer
@@ -140,40 +140,40 @@
 		others = append(others, Peer{Holder: Holder{ID: id, Incarnation: id}, Heard: 1})
 	}
 	f := &fakeHall{peers: others, ended: map[string]bool{}}
-	k := NewKeeper(gamma, []cell.ShardID{testShard}, DefaultTerms, f.deps())
-	g.Expect(k.rank(testShard)).To(BeNumerically(">", 0))
-	k.StoreSeen()
+	c := NewKeeper(gamma, []cell.ShardID{testShard}, DefaultTerms, f.deps())
+	g.Expect(c.rank(testShard)).To(BeNumerically(">", 0))
+	c.StoreSeen()
 	claimable := func() bool {
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		return k.machines[testShard].claimable != 0
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		return c.machines[testShard].claimable != 0
 	}
 	f.advance(time.Second)
-	g.Eventually(func() bool { k.Step(context.Background()); return claimable() }, "10s").Should(BeTrue())
-	k.Observe(testShard, Record{Epoch: 1, Owner: alpha, Successor: beta, WriteID: "1"}, 1)
+	g.Eventually(func() bool { c.Step(context.Background()); return claimable() }, "10s").Should(BeTrue())
+	c.Observe(testShard, Record{Epoch: 1, Owner: alpha, Successor: beta, WriteID: "1"}, 1)
 	for range 50 {
 		f.advance(claimStagger)
-		k.Step(context.Background())
-		k.duties.Wait()
+		c.Step(context.Background())
+		c.duties.Wait()
 	}
 	g.Expect(f.lastWritten()).To(Equal(Record{}))
 }
 
-// Every process that had no part in a shard once looked for proof of its owner's end all
-// the time: 1.6 KB/s and 0.4% of a core for each host of a hall.
+// If every bystander kept checking whether a live owner has ended, the checks would cost 1.6 KB/s
+// and 0.4% of a core for each host of a hall.
 func TestOwnerThatIsHeardOfIsNotProbed(t *testing.T) {
 	g := NewWithT(t)
 	f := &fakeHall{peers: []Peer{{Holder: alpha, Heard: 1}, {Holder: beta, Heard: 1}}, ended: map[string]bool{}}
-	k := NewKeeper(gamma, []cell.ShardID{testShard}, DefaultTerms, f.deps())
-	k.Observe(testShard, Record{Epoch: 1, Owner: alpha, Successor: beta, WriteID: "1"}, 1)
+	c := NewKeeper(gamma, []cell.ShardID{testShard}, DefaultTerms, f.deps())
+	c.Observe(testShard, Record{Epoch: 1, Owner: alpha, Successor: beta, WriteID: "1"}, 1)
 	for range 20 {
 		f.advance(time.Second)
-		k.Step(context.Background())
-		k.duties.Wait()
+		c.Step(context.Background())
+		c.duties.Wait()
 	}
 	g.Expect(f.probes).To(BeZero())
 	f.change(func() { f.peers = nil })
-	k.Step(context.Background())
-	k.duties.Wait()
+	c.Step(context.Background())
+	c.duties.Wait()
 	g.Expect(f.probes).To(Equal(1))
 }
--- a/pkg/ownership/owner.go
+++ b/pkg/ownership/owner.go
@@ -5,29 +5,29 @@
 	"foldarch.dev/foldarch/pkg/clock"
 )
 
-// Ask is a request for a grant.
+// GrantRequest is an owner's request for a grant.
 type Ask struct {
 	Epoch cell.Epoch
 	Owner Holder
-	// Record is the record under which the owner acts. The wire may leave it out once
-	// the successor has answered, which Echo tells.
+	// Record is the record that makes the sender the owner. It may be left out of the message once
+	// the successor has replied, which a non-zero Echo shows.
 	Record   Record
 	Revision int64
-	// Echo is the successor's clock in the last answer that the owner has, 0 for none.
+	// Echo is the successor's clock in the last reply that the owner has, or 0.
 	Echo int64
 	Sent clock.Time
 }
 
-// Reply is the answer to an Ask.
+// GrantReply is the reply to a GrantRequest.
 type Reply struct {
 	Granted bool
-	// Clock is the successor's clock when it answered.
+	// Clock is the successor's clock when it replied.
 	Clock int64
 }
 
-// Tick tells an owner the time. A sole owner's authority reaches a little beyond each
-// tick; when a tick comes late, the process was paused, and a sole owner must see its
-// record again before it goes on. Tick reports whether a pause was noticed.
+// Tick informs the state machine of the time and reports whether the process was paused, which a
+// late tick shows. For a sole owner each tick extends the authority by Timing.SoleExtension; after
+// a pause it must read its record again (Confirm) before it has authority.
 func (m *Machine) Tick(now clock.Time) (paused bool) {
 	if m.role != Owner {
 		return false
@@ -43,7 +43,7 @@
 	return paused
 }
 
-// Confirm tells a sole owner that doubts its authority what the store holds now.
+// Confirm gives a sole owner that was paused the record that the store holds now.
 func (m *Machine) Confirm(record Record, revision int64, now clock.Time) {
 	if record.WriteID != m.record.WriteID {
 		m.adopt(record, revision, now)
@@ -53,16 +53,16 @@
 	m.Tick(now)
 }
 
-// Doubtful says that a sole owner needs Confirm.
+// NeedsConfirmation reports whether a sole owner was paused and waits for Confirm.
 func (m *Machine) Doubtful() bool {
 	return m.role == Owner && m.owner.sole && m.owner.doubtful
 }
 
-// NextAsk returns the request for a grant that is due, if one is. The caller sends one ask
-// at a time and gives up on it before it calls NextAsk again.
+// NextGrantRequest returns the grant request that is due, if any. The caller sends one request at a
+// time and stops waiting for its reply before it calls NextGrantRequest again.
 func (m *Machine) NextAsk(now clock.Time) (Ask, bool) {
-	mayAsk := m.role == Owner && !m.owner.sole && !m.pending && !m.owner.leaving
-	if !mayAsk || now < m.owner.nextAsk || now > m.asksEnd() {
+	mayRequest := m.role == Owner && !m.owner.sole && !m.pending && !m.owner.leaving
+	if !mayRequest || now < m.owner.nextAsk || now > m.asksEnd() {
 		return Ask{}, false
 	}
 	m.owner.nextAsk = now.Add(m.terms.AskEvery)
@@ -73,20 +73,20 @@
 	}, true
 }
 
-// Answered takes in the answer to an Ask. An answer to an ask from before a write or a
-// change of the record is of no use.
-func (m *Machine) Answered(ask Ask, reply Reply) {
-	current := m.role == Owner && !m.pending && ask.Record.WriteID == m.record.WriteID
+// HandleGrantReply processes the reply to a grant request. A reply has no effect if it grants
+// nothing, if a write is pending, or if the record has changed since the request.
+func (m *Machine) Answered(request Ask, reply Reply) {
+	current := m.role == Owner && !m.pending && request.Record.WriteID == m.record.WriteID
 	if !current || !reply.Granted {
 		return
 	}
-	m.owner.grantedUntil = max(m.owner.grantedUntil, ask.Sent.Add(m.terms.Grant))
+	m.owner.grantedUntil = max(m.owner.grantedUntil, request.Sent.Add(m.terms.Grant))
 	m.owner.peerClock = reply.Clock
 }
 
-// SuccessorDead tells an owner that its successor's process has ended, so that it may be
-// replaced at once. While the grant still holds, the successor can't have begun to follow
-// either, so that the owner is sole even before the store says so.
+// ReportSuccessorEnded tells an owner that its successor's process has ended, so that the successor
+// may be replaced at once. If the owner's grant still holds, the successor can't have begun to take
+// over, so the owner is sole even before the store's record says so.
 func (m *Machine) SuccessorDead(now clock.Time) {
 	if m.role != Owner || m.owner.sole || m.pending {
 		return
@@ -99,35 +99,36 @@
 	}
 }
 
-// asksEnd is when an owner without answers stops asking, so that the silence which must
-// come before another successor is named can run out. It is before the grant lapses, to
-// keep short the time in which the shard has no authority.
+// requestsEnd is when an owner that gets no replies stops sending requests, since another successor
+// may be named only after a period without requests (successorSilent). It is earlier than the end
+// of the grant, to keep the time short in which the shard has no authority.
 func (m *Machine) asksEnd() clock.Time {
 	return max(m.owner.grantedUntil.Add(-2*m.terms.AskEvery), m.owner.askingSince.Add(m.terms.Grant))
 }
 
-// askAnew begins to ask the successor, or begins again after a silence without effect.
+// restartRequests makes the next grant request due at once. It is called for a new successor, and
+// after a write that was not applied.
 func (m *Machine) askAnew(now clock.Time) {
 	m.owner.askingSince = now
 	m.owner.nextAsk = now
 }
 
-// silent says that the successor was neither asked nor has answered for so long that
-// what it knows of the owner's grants has lapsed. Only then may it be replaced: from here
-// on it can't follow without the store.
+// successorSilent reports whether the successor has not replied, and was not sent a request, for so
+// long that all it knows of the owner's grants has expired. Only then may it be replaced: from here
+// on it can't take over without the store.
 func (m *Machine) silent(now clock.Time) bool {
 	return now > m.asksEnd() && now > m.owner.lastAsk.Add(m.terms.Grant+2*m.terms.Margin)
 }
 
-// WantsSuccessor says that the owner needs another successor: it is sole, or its
-// successor is silent.
+// NeedsSuccessor reports whether the owner has to name another successor: it is sole, or its
+// successor is silent or has ended.
 func (m *Machine) WantsSuccessor(now clock.Time) bool {
 	able := m.role == Owner && !m.pending && !m.owner.leaving && !m.Doubtful()
 	return able && (m.owner.sole || m.owner.successorDead || m.silent(now))
 }
 
-// Leave makes an owner stop, for a planned end of the process. It has no authority from
-// then on; the write that follows hands the shard over.
+// Leave ends the authority of an owner whose process is about to stop. The write of kind
+// WriteHandover that follows makes the successor the owner.
 func (m *Machine) Leave() {
 	if m.role == Owner {
 		m.owner.leaving = true
--- a/pkg/ownership/record.go
+++ b/pkg/ownership/record.go
@@ -9,50 +9,50 @@
 	"github.com/cockroachdb/errors"
 )
 
-// RecordPrefix is where the records of the shards stand in the store.
+// RecordPrefix is the prefix of the keys under which the store holds the shard records.
 const RecordPrefix = "cell/shards/"
 
-// Holder is one process. A process that starts again is another holder.
+// Holder is one process, as an owner or a successor. A process that restarts is another holder.
 type Holder struct {
 	ID          string         `json:"id"`
 	Incarnation string         `json:"incarnation"`
 	Address     netip.AddrPort `json:"address"`
 }
 
-// Record is what the store holds of a shard.
+// Record is the store's record of a shard.
 type Record struct {
 	Epoch     cell.Epoch `json:"epoch"`
 	Owner     Holder     `json:"owner"`
 	Successor Holder     `json:"successor"`
-	// WriteID makes every record unique.
+	// WriteID is unique to each write of a record.
 	WriteID string `json:"write_id"`
 }
 
-// IsNone says that the holder stands for nobody.
+// IsNone reports whether the holder names no process.
 func (h Holder) IsNone() bool {
 	return h.Incarnation == ""
 }
 
-// KeyOf returns the key of a shard's record.
+// RecordKey returns the key of a shard's record.
 func KeyOf(shard cell.ShardID) string {
 	return RecordPrefix + shard.String()
 }
 
-// ShardOfKey returns the shard to whose record a key belongs.
+// ParseRecordKey returns the shard whose record has the given key.
 func ShardOfKey(key string) (cell.ShardID, error) {
 	return cell.ParseShardID(strings.TrimPrefix(key, RecordPrefix))
 }
 
-// ParseRecord reads a record as it stands in the store.
+// ParseRecord decodes a record from its form in the store.
 func ParseRecord(text string) (Record, error) {
 	var r Record
 	if err := json.Unmarshal([]byte(text), &r); err != nil {
-		return Record{}, errors.Wrap(err, "shard record")
+		return Record{}, errors.Wrap(err, "parse shard record")
 	}
 	return r, nil
 }
 
-// String returns the record as it stands in the store.
+// String returns the record in the form that the store holds.
 func (r Record) String() string {
 	text, err := json.Marshal(r)
 	if err != nil {
--- a/pkg/ownership/machine_test.go
+++ b/pkg/ownership/statemachine_test.go
@@ -14,7 +14,8 @@
 	gamma = Holder{ID: "c", Incarnation: "c1"}
 )
 
-// after is a time some grants from the origin.
+// afterGrants returns the time that is the given number of grant durations after the origin of the
+// clock.
 func after(grants float64) clock.Time {
 	return clock.Time(0).Add(time.Duration(grants * float64(DefaultTerms.Grant)))
 }
@@ -22,7 +23,8 @@
 // firstRecord names alpha as owner and beta as its successor.
 var firstRecord = Record{Epoch: 1, Owner: alpha, Successor: beta, WriteID: "1"}
 
-// newPair returns an owner and its successor that have both seen firstRecord.
+// newPair returns the state machines of an owner and its successor that have both observed
+// firstRecord.
 func newPair() (owner, successor *Machine) {
 	owner, successor = NewMachine(alpha, DefaultTerms), NewMachine(beta, DefaultTerms)
 	owner.Observe(firstRecord, 1, 0)
@@ -30,15 +32,16 @@
 	return owner, successor
 }
 
-// granted exchanges one ask and its answer at one moment.
+// exchangeGrant sends one grant request and its reply without delay.
 func granted(g *WithT, owner, successor *Machine, now clock.Time) {
-	ask, due := owner.NextAsk(now)
+	request, due := owner.NextAsk(now)
 	g.Expect(due).To(BeTrue())
-	owner.Answered(ask, successor.Grant(ask, now))
+	owner.Answered(request, successor.Grant(request, now))
 }
 
-// Found by spec/ownership.pml: a successor that was replaced and named again, and saw only
-// the second record, kept the end of its old grant and followed an owner that still acted.
+// A successor that is replaced, then named again, and observes only the second record must not keep
+// the expiry of its old grant: it would take over from an owner that still has authority.
+// spec/ownership.pml showed this failure.
 func TestSuccessorNamedAgainWaitsAnew(t *testing.T) {
 	g := NewWithT(t)
 	successor := NewMachine(beta, DefaultTerms)
@@ -54,9 +57,9 @@
 	g := NewWithT(t)
 	owner, successor := newPair()
 	g.Expect(owner.AuthorityUntil()).To(BeZero())
-	ask, due := owner.NextAsk(10)
+	request, due := owner.NextAsk(10)
 	g.Expect(due).To(BeTrue())
-	owner.Answered(ask, successor.Grant(ask, 400)) // the ask was long under way
+	owner.Answered(request, successor.Grant(request, 400)) // the request was long under way
 	g.Expect(owner.AuthorityUntil()).To(Equal(clock.Time(10).Add(DefaultTerms.Grant)))
 	g.Expect(successor.GrantLapsed(clock.Time(400).Add(DefaultTerms.Grant))).To(BeFalse())
 }
@@ -69,10 +72,10 @@
 	claim, expect := successor.BeginWrite(WriteClaim, gamma, "2", now)
 	g.Expect(claim.Epoch).To(BeEquivalentTo(2))
 	g.Expect(expect).To(BeEquivalentTo(1))
-	ask := Ask{Epoch: 1, Owner: alpha, Record: firstRecord, Revision: 1, Sent: now}
-	g.Expect(successor.Grant(ask, now).Granted).To(BeFalse())
+	request := Ask{Epoch: 1, Owner: alpha, Record: firstRecord, Revision: 1, Sent: now}
+	g.Expect(successor.Grant(request, now).Granted).To(BeFalse())
 	successor.Settle(NoEffect, Record{}, 0, now)
-	g.Expect(successor.Grant(ask, now).Granted).To(BeTrue())
+	g.Expect(successor.Grant(request, now).Granted).To(BeTrue())
 }
 
 func TestSoleOwnerThatNamesASuccessorActsForOneTermAtMost(t *testing.T) {
@@ -132,15 +135,15 @@
 	g := NewWithT(t)
 	owner, successor := newPair()
 	granted(g, owner, successor, 10)
-	var lastAsk, replaced clock.Time
-	for now := clock.Time(20); replaced == 0 && now < after(10); now += 50 {
+	var lastRequest, replacedAt clock.Time
+	for now := clock.Time(20); replacedAt == 0 && now < after(10); now += 50 {
 		if _, due := owner.NextAsk(now); due {
-			lastAsk = now
+			lastRequest = now
 		}
 		if owner.WantsSuccessor(now) {
-			replaced = now
+			replacedAt = now
 		}
 	}
-	g.Expect(replaced.Sub(lastAsk)).To(BeNumerically(">", DefaultTerms.Grant+DefaultTerms.Margin))
-	g.Expect(replaced).To(BeNumerically("<", after(4)))
+	g.Expect(replacedAt.Sub(lastRequest)).To(BeNumerically(">", DefaultTerms.Grant+DefaultTerms.Margin))
+	g.Expect(replacedAt).To(BeNumerically("<", after(4)))
 }
--- a/pkg/ownership/write.go
+++ b/pkg/ownership/write.go
@@ -4,30 +4,31 @@
 	"foldarch.dev/foldarch/pkg/clock"
 )
 
-// Write says what a write to the record is for.
+// WriteKind is the purpose of a write of the record.
 type Write int
 
-// The writes.
+// The kinds of writes.
 const (
-	WriteClaim     Write = iota // take the shard at the next epoch
-	WriteSuccessor              // name another successor, or none
-	WriteHandover               // give the shard to the successor
-	WriteRecord                 // record an epoch taken without the store
+	WriteClaim     Write = iota // take over the shard at the next epoch
+	WriteSuccessor              // replace the successor, possibly by none
+	WriteHandover               // make the successor the owner
+	WriteRecord                 // write an epoch that was begun without the store
 )
 
-// Settled says what became of a write.
+// WriteOutcome is the outcome of a write of the record.
 type Settled int
 
 // The outcomes of a write.
 const (
 	TookEffect Settled = iota
-	NoEffect           // it certainly was not carried out
-	Overtaken          // the record had been changed by somebody else
+	NoEffect           // the store certainly did not carry it out
+	Overtaken          // another process had changed the record before
 )
 
-// BeginWrite returns the record to write and the revision that must stand. Until Settle
-// is called nothing is granted, asked or taken, and a sole owner keeps its authority for
-// one term at the most, as if it had been granted at this moment.
+// BeginWrite returns the record to write and the revision that the store's record must have. Until
+// FinishWrite is called, the state machine neither requests nor accepts nor gives a grant, and a
+// sole owner that names a successor keeps its authority for at most one grant duration, as if it
+// had been granted now.
 func (m *Machine) BeginWrite(kind Write, successor Holder, writeID string, now clock.Time) (Record, int64) {
 	next := m.record
 	next.WriteID = writeID
@@ -48,8 +49,8 @@
 	return next, m.revision
 }
 
-// Settle takes in what became of a write. A record that took effect comes with its
-// revision; of one that did not, the caller reads and observes what stands instead.
+// FinishWrite processes the outcome of a write. With WriteApplied come the record and its revision.
+// After WriteConflict the caller reads the record that stands instead and passes it to Observe.
 func (m *Machine) Settle(outcome Settled, record Record, revision int64, now clock.Time) {
 	m.pending = false
 	switch outcome {
@@ -59,7 +60,7 @@
 			m.adopt(record, revision, now)
 		}
 	case Overtaken:
-		// Whoever came first may have authority: this process has none until it has read
+		// The process that wrote first may have authority, so this one has none until it has read
 		// the record.
 		m.role = Bystander
 	case NoEffect:
@@ -67,7 +68,7 @@
 	}
 }
 
-// Pending says that a write is not settled.
+// WritePending reports whether the outcome of a write is not known yet.
 func (m *Machine) Pending() bool {
 	return m.pending
 }
