--- a/pkg/members/table.go
+++ b/pkg/members/table.go
@@ -11,24 +11,25 @@
 	"foldarch.dev/foldarch/pkg/routing"
 )
 
-// The times of membership.
+// The intervals and limits of the exchange of heartbeats.
 const (
 	beatInHall  = 1500 * time.Millisecond
 	beatOutside = 4 * time.Second
-	// outsideEach is how many processes of each other hall a process exchanges beats with.
+	// peersPerOtherHall is the number of processes of each other hall with which a process
+	// exchanges heartbeats per interval.
 	outsideEach = 1
 	aliveFor    = 5 * time.Second
 	forgetAfter = time.Minute
 )
 
-// Owned is one shard that a member has authority over.
+// OwnedShard is one shard that a member owns.
 type Owned struct {
 	Shard cell.ShardID
 	Epoch cell.Epoch
 	Loads map[string]routing.Load
 }
 
-// Member is one process as it describes itself.
+// Member is one process, as it describes itself.
 type Member struct {
 	ID             string
 	Incarnation    string
@@ -51,22 +52,22 @@
 
 type row struct {
 	member    Member
-	known     bool // a beat has come
-	seed      bool // never forgotten
+	known     bool // a heartbeat has come
+	seed      bool // from the settings; never removed
 	exchanged clock.Time
 }
 
-// New returns a table for the process self.
+// New returns a table of the process self without other processes.
 func New(self Member) *Table {
 	return &Table{self: self, rows: map[netip.AddrPort]*row{}, turns: map[cell.Hall]int{}}
 }
 
-// AddSeed adds an address from the process's own settings.
+// AddSeed adds an address from the process's own settings, which is never removed.
 func (t *Table) AddSeed(address netip.AddrPort) {
 	t.at(address).seed = true
 }
 
-// AddListed adds an address that the platform's host list names.
+// AddListed adds an address from the platform's host list.
 func (t *Table) AddListed(address netip.AddrPort, hall cell.Hall) {
 	r := t.at(address)
 	if !r.known {
@@ -83,7 +84,7 @@
 	return r
 }
 
-// Heard takes in what a member says of itself.
+// Update stores what a member reports about itself in a heartbeat.
 func (t *Table) Heard(m Member, now clock.Time) {
 	if m.Address == t.self.Address {
 		return
@@ -93,31 +94,32 @@
 	r.member, r.known, r.exchanged = m, true, now
 }
 
-// Due lists the addresses with which to exchange a beat now: all of the own hall, and of
-// each other hall a few, in turn.
+// DueHeartbeats returns the addresses with which to exchange a heartbeat now: all of the own hall
+// whose interval has passed, and of each other hall peersPerOtherHall members in turn. It also
+// removes the members that have not been heard from for forgetAfter.
 func (t *Table) Due(now clock.Time) []netip.AddrPort {
 	var due []netip.AddrPort
-	outside := map[cell.Hall][]*row{}
+	otherHalls := map[cell.Hall][]*row{}
 	for address, r := range t.rows {
 		switch {
 		case address == t.self.Address || t.forget(address, r, now):
 		case r.known && r.member.Hall != t.self.Hall:
-			outside[r.member.Hall] = append(outside[r.member.Hall], r)
+			otherHalls[r.member.Hall] = append(otherHalls[r.member.Hall], r)
 		case now.Sub(r.exchanged) >= t.interval(address) || r.exchanged == 0:
 			r.exchanged = now
 			due = append(due, address)
 		}
 	}
-	for hall, rows := range outside {
+	for hall, rows := range otherHalls {
 		due = append(due, t.dueOutside(hall, rows, now)...)
 	}
 	slices.SortFunc(due, func(a, b netip.AddrPort) int { return a.Compare(b) })
 	return due
 }
 
-// interval is how often this process begins an exchange with another of its hall. An
-// exchange tells both sides all, so the one with the lower address begins it, and the
-// other only when that one is late.
+// hallInterval is how often this process starts an exchange with another process of its hall. An
+// exchange informs both sides, so the process with the lower address starts it, and the other one
+// only if the first is late.
 func (t *Table) interval(address netip.AddrPort) time.Duration {
 	if t.self.Address.Compare(address) < 0 {
 		return beatInHall
@@ -149,7 +151,7 @@
 	return true
 }
 
-// Alive lists the members of a hall that were heard of lately, by id.
+// Alive returns the members of a hall that were heard from within aliveTimeout, ordered by id.
 func (t *Table) Alive(hall cell.Hall, now clock.Time) []Member {
 	var alive []Member
 	for _, r := range t.rows {
@@ -161,7 +163,7 @@
 	return alive
 }
 
-// All lists every member of which a beat has come, by id.
+// All returns every member that has sent a heartbeat, ordered by id.
 func (t *Table) All() []Member {
 	var all []Member
 	for _, r := range t.rows {
@@ -173,7 +175,7 @@
 	return all
 }
 
-// Addresses lists every address known, heard of or not.
+// Addresses returns all known addresses, including those from which no heartbeat has come.
 func (t *Table) Addresses() []netip.AddrPort {
 	var all []netip.AddrPort
 	for address := range t.rows {
@@ -185,7 +187,7 @@
 	return all
 }
 
-// Incarnation returns the incarnation that was last heard at an address.
+// Incarnation returns the incarnation that was last reported from an address.
 func (t *Table) Incarnation(address netip.AddrPort) (string, bool) {
 	r, ok := t.rows[address]
 	if !ok || !r.known {
@@ -194,7 +196,7 @@
 	return r.member.Incarnation, true
 }
 
-// OwnerOf returns the member that was heard to own a shard at the highest epoch.
+// OwnerOf returns the member that reported the highest epoch for a shard, and that epoch.
 func (t *Table) OwnerOf(shard cell.ShardID) (Member, cell.Epoch, bool) {
 	var best Member
 	var epoch cell.Epoch
@@ -208,7 +210,7 @@
 	return best, epoch, epoch > 0
 }
 
-// LoadOf returns the load of a service in a shard, as its owner told it last.
+// LoadOf returns the load of a service in a shard, as the owner reported it last.
 func (t *Table) LoadOf(shard cell.ShardID, service string) (routing.Load, bool) {
 	m, epoch, ok := t.OwnerOf(shard)
 	if !ok {
--- a/pkg/relay/assignments.go
+++ b/pkg/relay/assignments.go
@@ -11,44 +11,51 @@
 )
 
 const (
-	// WorkersPerHost is how many workers one relay serves at most. A worker has 2 to 4 calls a second, a call
-	// costs a relay about 0.2 ms of processor: 96 workers take 4 to 8% of a core, which the smallest hosts have.
+	// MaxWorkersPerRelay is the maximum number of workers that one relay serves. A worker has 2 to
+	// 4 calls a second, and a call costs a relay about 0.2 ms of processor time: 96 workers take 4
+	// to 8% of a core, which the smallest hosts have.
 	WorkersPerHost = 96
-	// leastWorkers is the number of workers from which other hosts make the calls to them. Below, relays cost
-	// the hosts more than they spare an owner with a large link (docs/CAPACITY.md).
+	// minWorkersForRelays is the number of workers from which relays are used. Below it, relays
+	// cost their hosts more than they save an owner with a fast link (docs/CAPACITY.md).
 	leastWorkers = 400
-	// linkShare is the part of a host's link that calls to workers may take, and callBytes what those to one worker take each way, in
-	// bytes a second. The rest is for the store, for callers and for bursts.
+	// workerCallLinkShare is the part of a host's link that calls to workers may use; the rest is
+	// for the store, for callers and for bursts. callBytesPerWorker is the traffic of the calls to
+	// one worker in each direction, in bytes per second.
 	linkShare = 0.25
 	callBytes = 2200
-	// mostDoubts is how many orders in a row may have no result before a relay is left for suspectFor. The
-	// stream of a host is given up after 0.9 s of silence; this is for one that lives but does not reach workers.
+	// maxHostMisses is the number of consecutive orders without a result after which a relay is not
+	// used for suspectDuration. A host whose stream is silent for 0.9 s is dropped anyway; this
+	// limit is for a host that is alive but does not reach workers.
 	mostDoubts = 12
 	suspectFor = 5 * time.Second
-	// directFor is how long the owner makes the calls to a worker itself after missesToLeave orders in a row
-	// without a result. One may be lost on its way; two tell that the relay does not reach the worker.
+	// directDuration is how long the owner makes the calls to a worker itself after
+	// missesBeforeDirect consecutive orders without a result. A single order may be lost on the
+	// network; two indicate that the relay does not reach the worker.
 	directFor     = 2 * time.Second
 	missesToLeave = 2
-	// chooseAgain is the pause after no host had room for one more worker: looking takes as long as there are hosts.
+	// chooseRetryDelay is the pause after a search in which no host had room for one more worker,
+	// since a search examines every host.
 	chooseAgain = 250 * time.Millisecond
 )
 
-// Assignments decide which host makes the calls to which worker. They are pure, and not safe for
-// concurrent use.
+// Assignments decides which host makes the calls to which worker. It does no I/O and is not safe
+// for concurrent use.
 type Assignments struct {
-	// Stopping says that a host is about to end.
+	// IsStopping reports whether a host is about to stop.
 	Stopping func(host string) bool
 
-	least        int // workers, from which other hosts make the calls
+	least        int // workers from which relays are used
 	hosts        map[string]*host
 	workers      map[dispatch.WorkerID]*assignment
-	missingUntil clock.Time // no host had room
-	// best are the hosts chosen last, by the hall of the worker. A takeover assigns all workers at once: looking at all hosts for each takes
-	// four times as long in a pool of twice the size.
+	missingUntil clock.Time // no search until then, since no host had room
+	// bestByHall holds the hosts chosen last, by the hall of the worker. A takeover assigns all
+	// workers at once; examining all hosts for each of them takes four times as long in a pool of
+	// twice the size.
 	best map[string]choice
 }
 
-// choice is a host that remains the best one until others change, or until a time: others may be usable again by then.
+// cachedChoice is a host that stays the best one until other hosts or assignments change, or until
+// validUntil, when other hosts may be usable again.
 type choice struct {
 	host  *host
 	until clock.Time
@@ -61,26 +68,26 @@
 	strength     int // in percent of what an owner needs
 	most         int // workers that it may serve
 	workers      int // that it serves
-	doubts       int // orders in a row without a result
+	doubts       int // consecutive orders without a result
 	suspectUntil clock.Time
 }
 
-// assignment is the host of a worker; nil when the owner makes the calls itself.
+// assignment assigns a worker to a host, or to the owner itself if host is nil.
 type assignment struct {
 	hall        string // of the worker
 	host        *host
-	misses      int // orders in a row without a result
+	misses      int // consecutive orders without a result
 	directUntil clock.Time
 }
 
-// NewAssignments returns assignments without hosts and workers, for an owner whose link carries so many megabits a second; 0 when that is not
-// told.
+// NewAssignments returns assignments without hosts and workers. linkMbps is the bandwidth of the
+// owner's link in Mbit/s, 0 if it is unknown.
 func NewAssignments(stopping func(host string) bool, linkMbps float64) *Assignments {
 	return &Assignments{Stopping: stopping, least: min(leastWorkers, WorkersOnLink(linkMbps)), hosts: map[string]*host{}, workers: map[dispatch.WorkerID]*assignment{}, best: map[string]choice{}}
 }
 
-// WorkersOnLink is to how many workers calls may be made over a link of so many megabits a second; 0 when that is not told, which counts as
-// enough.
+// MaxWorkersForLink returns the number of workers to which calls may be made over a link of the
+// given bandwidth in Mbit/s. There is no limit for 0, which means that the bandwidth is unknown.
 func WorkersOnLink(linkMbps float64) int {
 	if linkMbps <= 0 {
 		return math.MaxInt
@@ -88,25 +95,26 @@
 	return max(1, int(linkShare*traffic.BytesPerSecond(linkMbps)/callBytes))
 }
 
-// PutHost takes in a host of a data hall that can make calls, to most workers at most. One of the same name is replaced.
+// AddHost adds a host of a data hall that can make calls to at most the given number of workers,
+// and to no more than MaxWorkersPerRelay. It replaces a host of the same name.
 func (a *Assignments) PutHost(name, hall string, strength, most int) {
 	a.hosts[name] = &host{name: name, hall: hall, strength: strength, most: min(most, WorkersPerHost)}
 	a.missingUntil = 0
 	clear(a.best)
 }
 
-// RemoveHost takes in that a host can't be reached any more.
+// RemoveHost removes a host that can't be reached any more.
 func (a *Assignments) RemoveHost(name string) {
 	delete(a.hosts, name)
 	clear(a.best)
 }
 
-// PutWorker takes in a worker of a data hall.
+// AddWorker adds a worker of a data hall.
 func (a *Assignments) PutWorker(id dispatch.WorkerID, hall string) {
 	a.workers[id] = &assignment{hall: hall}
 }
 
-// RemoveWorker takes in that no calls are made to a worker any more.
+// RemoveWorker removes a worker to which no more calls are made.
 func (a *Assignments) RemoveWorker(id dispatch.WorkerID) {
 	if w, ok := a.workers[id]; ok {
 		a.leave(w)
@@ -114,8 +122,9 @@
 	}
 }
 
-// Assign returns the host that makes the calls to a worker from now on; "" when the owner does. changed
-// says that others made the calls before, so that those still on their way have to be fenced.
+// Assign returns the host that makes the calls to a worker from now on, or "" if the owner makes
+// them itself. changed reports that another host, or the owner, made the calls before, so that
+// calls still on their way have to be fenced.
 func (a *Assignments) Assign(id dispatch.WorkerID, now clock.Time) (name string, changed bool) {
 	w, ok := a.workers[id]
 	if !ok {
@@ -132,7 +141,7 @@
 	return w.name(), w.host != former
 }
 
-// Assigned returns the host that makes the calls to a worker at present; "" when the owner does.
+// Assigned returns the host that makes the calls to a worker at present, or "" if the owner does.
 func (a *Assignments) Assigned(id dispatch.WorkerID, now clock.Time) string {
 	w, ok := a.workers[id]
 	if !ok || w.host == nil || !a.usable(w.host, now) {
@@ -141,13 +150,13 @@
 	return w.name()
 }
 
-// Serves says that a host makes the calls to some workers.
+// Serves reports whether a host makes the calls to at least one worker.
 func (a *Assignments) Serves(name string) bool {
 	h, ok := a.hosts[name]
 	return ok && h.workers > 0
 }
 
-// Count is how many workers other hosts serve.
+// RelayedWorkers returns the number of workers that relays serve.
 func (a *Assignments) Count() int {
 	n := 0
 	for _, h := range a.hosts {
@@ -156,8 +165,9 @@
 	return n
 }
 
-// Answered takes in whether an order for a worker that a host made the call of had a result. After
-// missesToLeave without one the owner makes the next calls itself; suspected says that the host is left for a time.
+// RecordResult records whether an order to a worker, sent through a host, had a result. After
+// missesBeforeDirect consecutive orders without one the owner makes the next calls to the worker
+// itself; suspected reports that the host is not used for suspectDuration from now on.
 func (a *Assignments) Answered(id dispatch.WorkerID, name string, result bool, now clock.Time) (suspected bool) {
 	h, ok := a.hosts[name]
 	if !ok {
@@ -177,14 +187,15 @@
 	return true
 }
 
-// usable says whether a host can make calls.
+// usable reports whether a host can make calls now.
 func (a *Assignments) usable(h *host, now clock.Time) bool {
 	return a.hosts[h.name] == h && now >= h.suspectUntil && !a.Stopping(h.name)
 }
 
-// choose returns the host that is to serve one more worker of a data hall; nil when none has room.
-// Hosts of the worker's hall come first, since traffic between halls costs and a hall that is cut off keeps
-// both; then strong hosts, and among these hosts that serve others already, so that messages hold many orders.
+// chooseHost returns the host to serve one more worker of a data hall, or nil if none has room.
+// Hosts of the worker's hall come first, since traffic between halls is costly and a hall that is
+// cut off keeps both host and worker; then hosts of higher strength; and among equal ones a host
+// that already serves more workers, so that messages carry many orders.
 func (a *Assignments) choose(hall string, now clock.Time) *host {
 	if len(a.workers) < a.least || now < a.missingUntil {
 		return nil
@@ -201,7 +212,8 @@
 	return best
 }
 
-// bestHost looks at all hosts for the one that is to serve one more worker of a data hall; nil when none has room.
+// bestHost examines all hosts for the one to serve one more worker of a data hall; nil if none has
+// room.
 func (a *Assignments) bestHost(hall string, now clock.Time) *host {
 	var best *host
 	for _, h := range a.hosts {
@@ -212,7 +224,8 @@
 	return best
 }
 
-// before says that a host is to be chosen before another one for a worker of a data hall.
+// preferredOver reports whether a host is to be chosen rather than another one for a worker of a
+// data hall.
 func (h *host) before(other *host, hall string) bool {
 	if near := h.hall == hall; near != (other.hall == hall) {
 		return near
@@ -220,7 +233,7 @@
 	return cmp.Or(cmp.Compare(h.strength, other.strength), cmp.Compare(h.workers, other.workers), cmp.Compare(other.name, h.name)) > 0
 }
 
-// answered counts the orders in a row that had no result.
+// recordResult counts the consecutive orders without a result.
 func (w *assignment) answered(result bool, now clock.Time) {
 	if result {
 		w.misses = 0
@@ -231,7 +244,7 @@
 	}
 }
 
-// leave takes a worker from its host, which has room for another one then.
+// unassign removes a worker from its host, which then has room for another one.
 func (a *Assignments) leave(w *assignment) {
 	if w.host != nil {
 		w.host.workers--
--- a/pkg/relay/assignments_test.go
+++ b/pkg/relay/assignments_test.go
@@ -18,7 +18,8 @@
 	return dispatch.WorkerID(fmt.Sprintf("w%d", n))
 }
 
-// assigned returns assignments of some workers in hall "h", to hosts of a strength of 100 in that hall.
+// newTestAssignments returns assignments with a number of workers and hosts of strength 100, all in
+// hall "h".
 func assigned(workers int, hosts ...string) *Assignments {
 	a := NewAssignments(func(string) bool { return false }, 0)
 	for n := range workers {
@@ -55,11 +56,11 @@
 			a.PutHost("a", "g", 100, WorkersPerHost)
 			a.PutHost("b", "h", 20, WorkersPerHost)
 		}, "b"},
-		"a strong one": {func(a *Assignments) {
+		"the stronger one": {func(a *Assignments) {
 			a.PutHost("a", "h", 20, WorkersPerHost)
 			a.PutHost("b", "h", 100, WorkersPerHost)
 		}, "b"},
-		"one that serves others": {func(a *Assignments) {
+		"the one that serves more workers": {func(a *Assignments) {
 			a.PutHost("a", "h", 100, WorkersPerHost)
 			a.PutHost("b", "h", 100, WorkersPerHost)
 			a.hosts["b"].workers = 5
@@ -73,7 +74,7 @@
 			a.PutHost("b", "h", 100, WorkersPerHost)
 			a.PutHost("a", "h", 100, WorkersPerHost)
 		}, "a"},
-		"none that stops": {func(a *Assignments) {
+		"none that is stopping": {func(a *Assignments) {
 			a.Stopping = func(name string) bool { return name == "a" }
 			a.PutHost("a", "h", 100, WorkersPerHost)
 		}, ""},
@@ -116,7 +117,7 @@
 	a.PutHost("a", "h", 100, WorkersPerHost)
 	g.Expect(a.Assigned("w0", start)).To(BeEmpty())
 	_, changed := a.Assign("w0", start)
-	g.Expect(changed).To(BeTrue(), "orders that the former process has must be fenced")
+	g.Expect(changed).To(BeTrue(), "orders that the previous process still has must be fenced")
 }
 
 func TestOrdersWithoutAResultLeaveTheNextCallsToTheOwner(t *testing.T) {
@@ -128,7 +129,7 @@
 	a.Answered("w0", "a", true, start)
 	a.Answered("w0", "a", false, start)
 	name, _ := a.Assign("w0", start)
-	g.Expect(name).To(Equal("a"), "one in a row may be lost on its way")
+	g.Expect(name).To(Equal("a"), "a single order may be lost on the network")
 	a.Answered("w0", "a", false, start)
 	name, changed := a.Assign("w0", start)
 	g.Expect(name).To(BeEmpty())
@@ -176,8 +177,9 @@
 	g.Expect(name).To(Equal("a"))
 }
 
-// 120 workers on hosts of 2 Mbit/s: calls of the owner to all of them filled its link, so that they timed out, were made again over new connections, and
-// filled it further (12,969 new connections for 920 calls; 0.094 of the day's requests were served).
+// Guards against an owner that calls all 120 workers over its own link of 2 Mbit/s. The calls
+// filled the link and timed out, were made again over new connections, and so filled it further:
+// 920 calls took 12,969 new connections, and 0.094 of the requests of a day were served.
 func TestOwnerWithASmallLinkLeavesFewWorkersToItself(t *testing.T) {
 	g := NewWithT(t)
 	const mbps = 2
@@ -201,13 +203,14 @@
 
 func TestWorkersOnALink(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(WorkersOnLink(0)).To(BeNumerically(">", 1<<20), "not told")
+	g.Expect(WorkersOnLink(0)).To(BeNumerically(">", 1<<20), "unknown bandwidth")
 	g.Expect(WorkersOnLink(0.001)).To(Equal(1))
 	g.Expect(WorkersOnLink(2)).To(Equal(28))
 	g.Expect(WorkersOnLink(100)).To(BeNumerically(">", leastWorkers))
 }
 
-// However hosts and workers come and go, the host that is chosen is the one that a look at all hosts finds.
+// However hosts and workers come and go, the chosen host is the one that a search of all hosts
+// finds.
 func TestChosenHostIsTheBestOfAll(t *testing.T) {
 	g := NewWithT(t)
 	r := rand.New(rand.NewPCG(1, 0))
@@ -242,7 +245,7 @@
 	}
 }
 
-// BenchmarkAssignAll is a takeover: each worker is given a relay once.
+// BenchmarkAssignAll measures a takeover, which assigns every worker once.
 func BenchmarkAssignAll(b *testing.B) {
 	for _, size := range []struct{ workers, hosts int }{{1100, 147}, {6000, 588}, {12000, 1176}} {
 		b.Run(fmt.Sprintf("%d-%d", size.workers, size.hosts), func(b *testing.B) {
--- a/pkg/relay/batch.go
+++ b/pkg/relay/batcher.go
@@ -9,17 +9,18 @@
 )
 
 const (
-	// batchPause is how long items are collected before they are sent together. Each message costs both sides
-	// system calls and wake-ups: of 12 relays for 1,100 workers each has about 250 orders a second, so that a
-	// message holds two or three. A start waits 5 ms more in the mean, and its answer as long again.
+	// batchDelay is how long items are collected before they are sent in one message. Each message
+	// costs both sides system calls and wake-ups: each of 12 relays for 1,100 workers has about 250
+	// orders a second, so that a message holds two or three. On average a start takes 5 ms longer,
+	// and so does its answer.
 	batchPause = 10 * time.Millisecond
-	// batchSize bounds the items that wait.
+	// maxBatchItems limits the number of items that wait to be sent.
 	batchSize = 4096
 )
 
-// batch collects items and sends those of a short time together.
+// batcher collects items for batchDelay and sends them together.
 type batch[T any] struct {
-	signal chan struct{} // of size 1: there are items
+	signal chan struct{} // of capacity 1; signals that there are items
 
 	mu    sync.Mutex
 	items []T
@@ -29,7 +30,7 @@
 	return &batch[T]{signal: make(chan struct{}, 1)}
 }
 
-// put adds an item; it says whether there was room.
+// add queues an item and reports whether there was room for it.
 func (b *batch[T]) put(item T) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -46,7 +47,7 @@
 	return true
 }
 
-// run sends what is collected until ctx ends.
+// run sends the collected items until ctx ends.
 func (b *batch[T]) run(ctx context.Context, send func([]T)) {
 	for {
 		select {
--- a/pkg/relay/client.go
+++ b/pkg/relay/client.go
@@ -12,18 +12,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// transit is how much longer an order may take over a relay than the call itself: twice a batch, and the
-// queues of two processes that are busy. An owner that is behind must not take results for lost that wait for
-// its own attention: it would make the calls itself and be further behind. A relay that is cut or frozen is
-// found out by its stream, after 0.9 s.
+// relayAllowance is how much longer an order may take over a relay than the call itself: the delays
+// of two batches, and the queues of two busy processes. An owner that is overloaded must not count
+// results as lost that wait for its own processing, since it would make the calls itself and be
+// overloaded further. A relay that is cut off or frozen is detected by its stream, after 0.9 s.
 const transit = 500 * time.Millisecond
 
-// ErrNoResult says that an order has no result: its outcome is unknown.
+// ErrNoResult means that no result of an order arrived, so its outcome is unknown.
 var ErrNoResult = errors.New("no result from the relay")
 
 // Client is the owner's side of one relay. It is safe for concurrent use.
 type Client struct {
-	timeout time.Duration // of a call without waiting
+	timeout time.Duration // of a call, without the time that a hold waits at the worker
 	orders  *batch[*poolpb.Order]
 
 	mu      sync.Mutex
@@ -32,13 +32,14 @@
 	closed  bool
 }
 
-// NewClient returns a client whose calls take up to timeout at the relay, beyond their waiting.
+// NewClient returns a client whose calls may take up to timeout at the relay, in addition to the
+// time for which a hold asks the worker to wait.
 func NewClient(timeout time.Duration) *Client {
 	return &Client{timeout: timeout, orders: newBatch[*poolpb.Order](), waiting: map[int64]chan *poolpb.Result{}}
 }
 
-// Run sends orders until ctx ends; those without a result then have none. send says whether the
-// message was put on its way.
+// Run sends orders until ctx ends; after that, the orders still without a result fail with
+// ErrNoResult. send reports whether it accepted the message for sending.
 func (c *Client) Run(ctx context.Context, send func(*poolpb.OwnerMessage) bool) {
 	c.orders.run(ctx, func(orders []*poolpb.Order) {
 		msg := &poolpb.OwnerMessage{Content: &poolpb.OwnerMessage_Orders{Orders: pack(orders)}}
@@ -49,14 +50,14 @@
 	c.close()
 }
 
-// failAll ends orders that were not put on their way.
+// failUnsent ends orders that were not sent.
 func (c *Client) failAll(orders []*poolpb.Order) {
 	for _, o := range orders {
 		c.deliver(&poolpb.Result{Number: o.Number, Failed: true, NotSent: true})
 	}
 }
 
-// Take takes in results of the relay.
+// HandleResults processes a message of results from the relay.
 func (c *Client) Take(r *poolpb.Results) {
 	for _, result := range r.Results {
 		c.deliver(result)
@@ -82,26 +83,28 @@
 	}
 }
 
-// Start has the relay have a worker start a task. Errors are those of platform.Workers, or ErrNoResult.
+// Start sends a start order through the relay. Its errors are those of platform.Workers, and
+// ErrNoResult.
 func (c *Client) Start(ctx context.Context, o platform.StartOrder) (dispatch.Answer, error) {
 	order := orderOf(poolpb.Order_START, o.Order, o.Task, o.Run)
 	order.Spec, order.Checkpoint, order.Ticket, order.Deadline = o.Spec, o.Checkpoint, o.Ticket, o.Deadline
 	return c.answer(ctx, order, c.timeout)
 }
 
-// Stop has the relay have a worker stop a run.
+// Stop sends an order to stop a run through the relay.
 func (c *Client) Stop(ctx context.Context, o platform.Order, task job.TaskID, run int) (dispatch.Answer, error) {
 	return c.answer(ctx, orderOf(poolpb.Order_STOP, o, task, run), c.timeout)
 }
 
-// Pace has the relay have a worker set a task to work at a share of its speed, in percent.
+// Pace sends an order through the relay to run a task at a percentage of its full speed.
 func (c *Client) Pace(ctx context.Context, o platform.Order, task job.TaskID, run, percent int) (dispatch.Answer, error) {
 	order := orderOf(poolpb.Order_PACE, o, task, run)
 	order.Percent = int64(percent)
 	return c.answer(ctx, order, c.timeout)
 }
 
-// Hold has the relay extend what runs on a worker and returns what runs there and what has ended.
+// Hold sends an order through the relay that extends the leases of the runs on a worker. It returns
+// the runs on the worker and those that have ended.
 func (c *Client) Hold(ctx context.Context, o platform.HoldOrder) (dispatch.Answer, dispatch.Report, error) {
 	order := &poolpb.Order{
 		Kind: poolpb.Order_HOLD, Worker: string(o.Worker), Address: o.Address.String(), Token: o.Token, Deadline: o.Deadline,
@@ -123,7 +126,8 @@
 	return answerOf(r), nil
 }
 
-// exchange hands an order over and waits for its result, up to transit beyond the limit of the call.
+// exchange queues an order and waits for its result, up to relayAllowance beyond the time limit of
+// the call.
 func (c *Client) exchange(ctx context.Context, o *poolpb.Order, limit time.Duration) (*poolpb.Result, error) {
 	ch, ok := c.enter(o)
 	if !ok {
@@ -151,7 +155,7 @@
 	return nil, ErrNoResult
 }
 
-// enter numbers an order and queues it; ok is false when it will not be sent.
+// enqueue numbers an order and queues it; ok is false if it will not be sent.
 func (c *Client) enter(o *poolpb.Order) (ch chan *poolpb.Result, ok bool) {
 	ch = make(chan *poolpb.Result, 1)
 	c.mu.Lock()
--- a/pkg/relay/doc.go
+++ b/pkg/relay/doc.go
@@ -1,31 +1,34 @@
-// Package relay has entry hosts make the owner's calls to workers.
+// Package relay lets other entry hosts make the calls to workers on behalf of the owner of a pool.
 //
-// An owner of hundreds of workers spends most of its processor on HTTP with them: a connection or two for
-// each, a waiting call that renews leases, and a call for each start. Other entry hosts can make these calls
-// for it. A Client at the owner puts orders of some milliseconds (batchPause) together into one message for one host; the
-// Server there makes each call once and sends the results back in the same way.
+// The owner of a pool of hundreds of workers spends most of its processor time on HTTP with them:
+// one or two connections to each, a long-polling call (hold) that renews leases, and a call for
+// each start. Other entry hosts, the relays, can make these calls for it. Each call is described
+// by an order: start, stop, pace or hold. A Client at the owner collects orders for a few
+// milliseconds (batchDelay) and sends them to one host in one message; the Server at that host
+// makes each call once and returns the results in the same way.
 //
-// A relay decides nothing. Fencing tokens, deadlines by the worker's clock and what is noted come
-// from the owner with each order. So a relay is a part of the network between owner and worker: an order that
-// it loses, delays, or carries out seconds later is like a call that the network loses or delays, and what
-// holds for those (package dispatch) holds for it. An order is made once at most, and one without a result
-// has an unknown outcome.
+// A relay decides nothing. All contents of an order, such as the fencing token and the deadline on
+// the worker's clock, come from the owner. So a relay is a part of the network between owner and
+// worker: an order that it loses, delays, or carries out seconds later is like a call that the
+// network loses or delays, and package dispatch handles both in the same way. An order is carried
+// out at most once, and the outcome of an order without a result is unknown.
 //
-// A worker belongs to one relay at a time (Assignments). When that changes, the owner raises the worker's token
-// with its next hold, so that orders that the former relay still has are void.
+// A worker is assigned to one relay at a time (Assignments). When the assignment changes, the
+// owner raises the worker's fencing token with its next hold, which makes the orders void that the
+// previous relay has not carried out yet.
 //
 // # Usage
 //
 // At the owner:
 //
 //	c := relay.NewClient(timeout)
-//	go c.Run(ctx, session.Send)   // until the host's stream ends
-//	c.Take(results)               // for each message of results
+//	go c.Run(ctx, session.Send)   // until the stream to the host ends
+//	c.HandleResults(results)      // for each message of results
 //	answer, report, err := c.Hold(ctx, order)
 //
 // At the other host:
 //
-//	s := relay.NewServer(workers)
+//	s := relay.NewServer(relay.DirectCalls(workers))
 //	go s.Run(ctx, member.Send)
-//	s.Take(ctx, orders)           // for each message of orders
+//	s.HandleOrders(ctx, orders)   // for each message of orders
 package relay
--- a/pkg/relay/messages.go
+++ b/pkg/relay/messages.go
@@ -16,11 +16,11 @@
 	}
 }
 
-// addresseeOf tells to which worker an order goes, with the authority of the owner.
+// parseTarget returns the worker to which an order goes, with the fencing token.
 func addresseeOf(o *poolpb.Order) (platform.Order, error) {
 	address, err := netip.ParseAddrPort(o.Address)
 	if err != nil {
-		return platform.Order{}, errors.Wrap(err, "order")
+		return platform.Order{}, errors.Wrap(err, "parse worker address of an order")
 	}
 	return platform.Order{Worker: dispatch.WorkerID(o.Worker), Address: address, Token: o.Token}, nil
 }
@@ -48,21 +48,22 @@
 	for _, a := range r.Active {
 		row := dispatch.Active{Run: int(a.Run), Checkpoint: a.Checkpoint, Percent: int(a.Percent), Load: int(a.Load)}
 		if row.Task, err = job.ParseTaskID(a.Task); err != nil {
-			return dispatch.Report{}, errors.Wrap(err, "active run")
+			return dispatch.Report{}, errors.Wrap(err, "parse task id of an active run")
 		}
 		report.Active = append(report.Active, row)
 	}
 	for _, f := range r.Finished {
 		row := dispatch.Finished{Number: f.Number, Run: int(f.Run), How: dispatch.End(f.How), Checkpoint: f.Checkpoint}
 		if row.Task, err = job.ParseTaskID(f.Task); err != nil {
-			return dispatch.Report{}, errors.Wrap(err, "ended run")
+			return dispatch.Report{}, errors.Wrap(err, "parse task id of an ended run")
 		}
 		report.Finished = append(report.Finished, row)
 	}
 	return report, nil
 }
 
-// pack puts orders into one message. The starts of a step carry the same spec, which may be most of their bytes, so each stands there once.
+// packOrders puts orders into one message. The starts of a step carry the same spec, which may be
+// most of their bytes, so the message holds each spec once.
 func pack(orders []*poolpb.Order) *poolpb.Orders {
 	out := &poolpb.Orders{Orders: orders}
 	numbers := map[string]int64{}
@@ -79,7 +80,7 @@
 	return out
 }
 
-// specOf is the spec of an order in a message; ok is false when the message lacks it.
+// specOf returns the spec of an order in a message; ok is false if the message does not hold it.
 func specOf(m *poolpb.Orders, o *poolpb.Order) (spec string, ok bool) {
 	switch n := o.SpecNumber; {
 	case n == 0:
--- a/pkg/relay/messages_test.go
+++ b/pkg/relay/messages_test.go
@@ -9,7 +9,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Twenty-four starts of a step with a spec of 1 KB went to a relay as 24 KB: two thirds of what an owner sent on a link of 2 Mbit/s.
+// Guards against sending the spec with every start of a step: 24 starts with a spec of 1 KB took 24
+// KB, two thirds of what an owner sent on a link of 2 Mbit/s.
 func TestStartsOfAStepCarryTheirSpecOnce(t *testing.T) {
 	g := NewWithT(t)
 	spec, other := strings.Repeat("s", 1000), strings.Repeat("t", 1000)
@@ -40,7 +41,7 @@
 		_, ok := specOf(&poolpb.Orders{Specs: []string{"s"}}, &poolpb.Order{SpecNumber: n})
 		g.Expect(ok).To(BeFalse())
 	}
-	spec, ok := specOf(&poolpb.Orders{}, &poolpb.Order{Spec: "of a host of before"})
+	spec, ok := specOf(&poolpb.Orders{}, &poolpb.Order{Spec: "from an earlier version"})
 	g.Expect(ok).To(BeTrue())
-	g.Expect(spec).To(Equal("of a host of before"))
+	g.Expect(spec).To(Equal("from an earlier version"))
 }
--- a/pkg/relay/relay_test.go
+++ b/pkg/relay/relay_test.go
@@ -17,7 +17,7 @@
 
 const testTimeout = 100 * time.Millisecond
 
-// loop is a client and a server that send each other their messages.
+// loopback is a client and a server that pass their messages to each other.
 type loop struct {
 	*WithT
 	client *Client
@@ -25,7 +25,7 @@
 
 	mu       sync.Mutex
 	messages int  // of orders
-	lose     bool // results don't arrive
+	lose     bool // results are lost
 }
 
 func newLoop(t *testing.T, calls Calls) *loop {
@@ -137,7 +137,7 @@
 	}()
 	<-sent
 	cancel()
-	g.Expect(errors.Is(<-answered, ErrNoResult)).To(BeTrue(), "one on its way may have been carried out")
+	g.Expect(errors.Is(<-answered, ErrNoResult)).To(BeTrue(), "an order under way may have been carried out")
 	<-ended
 	_, err := c.Stop(t.Context(), testOrder(), testTask(), 1)
 	g.Expect(errors.Is(err, dispatch.ErrNotSent)).To(BeTrue())
--- a/pkg/relay/server.go
+++ b/pkg/relay/server.go
@@ -11,11 +11,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// callsAtOnce bounds the calls that a relay has on its hands: a waiting hold and two orders for each of its
-// workers (WorkersPerHost) at most.
+// maxConcurrentCalls limits the calls that a relay makes at a time: for each of its workers
+// (MaxWorkersPerRelay) one hold, which waits at the worker, and two other orders.
 const callsAtOnce = 3 * WorkersPerHost
 
-// Calls are the calls to workers that a server makes, as those of platform.Workers.
+// WorkerCalls are the calls to workers, as platform.Workers makes them.
 type Calls struct {
 	Start func(ctx context.Context, o platform.StartOrder) (dispatch.Answer, error)
 	Stop  func(ctx context.Context, o platform.Order, task job.TaskID, run int) (dispatch.Answer, error)
@@ -23,34 +23,35 @@
 	Hold  func(ctx context.Context, o platform.HoldOrder) (dispatch.Answer, dispatch.Report, error)
 }
 
-// DirectCalls makes calls to workers from this host.
+// DirectCalls returns calls that this host makes itself.
 func DirectCalls(w *platform.Workers) Calls {
 	return Calls{Start: w.Start, Stop: w.Stop, Pace: w.Pace, Hold: w.Hold}
 }
 
-// Server is a relay: it makes calls for an owner. It is safe for concurrent use.
+// Server is the relay's side: it makes calls to workers for an owner. It is safe for concurrent
+// use.
 type Server struct {
 	calls   Calls
 	results *batch[*poolpb.Result]
-	slots   chan struct{} // one for each call on its way
+	slots   chan struct{} // one for each call under way
 }
 
-// NewServer returns a relay.
+// NewServer returns a server that makes the given calls.
 func NewServer(calls Calls) *Server {
 	return &Server{calls: calls, results: newBatch[*poolpb.Result](), slots: make(chan struct{}, callsAtOnce)}
 }
 
-// Run sends results until ctx ends. Results that are left then are lost; their orders have unknown
-// outcomes for the owner, too, since its stream has ended.
+// Run sends results until ctx ends. Results not sent by then are lost. The owner's stream has then
+// ended too, so it treats the outcomes of their orders as unknown.
 func (s *Server) Run(ctx context.Context, send func(*poolpb.MemberMessage) bool) {
 	s.results.run(ctx, func(results []*poolpb.Result) {
 		send(&poolpb.MemberMessage{Content: &poolpb.MemberMessage_Results{Results: &poolpb.Results{Results: results}}})
 	})
 }
 
-// Take makes the calls of orders, each in a goroutine of its own. Orders beyond what the relay can
-// bear are given back as not sent. When ctx ends, calls that have begun go on, so that their connections
-// stay usable.
+// HandleOrders carries out a message of orders, each in a goroutine of its own. It returns orders
+// beyond maxConcurrentCalls as not sent. Calls under way when ctx ends go on, so that their
+// connections stay usable.
 func (s *Server) Take(ctx context.Context, orders *poolpb.Orders) {
 	for _, o := range orders.Orders {
 		spec, ok := specOf(orders, o)
@@ -85,15 +86,15 @@
 	return result
 }
 
-// call makes the call of an order; that of a hold puts the report into the result.
+// call makes the call of an order. For a hold it puts the report into the result.
 func (s *Server) call(ctx context.Context, o *poolpb.Order, result *poolpb.Result) (dispatch.Answer, error) {
-	to, err := addresseeOf(o)
+	target, err := addresseeOf(o)
 	if err != nil {
 		return dispatch.Answer{}, errors.Mark(err, dispatch.ErrNotSent)
 	}
 	if o.Kind == poolpb.Order_HOLD {
 		a, report, err := s.calls.Hold(ctx, platform.HoldOrder{
-			Order: to, LastSeen: o.LastSeen, Deadline: o.Deadline, Wait: time.Duration(o.WaitMs) * time.Millisecond,
+			Order: target, LastSeen: o.LastSeen, Deadline: o.Deadline, Wait: time.Duration(o.WaitMs) * time.Millisecond,
 			Patience: time.Duration(o.PatienceMs) * time.Millisecond,
 		})
 		putReport(result, report)
@@ -106,12 +107,12 @@
 	switch o.Kind {
 	case poolpb.Order_START:
 		return s.calls.Start(ctx, platform.StartOrder{
-			Order: to, Task: task, Run: int(o.Run), Spec: o.Spec, Checkpoint: o.Checkpoint, Ticket: o.Ticket, Deadline: o.Deadline,
+			Order: target, Task: task, Run: int(o.Run), Spec: o.Spec, Checkpoint: o.Checkpoint, Ticket: o.Ticket, Deadline: o.Deadline,
 		})
 	case poolpb.Order_STOP:
-		return s.calls.Stop(ctx, to, task, int(o.Run))
+		return s.calls.Stop(ctx, target, task, int(o.Run))
 	case poolpb.Order_PACE:
-		return s.calls.Pace(ctx, to, task, int(o.Run), int(o.Percent))
+		return s.calls.Pace(ctx, target, task, int(o.Run), int(o.Percent))
 	}
-	return dispatch.Answer{}, errors.Mark(errors.Newf("order of kind %d", o.Kind), dispatch.ErrNotSent)
+	return dispatch.Answer{}, errors.Mark(errors.Newf("unknown order kind %d", o.Kind), dispatch.ErrNotSent)
 }
