--- a/pkg/keys/doc.go
+++ b/pkg/keys/doc.go
@@ -1,25 +1,27 @@
-// Package keys is the memory by which the owner of a shard keeps a request from running
-// more than once. All copies of a key meet at the key's home shard (cell.Layout.Home), so
-// one memory, in one process, decides.
+// Package keys implements the idempotency-key table with which the owner of a shard keeps
+// a request from running more than once. Every request with a given key is routed to the
+// key's home shard (cell.Layout.Home), so one table, in one process, decides about it.
 //
-// The memory is not kept anywhere else. An owner that took a shard over can't know what
-// its forerunner sent, so a key that may have been used before the takeover is answered
-// "outcome unknown", or "in progress" while a repeatable request may still be running,
-// and is not run again. Whether it may have been used before is told by the time at which
-// the caller made the key; a caller that gives no time gets "unknown" for a first use
-// until the window after the takeover is over. The caller's clock needs no trust: the
-// former owner refused keys from its future, so only the clocks of the entry hosts must
-// agree, within MaxSkew.
+// The table is held in memory only and is not replicated. A new owner can't know which
+// requests the previous owner sent. A request whose key may have been used before the
+// takeover is therefore not run again: it gets "outcome unknown" or, while a repeatable
+// request may still be running, "in progress". Whether the key can have been used before
+// is decided from the time at which the caller issued it. A key without an issue time
+// counts as possibly used: for a request that is not repeatable until the window after
+// the takeover has passed, for a repeatable one until its time limit has passed.
 //
-// The package is pure: time comes in as arguments.
+// The caller's clock does not have to be right. The previous owner refused keys issued in
+// its future, so only the clocks of the entry hosts must agree, to within MaxSkew.
+//
+// The package has no clock and does no I/O: the time is an argument.
 //
 // # Usage
 //
-//	m := keys.New(keys.Config{Window: 2 * time.Minute, …}, takenOver)
-//	switch v := m.Begin(use, now); v.Kind {
+//	t := keys.New(keys.Config{Window: 2 * time.Minute, …}, takeoverTime)
+//	switch v := t.Begin(req, now); v.Kind {
 //	case keys.Fresh:
-//		// run it, then m.Finish(use.Key, answer, now) or m.Forget(use.Key) when it did not run
+//		// run it, then t.Finish(req.Key, answer), or t.Abort(req.Key) when it did not run
 //	case keys.Answered:
-//		// give v.Answer again
+//		// return v.Answer
 //	}
 package keys
