--- a/pkg/placement/choose.go
+++ b/pkg/placement/choose.go
@@ -5,17 +5,19 @@
 	"foldarch.dev/foldarch/pkg/settings"
 )
 
-// enoughCandidates is how many workers that fit are compared before the best is taken.
+// maxPackCandidates is how many suitable workers policy pack compares before it takes the best.
 const enoughCandidates = 24
 
-// enoughSpread is the same for policy spread, which needs to see several racks.
+// maxSpreadCandidates is the same for policy spread; it is higher because several racks
+// must be among the candidates.
 const enoughSpread = 64
 
-// acceleratorPenalty makes a task without accelerators the last choice for a worker that
-// still has some free.
+// acceleratorPenalty is added to the pack score of a worker with free accelerators when
+// the task needs none, so that such a worker is chosen last: other scores are 2 at most.
 const acceleratorPenalty = 4.0
 
-// choose returns the best worker for a task, or nil, and how many it looked at.
+// chooseWorker returns the best worker for a task, or nil when none is suitable, and how
+// many workers were examined.
 func (p *Placer) choose(t *Task) (*worker, int) {
 	if t.Policy == settings.PolicySpread {
 		return p.chooseSpread(t)
@@ -23,7 +25,7 @@
 	return p.choosePack(t)
 }
 
-// fits says whether a worker can take a task now.
+// fits says whether the worker can take the task now.
 func (w *worker) fits(t *Task) bool {
 	if w.closed || (w.reserved != "" && w.reserved != t.ID) || !t.Resources.Fits(w.free()) {
 		return false
@@ -32,7 +34,7 @@
 	return ok
 }
 
-// choosePack looks from the fullest workers up.
+// choosePack examines the workers in ascending order of free processors.
 func (p *Placer) choosePack(t *Task) (*worker, int) {
 	var best *worker
 	var bestScore float64
@@ -55,8 +57,10 @@
 	return best, examined
 }
 
-// packScore is lower for a better worker: little is left, and what is left of processors
-// and memory is left in like parts, so that neither is stranded.
+// packScore rates a worker for a task under policy pack; the lowest score wins. A worker
+// scores low when few resources are left free on it after the task is placed, and when
+// processors and memory are left free in equal proportion: free memory is of no use
+// without free processors, and the reverse.
 func packScore(w *worker, t *Task) float64 {
 	left := w.free().Sub(t.Resources)
 	cpu := part(left.CPUMillis, w.Capacity.CPUMillis)
@@ -69,15 +73,16 @@
 	return score
 }
 
-func part(left, whole int64) float64 {
-	if whole == 0 {
+func part(left, total int64) float64 {
+	if total == 0 {
 		return 0
 	}
-	return float64(left) / float64(whole)
+	return float64(left) / float64(total)
 }
 
-// chooseSpread looks from the emptiest workers down, each time from another one on, so
-// that in a large shard all racks come into view in turn.
+// chooseSpread examines the workers in descending order of free processors. Within a
+// bucket each call starts at another worker, so that in a large shard all racks are
+// considered over time.
 func (p *Placer) chooseSpread(t *Task) (*worker, int) {
 	p.rotor += enoughSpread
 	spread := p.spreads[t.Workload]
@@ -109,6 +114,8 @@
 	workers map[string]int
 }
 
+// prefers says whether a is a better choice than b under policy spread: fewer tasks of the
+// workload on its rack, then on the worker itself, then the lower utilization.
 func (s *spreadCount) better(a, b *worker) bool {
 	if s != nil {
 		if x, y := s.racks[a.Site.Rack], s.racks[b.Site.Rack]; x != y {
@@ -125,22 +132,23 @@
 	return a.ID < b.ID
 }
 
-func (p *Placer) countSpread(t *Task, w *worker, by int) {
+// updateSpread adds delta to the number of tasks of t's workload on w and on w's rack.
+func (p *Placer) countSpread(t *Task, w *worker, delta int) {
 	s, ok := p.spreads[t.Workload]
 	if !ok {
 		s = &spreadCount{racks: map[string]int{}, workers: map[string]int{}}
 		p.spreads[t.Workload] = s
 	}
-	s.racks[w.Site.Rack] += by
-	s.workers[w.ID] += by
+	s.racks[w.Site.Rack] += delta
+	s.workers[w.ID] += delta
 	if s.workers[w.ID] == 0 {
 		delete(s.workers, w.ID)
 	}
 }
 
-// total is what all workers of the shard have.
-func (p *Placer) addTotal(r cell.Resources, by int64) {
+// adjustTotal adds r, multiplied by sign, to the total capacity of the shard's workers.
+func (p *Placer) addTotal(r cell.Resources, sign int64) {
 	p.total = p.total.Add(cell.Resources{
-		CPUMillis: r.CPUMillis * by, MemoryMB: r.MemoryMB * by, Accelerators: r.Accelerators * by,
+		CPUMillis: r.CPUMillis * sign, MemoryMB: r.MemoryMB * sign, Accelerators: r.Accelerators * sign,
 	})
 }
--- a/pkg/placement/index.go
+++ b/pkg/placement/index.go
@@ -1,13 +1,12 @@
 package placement
 
-// The index keeps workers in buckets by free processors, so that the search for a task
-// begins where it just fits (pack) or where most is free (spread).
-
 const (
-	bucketMillis = 500
-	nBuckets     = 130 // up to 64 processors free; more share the last bucket
+	bucketMillis = 500 // free CPU millis that one bucket spans
+	nBuckets     = 130 // up to 64.5 processors free; workers with more share the last bucket
 )
 
+// index holds the workers in buckets by free processors, so that the search for a worker
+// can begin where a task just fits (pack) or where the most processors are free (spread).
 type index struct {
 	buckets [nBuckets][]*worker
 }
@@ -30,7 +29,7 @@
 	x.buckets[w.bucket] = b[:len(b)-1]
 }
 
-// update moves a worker after its free processors have changed.
+// update moves a worker to another bucket if a change of its free processors requires it.
 func (x *index) update(w *worker) {
 	if bucketOf(w.free().CPUMillis) != w.bucket {
 		x.remove(w)
--- a/pkg/placement/model.go
+++ b/pkg/placement/model.go
@@ -8,15 +8,15 @@
 	"foldarch.dev/foldarch/pkg/settings"
 )
 
-// Config holds the times of the policy.
+// Config holds the waiting times that change how a task is treated.
 type Config struct {
-	// AgeStep is the wait that moves a task up by one class.
+	// AgeStep is the waiting time after which a task moves up by one class.
 	AgeStep time.Duration
-	// ReserveAfter is the wait after which a worker is kept free for a task.
+	// ReserveAfter is the waiting time after which a worker is reserved for a task.
 	ReserveAfter time.Duration
 }
 
-// DefaultConfig is used by the owners.
+// DefaultConfig is the configuration of production owners.
 var DefaultConfig = Config{AgeStep: 10 * time.Minute, ReserveAfter: 20 * time.Second}
 
 // Worker is one host that runs tasks.
@@ -26,7 +26,7 @@
 	Capacity cell.Resources
 }
 
-// Task is one thing to place.
+// Task is a task to be placed on a worker.
 type Task struct {
 	ID         string
 	Workload   string
@@ -35,13 +35,13 @@
 	Policy     settings.Policy
 	Resources  cell.Resources
 	Place      settings.Place
-	Deadline   clock.Time // of a batch request's window; 0 for none
+	Deadline   clock.Time // when a batch request's window ends; 0 for none
 	Repeatable bool
-	// Since is when the task began to wait.
+	// Since is when the task began to wait; Submit sets it when it is 0.
 	Since clock.Time
 }
 
-// Kind says what was decided.
+// Kind is the kind of a decision.
 type Kind int
 
 // The kinds of decision.
@@ -50,29 +50,29 @@
 	Preempt             // stop the task on the worker to make room for an urgent one
 )
 
-// Decision is one placement.
+// Decision tells the owner to start or to stop one task.
 type Decision struct {
 	Kind   Kind
 	Task   Task
 	Worker string
-	// For is the urgent task that a preempted one makes room for.
+	// For is the urgent task for which a task is preempted.
 	For string
-	// Examined is how many workers were looked at.
+	// Examined is how many workers were examined for a start.
 	Examined int
 }
 
-// worker is a Worker with what was given to it.
+// worker is a Worker with the tasks that are placed on it.
 type worker struct {
 	Worker
 	used     cell.Resources
 	tasks    map[string]*placed
 	closed   bool   // takes no new tasks
-	reserved string // the task that it is kept free for
-	bucket   int
-	at       int // position in the bucket
+	reserved string // the task for which the worker is reserved, or empty
+	bucket   int    // its bucket in the index
+	at       int    // its position in the bucket
 }
 
-// placed is a task on a worker.
+// placedTask is a task that is placed on a worker.
 type placed struct {
 	Task
 	worker    *worker
--- a/pkg/placement/placer.go
+++ b/pkg/placement/placer.go
@@ -11,10 +11,10 @@
 	"foldarch.dev/foldarch/pkg/settings"
 )
 
-// ageEvery is how often waiting tasks are looked through for their age.
+// agingInterval is how often the waiting tasks are checked for promotion to a higher class.
 const ageEvery = time.Second
 
-// Placer decides for the workers of one shard.
+// Placer assigns tasks to the workers of one shard.
 type Placer struct {
 	cfg     Config
 	workers map[string]*worker
@@ -25,10 +25,10 @@
 	spreads map[string]*spreadCount
 	usage   map[string]cell.Resources // by team
 	quotas  map[string]cell.Resources // by team, this shard's part
-	aged    clock.Time
-	// reserved holds the workers that are kept free, by the task they are kept for.
+	aged    clock.Time                // when waiting tasks were last checked for promotion
+	// reserved holds the reserved workers, by the id of the task that they are reserved for.
 	reserved map[string]*worker
-	// rotor moves the begin of the search of policy spread on.
+	// spreadOffset is where policy spread begins its search in each bucket.
 	rotor int
 }
 
@@ -41,12 +41,12 @@
 	}
 }
 
-// SetQuotas sets this shard's part of the teams' quotas.
+// SetQuotas sets this shard's part of each team's quota.
 func (p *Placer) SetQuotas(quotas map[string]cell.Resources) {
 	p.quotas = quotas
 }
 
-// PutWorker adds a worker or changes what is known of it.
+// PutWorker adds a worker or updates its site and capacity.
 func (p *Placer) PutWorker(w Worker) {
 	if known, ok := p.workers[w.ID]; ok {
 		p.addTotal(known.Capacity, -1)
@@ -61,14 +61,14 @@
 	p.index.add(added)
 }
 
-// CloseWorker says whether a worker takes new tasks.
+// CloseWorker sets whether a worker is closed to new tasks.
 func (p *Placer) CloseWorker(id string, closed bool) {
 	if w, ok := p.workers[id]; ok {
 		w.closed = closed
 	}
 }
 
-// RemoveWorker takes a worker away and returns the tasks that it held.
+// RemoveWorker removes a worker and returns the tasks that were placed on it.
 func (p *Placer) RemoveWorker(id string) []Task {
 	w, ok := p.workers[id]
 	if !ok {
@@ -86,7 +86,7 @@
 	return lost
 }
 
-// Submit lets a task wait for a place. A task that waits or is placed already is left.
+// Submit puts a task into the queue. It does nothing for a task that already waits or is placed.
 func (p *Placer) Submit(t Task, now clock.Time) {
 	if _, ok := p.placed[t.ID]; ok {
 		return
@@ -97,7 +97,7 @@
 	p.waiting.add(&t)
 }
 
-// Withdraw takes a waiting task back, and says whether it was waiting.
+// Withdraw removes a task from the queue and says whether it was waiting there.
 func (p *Placer) Withdraw(id string) bool {
 	_, ok := p.waiting.remove(id)
 	if ok {
@@ -106,8 +106,9 @@
 	return ok
 }
 
-// Found records a task that a worker runs, as a new owner learns it. It counts against
-// the worker even when it does not fit, and no longer waits.
+// AddRunning records a task that a worker was found to run, as a new owner learns it from
+// the worker's report. The task leaves the queue, and its resources count as used even
+// when they exceed the worker's capacity.
 func (p *Placer) Found(t Task, workerID string) {
 	w, ok := p.workers[workerID]
 	if _, known := p.placed[t.ID]; known || !ok {
@@ -117,7 +118,7 @@
 	p.put(t, w)
 }
 
-// End records that a task has ended, or certainly did not start.
+// End removes a placed task that has ended, or that certainly did not start.
 func (p *Placer) End(id string) {
 	t, ok := p.placed[id]
 	if !ok {
@@ -133,80 +134,83 @@
 }
 
 func (p *Placer) put(t Task, w *worker) {
-	pl := &placed{Task: t, worker: w}
-	p.placed[t.ID] = pl
-	w.tasks[t.ID] = pl
+	assigned := &placed{Task: t, worker: w}
+	p.placed[t.ID] = assigned
+	w.tasks[t.ID] = assigned
 	w.used = w.used.Add(t.Resources)
 	p.index.update(w)
 	p.usage[t.Team] = p.usage[t.Team].Add(t.Resources)
 	p.countSpread(&t, w, 1)
 }
 
-// Next decides up to most placements that can be made now.
-func (p *Placer) Next(now clock.Time, most int) []Decision {
+// Next returns decisions that can be carried out now. It examines no further tasks once
+// it has limit decisions; the last task may add several preemptions beyond the limit.
+func (p *Placer) Next(now clock.Time, limit int) []Decision {
 	if now.Sub(p.aged) >= ageEvery {
 		p.waiting.age(now, p.cfg)
 		p.aged = now
 	}
 	var out []Decision
 	for rank := range nRanks {
-		out = p.nextOfRank(rank, now, most, out)
+		out = p.nextOfRank(rank, now, limit, out)
 	}
 	return out
 }
 
-// turn is one team's place in the order within a class.
+// teamCursor is the position in one team's waiting tasks of a class.
 type turn struct {
 	team  string
-	share float64
-	next  int // index of its next task
+	share float64 // dominant share of the team's placed tasks
+	next  int     // index of its next task
 }
 
-// nextOfRank gives the teams their turns: each time the one with the least share.
-func (p *Placer) nextOfRank(rank int, now clock.Time, most int, out []Decision) []Decision {
+// placeRank places the waiting tasks of one class. Each step takes the next task of the
+// team with the lowest dominant share.
+func (p *Placer) nextOfRank(rank int, now clock.Time, limit int, out []Decision) []Decision {
 	teams := p.waiting.ranks[rank]
-	turns := make([]*turn, 0, len(teams))
+	cursors := make([]*turn, 0, len(teams))
 	for team := range teams {
-		turns = append(turns, &turn{team: team, share: p.share(team)})
+		cursors = append(cursors, &turn{team: team, share: p.share(team)})
 	}
-	misses := newMisses()
-	for len(out) < most && len(turns) > 0 {
-		t := slices.MinFunc(turns, func(a, b *turn) int {
+	failed := newMisses()
+	for len(out) < limit && len(cursors) > 0 {
+		c := slices.MinFunc(cursors, func(a, b *turn) int {
 			return cmp.Or(cmp.Compare(a.share, b.share), cmp.Compare(a.team, b.team))
 		})
-		list := teams[t.team]
-		if t.next >= len(list) {
-			turns = slices.DeleteFunc(turns, func(x *turn) bool { return x == t })
+		list := teams[c.team]
+		if c.next >= len(list) {
+			cursors = slices.DeleteFunc(cursors, func(x *turn) bool { return x == c })
 			continue
 		}
-		task := list[t.next]
-		decisions := p.try(task, rank, now, misses, len(turns) > 1)
+		task := list[c.next]
+		decisions := p.try(task, rank, now, failed, len(cursors) > 1)
 		started := len(decisions) > 0 && decisions[0].Kind == Start
 		if !started {
-			t.next++
+			c.next++
 		}
-		t.share = p.share(t.team)
+		c.share = p.share(c.team)
 		out = append(out, decisions...)
 	}
 	return out
 }
 
-// share is the dominant share of what a team has of the shard.
+// dominantShare returns the dominant share of a team's placed tasks in the shard's capacity.
 func (p *Placer) share(team string) float64 {
 	return p.usage[team].DominantShare(p.total)
 }
 
-// try places one task if it can. others says that tasks of other teams wait too.
-func (p *Placer) try(t *Task, rank int, now clock.Time, misses misses, others bool) []Decision {
-	if rank != settings.ClassUrgent.Rank() && others && p.overQuota(t) {
+// tryPlace places one task if a worker is suitable. othersWait says that tasks of other
+// teams in the same class wait too; only then does the quota apply.
+func (p *Placer) try(t *Task, rank int, now clock.Time, failed misses, othersWait bool) []Decision {
+	if rank != settings.ClassUrgent.Rank() && othersWait && p.overQuota(t) {
 		return nil
 	}
-	if t.Class != settings.ClassUrgent && misses.covers(t) {
+	if t.Class != settings.ClassUrgent && failed.covers(t) {
 		return nil
 	}
 	w, examined := p.choose(t)
 	if w == nil {
-		misses.add(t)
+		failed.add(t)
 		return p.missed(t, now)
 	}
 	task := *t
@@ -221,7 +225,8 @@
 	return limited && !p.usage[t.Team].Add(t.Resources).Fits(quota)
 }
 
-// missed does what can be done for a task that does not fit anywhere now.
+// handleUnplaced preempts other tasks for an urgent task that does not fit anywhere now,
+// and reserves a worker for any other that has waited long enough.
 func (p *Placer) missed(t *Task, now clock.Time) []Decision {
 	if t.Class == settings.ClassUrgent {
 		return p.preempt(t)
@@ -232,8 +237,8 @@
 	return nil
 }
 
-// misses remembers within one call which needs did not fit, so that a thousand like tasks
-// cost one search.
+// failedSearches holds the resources for which a search found no worker, so that a thousand
+// equal tasks of a workload cost one search. It is valid only within one call of placeRank.
 type misses map[missKey][]cell.Resources
 
 type missKey struct {
@@ -245,8 +250,9 @@
 	return misses{}
 }
 
-func (m misses) covers(t *Task) bool {
-	for _, r := range m[missKey{t.Workload, t.Policy}] {
+// covers says whether a search failed that needed no more than t does.
+func (f misses) covers(t *Task) bool {
+	for _, r := range f[missKey{t.Workload, t.Policy}] {
 		if r.Fits(t.Resources) {
 			return true
 		}
@@ -254,7 +260,7 @@
 	return false
 }
 
-func (m misses) add(t *Task) {
+func (f misses) add(t *Task) {
 	k := missKey{t.Workload, t.Policy}
-	m[k] = append(m[k], t.Resources)
+	f[k] = append(f[k], t.Resources)
 }
--- a/pkg/placement/preempt.go
+++ b/pkg/placement/preempt.go
@@ -9,8 +9,9 @@
 	"foldarch.dev/foldarch/pkg/settings"
 )
 
-// reserve keeps one worker free for a task that has waited long: the one that has to be
-// emptied least. A worker is kept for one task at a time.
+// reserve reserves a worker for a task that has waited for ReserveAfter: of the workers
+// that are large enough, the one with the lowest utilization, since the least has to end
+// there before the task fits. A worker is reserved for one task at a time.
 func (p *Placer) reserve(t *Task) {
 	if _, ok := p.reserved[t.ID]; ok {
 		return
@@ -43,13 +44,14 @@
 	}
 }
 
-// preempt chooses the worker where an urgent task costs least: the fewest tasks to stop,
-// then the least lost. Only tasks of the classes batch and best-effort are stopped, and
-// only repeatable ones; an urgent task is never stopped, so that two can't displace each
-// other. The worker is kept for the urgent task until that starts.
+// preempt chooses the worker on which the fewest tasks have to be stopped for an urgent
+// task, and among equals the one where they use the fewest processors, and returns a
+// decision for each task to stop. Only repeatable tasks of the classes batch and
+// best-effort are stopped. Urgent tasks never are, so that two of them can't preempt each
+// other in turn. The worker is reserved for the urgent task until that starts.
 func (p *Placer) preempt(t *Task) []Decision {
 	if _, ok := p.reserved[t.ID]; ok {
-		return nil // its victims are being stopped
+		return nil // its victims are already being stopped
 	}
 	var best *worker
 	var bestVictims []*placed
@@ -76,8 +78,9 @@
 	return out
 }
 
-// victimsFor returns the tasks to stop so that t fits, the least urgent and largest first,
-// without those that turn out not to be needed.
+// victimsFor returns the tasks to stop on the worker so that t fits. It takes the lowest
+// class first and the largest tasks first within a class, and then leaves out those that
+// need not be stopped. enough is false when t would not fit even with all candidates stopped.
 func (w *worker) victimsFor(t *Task) (victims []*placed, enough bool) {
 	free := w.free()
 	var candidates []*placed
@@ -104,16 +107,18 @@
 	return withoutNeedless(victims, t, free), true
 }
 
+// dropUnneeded returns the victims without those that t does not need stopped; free is
+// what would be free with all of them stopped.
 func withoutNeedless(victims []*placed, t *Task, free cell.Resources) []*placed {
-	var kept []*placed
+	var needed []*placed
 	for _, v := range victims {
-		if less := free.Sub(v.Resources); t.Resources.Fits(less) {
-			free = less
+		if remaining := free.Sub(v.Resources); t.Resources.Fits(remaining) {
+			free = remaining
 			continue
 		}
-		kept = append(kept, v)
+		needed = append(needed, v)
 	}
-	return kept
+	return needed
 }
 
 func cheaper(a, b []*placed) bool {
--- a/pkg/placement/queries.go
+++ b/pkg/placement/queries.go
@@ -8,16 +8,16 @@
 	"foldarch.dev/foldarch/pkg/cell"
 )
 
-// Usage is what the shard has and has given out.
+// Usage is the capacity and the load of a shard.
 type Usage struct {
 	Workers int
-	Placed  int
-	Waiting int
-	Total   cell.Resources
-	Used    cell.Resources
+	Placed  int            // tasks that are placed on a worker
+	Waiting int            // tasks in the queue
+	Total   cell.Resources // capacity of all workers
+	Used    cell.Resources // resources of all placed tasks
 }
 
-// Usage returns the sums over all workers.
+// Usage returns the capacity and the load, summed over all workers.
 func (p *Placer) Usage() Usage {
 	u := Usage{Workers: len(p.workers), Placed: len(p.placed), Waiting: len(p.waiting.tasks), Total: p.total}
 	for _, w := range p.workers {
@@ -26,7 +26,7 @@
 	return u
 }
 
-// WorkerOf returns the worker on which a task is placed.
+// WorkerOf returns the id of the worker on which a task is placed.
 func (p *Placer) WorkerOf(taskID string) (string, bool) {
 	t, ok := p.placed[taskID]
 	if !ok {
@@ -35,7 +35,7 @@
 	return t.worker.ID, true
 }
 
-// Placed returns a task that is placed.
+// Placed returns a task if it is placed on a worker.
 func (p *Placer) Placed(taskID string) (Task, bool) {
 	t, ok := p.placed[taskID]
 	if !ok {
@@ -44,14 +44,14 @@
 	return t.Task, true
 }
 
-// IsWaiting says whether a task waits for a place.
+// IsWaiting says whether a task is in the queue.
 func (p *Placer) IsWaiting(taskID string) bool {
 	_, ok := p.waiting.tasks[taskID]
 	return ok
 }
 
-// Explain tells for a waiting task why each worker was turned down, one line a reason
-// with the number of workers, at most.
+// Explain returns where a task is placed or, for a waiting task, why workers can't take
+// it: each reason once, with the number of workers to which it applies.
 func (p *Placer) Explain(taskID string) string {
 	if w, ok := p.WorkerOf(taskID); ok {
 		return "placed on " + w
@@ -71,6 +71,7 @@
 	return text
 }
 
+// rejectReason returns why the worker can't take the task now, or "suitable" when it can.
 func (w *worker) refusal(t *Task) string {
 	allowed, reason := t.Place.Allows(w.Site)
 	free := w.free()
@@ -80,13 +81,13 @@
 	case w.closed:
 		return "takes no new tasks"
 	case w.reserved != "" && w.reserved != t.ID:
-		return "kept free for " + w.reserved
+		return "reserved for " + w.reserved
 	case t.Resources.CPUMillis > free.CPUMillis:
-		return "too few processors free"
+		return "not enough free processors"
 	case t.Resources.MemoryMB > free.MemoryMB:
-		return "too little memory free"
+		return "not enough free memory"
 	case t.Resources.Accelerators > free.Accelerators:
-		return "too few accelerators free"
+		return "not enough free accelerators"
 	}
-	return "would do"
+	return "suitable"
 }
--- a/pkg/placement/queue.go
+++ b/pkg/placement/queue.go
@@ -11,10 +11,10 @@
 // nRanks is the number of classes.
 const nRanks = 4
 
-// waiting holds the tasks that wait, by class and team.
+// waitQueue holds the waiting tasks by class and team.
 type waiting struct {
 	tasks map[string]*Task
-	ranks [nRanks]map[string][]*Task // by team, in the order of starting
+	ranks [nRanks]map[string][]*Task // by class and team, in the order of compareTasks
 }
 
 func newWaiting() *waiting {
@@ -25,8 +25,8 @@
 	return w
 }
 
-// before orders the tasks of one class of one team: the earlier deadline first, those
-// without a deadline after them, then the longer wait.
+// compareTasks orders the tasks of one team in one class: the earliest deadline first,
+// tasks without a deadline last; among equals the task that has waited longest first.
 func before(a, b *Task) int {
 	if a.Deadline != b.Deadline {
 		if a.Deadline == 0 || b.Deadline == 0 {
@@ -80,7 +80,8 @@
 	w.ranks[rank][team] = list
 }
 
-// age moves tasks that have waited long enough up by one class, though not to urgent.
+// promote moves each task up by one class for every AgeStep that it has waited, but never
+// to urgent.
 func (w *waiting) age(now clock.Time, cfg Config) {
 	for rank := settings.ClassService.Rank() + 1; rank < nRanks; rank++ {
 		for team, list := range w.ranks[rank] {
