--- a/pkg/shard/batch.go
+++ b/pkg/shard/batch.go
@@ -15,10 +15,10 @@
 const (
 	submitTimeout   = 5 * time.Second
 	storeDownRetry  = 2 * time.Second
-	recoverAttempts = 6 // after so many failures the pause does not grow any more
+	recoverAttempts = 6 // number of failed reads after which the pause no longer grows
 )
 
-// Submission is a caller's batch request.
+// Submission is a batch request as a caller submits it.
 type Submission struct {
 	Caller   string
 	Key      string
@@ -26,8 +26,8 @@
 	Payload  string
 }
 
-// SubmitBatch keeps a batch request and returns it once it can't be lost any more. The
-// same key gives the same request.
+// SubmitBatch accepts a batch request and returns its record once it is durably stored. A
+// repeat with the same key returns the record of the existing request.
 func (e *Engine) SubmitBatch(ctx context.Context, s Submission) (batch.Record, error) {
 	if !e.authorized() || e.stopped.Load() {
 		return batch.Record{}, result.New(result.NoOwner, "no authority over %s", e.cfg.Shard).WithRetryAfter(noOwnerRetry)
@@ -50,6 +50,8 @@
 	return record, nil
 }
 
+// admitBatch validates a submission. It returns either a new request to be stored or, for
+// a known key, the record of the existing request.
 func (e *Engine) admitBatch(s Submission) (batch.Request, batch.Record, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -78,6 +80,7 @@
 	}, batch.Record{}, nil
 }
 
+// submitError converts an error of the journal to a result for the caller.
 func submitError(err error) error {
 	if errors.Is(err, store.ErrUnsettled) {
 		return result.New(result.InProgress, "the store did not say whether the request is kept; submit it again with the same key").
@@ -89,9 +92,9 @@
 	return result.New(result.StoreDown, "%s", result.StoreDown.Row().Text).WithRetryAfter(storeDownRetry)
 }
 
-// acceptBatch lets a request that is stored wait for a place. Two copies of one request
-// may have been stored at the same time; the second changes nothing. The caller holds the
-// engine's lock.
+// acceptBatch queues a stored request for placement. Two copies of one request may have
+// been stored at the same time; the second has no effect. The caller holds the engine's
+// lock.
 func (e *Engine) acceptBatch(r batch.Request) {
 	if _, ok := e.book.Get(r.ID); ok {
 		return
@@ -105,8 +108,9 @@
 	e.log("batch_kept", logrus.Fields{"batch": r.ID, "caller": r.Caller, "workload": r.Workload})
 }
 
-// endBatch stores the end of a request, and then lets its worker forget it. Until it is
-// stored the worker keeps the result, so that a new owner finds it there.
+// storeBatchEnd stores the end of a request, and then has its worker, if w is not nil,
+// discard the result. Until the end is stored the worker keeps the result, so that a new
+// owner would find it there.
 func (e *Engine) endBatch(end batch.End, w *workerDuty) {
 	if e.ending[end.ID] {
 		return
@@ -127,6 +131,8 @@
 	})
 }
 
+// applyBatchEnd applies the stored end of a request to the engine's state. The caller holds
+// the engine's lock.
 func (e *Engine) concludeBatch(end batch.End, w *workerDuty) {
 	e.book.Apply(batch.Entry{Ended: &end})
 	e.placer.End(string(end.ID))
@@ -139,8 +145,7 @@
 	e.wake()
 }
 
-// recoverBatches is the duty that reads what the store keeps of the shard's batch
-// requests.
+// recoverBatches reads the shard's batch requests from the store and retries until it succeeds.
 func (e *Engine) recoverBatches(ctx context.Context) {
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		segments, err := e.deps.LoadBatches(ctx)
@@ -168,7 +173,7 @@
 	e.wake()
 }
 
-// ReadBatch returns a batch request to the caller that made it.
+// ReadBatch returns a batch request to the caller that submitted it.
 func (e *Engine) ReadBatch(caller string, id batch.ID) (batch.Record, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/pkg/shard/call.go
+++ b/pkg/shard/call.go
@@ -18,9 +18,11 @@
 
 const (
 	expireEvery = 20 * time.Millisecond
-	// noOwnerRetry is told to those who wait when an engine stops.
+	// refusalRetryAfter is the retry time that callers are told when a request is refused
+	// for a temporary reason, such as a missing owner, missing settings or a failed send.
 	noOwnerRetry = 500 * time.Millisecond
-	// resendMost bounds how often a request that was certainly not run is sent again.
+	// maxResends is how often one call is sent again at most, whether it did not run or
+	// ran and failed.
 	resendMost = 3
 )
 
@@ -28,12 +30,12 @@
 type Call struct {
 	Service       string
 	Caller        string
-	Key           string // empty: the caller will not ask for the same request again
+	Key           string // empty when the caller will not repeat the request
 	IssuedAt      time.Time
 	Class         routing.Class
 	Deadline      clock.Time // on this process's clock
 	NotRepeatable bool
-	// Delegated says that the key's home is another shard, which remembers it.
+	// Delegated says that the key's home is another shard, which keeps the key and the answer.
 	Delegated bool
 	Body      []byte
 }
@@ -44,22 +46,22 @@
 	RetryAfter time.Duration
 }
 
-// ticket is a call on its way through the engine.
+// pendingCall is the state of a call that has no final answer yet.
 type ticket struct {
 	call     Call
 	workload settings.Workload
-	key      string // under which the endpoint sees it
+	key      string // the key that is sent to the endpoint
 	request  routing.Request
 	decided  chan routing.Decision // of size 1
-	retries  int
+	retries  int                   // further runs after a run that failed
 }
 
 func refusal(code result.Code, message string, retryAfter time.Duration) Answer {
 	return Answer{Answer: keys.Answer{Code: code, Message: message}, RetryAfter: retryAfter}
 }
 
-// Call runs a request and returns its final answer. When ctx ends first the request goes
-// on if it was sent already, and its answer is kept for a repeat with the same key.
+// Call runs a request and returns its final answer. It does not watch ctx: a request that
+// was sent can't be taken back, and its answer is kept for a repeat with the same key.
 func (e *Engine) Call(ctx context.Context, c Call) Answer {
 	if !e.authorized() || e.stopped.Load() {
 		return refusal(result.NoOwner, "this process has no authority over "+e.cfg.Shard.String(), noOwnerRetry)
@@ -73,8 +75,9 @@
 	return answer
 }
 
-// runHereOrElsewhere has another shard run a request whose home has no endpoint for it.
-// The home sends it away once, and remembers what came of it.
+// runOrDelegate runs a request in this shard or, when the shard has no endpoint for the
+// service, has another shard run it. Only a request with a key is delegated, and only once;
+// its home shard keeps the answer.
 func (e *Engine) runHereOrElsewhere(t *ticket) Answer {
 	if t.call.Delegated || t.call.Key == "" || e.hasEndpoints(t.call.Service) {
 		return e.serve(t)
@@ -93,7 +96,8 @@
 	return e.router.Loads()[service].Slots > 0
 }
 
-// admit looks the service up and asks the memory of keys.
+// admit validates a call and looks its key up in the key table. It returns the call to run,
+// or the answer when the call must not run.
 func (e *Engine) admit(c Call) (*ticket, *Answer) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -111,12 +115,12 @@
 	if c.Delegated {
 		return t, nil
 	}
-	use := keys.Use{
+	request := keys.Use{
 		Key:    keys.Key{Caller: c.Caller, Text: c.Key},
 		Digest: xxhash.Sum64String(c.Service) ^ xxhash.Sum64(c.Body), IssuedAt: c.IssuedAt,
 		NotRepeatable: c.NotRepeatable, TimeLimit: w.TimeLimit,
 	}
-	v := e.memory.Begin(use, e.deps.Clock.Wall())
+	v := e.memory.Begin(request, e.deps.Clock.Wall())
 	if v.Kind == keys.Fresh {
 		return t, nil
 	}
@@ -161,7 +165,7 @@
 	return refusal(code, code.Row().Text, v.RetryAfter)
 }
 
-// remember keeps the answer for repeats, or frees the key when the request did not run.
+// recordAnswer keeps the answer for repeats, or frees the key when the request did not run.
 func (e *Engine) remember(t *ticket, a Answer) {
 	if t.call.Key == "" || t.call.Delegated {
 		return
@@ -176,28 +180,29 @@
 	e.memory.Finish(key, a.Answer)
 }
 
-// serve sends the request, again where it is known that it did not run or where it may
-// run twice and the earlier try is over.
+// sendWithRetries sends the request. It sends it again when the request certainly did not
+// run, or when it ran and failed and may be repeated, within the retry budget.
 func (e *Engine) serve(t *ticket) Answer {
 	var a Answer
 	for range resendMost + 1 {
-		var again bool
-		if a, again = e.try(t); !again || !e.mayResend() {
+		var retry bool
+		if a, retry = e.try(t); !retry || !e.mayResend() {
 			return a
 		}
 	}
 	return a
 }
 
-// mayResend asks the budget of retries.
+// takeRetry takes one retry from the budget and says whether there was one.
 func (e *Engine) mayResend() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.retries.take()
 }
 
-// try waits for an endpoint and calls it.
-func (e *Engine) try(t *ticket) (a Answer, again bool) {
+// attempt waits until an endpoint has a free slot and sends the request to it. retry says
+// whether the request may be sent again.
+func (e *Engine) try(t *ticket) (a Answer, retry bool) {
 	t.request = routing.Request{
 		Service: t.call.Service, Caller: t.call.Caller, Class: t.call.Class,
 		Deadline: t.call.Deadline, Tag: t,
@@ -213,14 +218,16 @@
 	return e.send(t, d.Endpoint)
 }
 
-// decide hands a decision to the request that waits for it. The caller holds the lock.
+// deliver passes a routing decision to the call that waits for it. The caller holds the
+// engine's lock.
 func (e *Engine) decide(d routing.Decision) {
 	if d.Evicted != nil {
 		e.decide(routing.Decision{Kind: routing.QueueFull, Request: d.Evicted, RetryAfter: d.RetryAfter})
 	}
 	if d.Kind == routing.Queued {
 		if e.stopped.Load() {
-			// The engine stopped since the request was admitted; nobody would pull it.
+			// The engine has stopped since the call was admitted, so nothing would take the
+			// request from the queue.
 			e.refuseWaitingLocked()
 		}
 		return
@@ -231,8 +238,8 @@
 	d.Request.Tag.(*ticket).decided <- d
 }
 
-func (e *Engine) decideAll(all []routing.Decision) {
-	for _, d := range all {
+func (e *Engine) decideAll(decisions []routing.Decision) {
+	for _, d := range decisions {
 		e.decide(d)
 	}
 }
@@ -250,9 +257,9 @@
 	return refusal(code, code.Row().Text, d.RetryAfter)
 }
 
-// send calls the endpoint. The request goes on when its caller has gone, since it can't
-// be taken back.
-func (e *Engine) send(t *ticket, to *routing.Endpoint) (a Answer, again bool) {
+// send calls the endpoint and waits for its answer, even when the caller no longer waits,
+// since a request that was sent can't be taken back.
+func (e *Engine) send(t *ticket, to *routing.Endpoint) (a Answer, retry bool) {
 	e.mu.Lock()
 	state, ok := e.endpoints[to.ID]
 	e.mu.Unlock()
@@ -274,6 +281,7 @@
 	return e.conclude(t, to, got)
 }
 
+// routingOutcome converts the endpoint's answer to the outcome that the router counts.
 func (e *Engine) outcomeOf(got endpoint.Answer) routing.Outcome {
 	switch got.Outcome {
 	case endpoint.Done:
@@ -291,6 +299,7 @@
 	return routing.Unreached
 }
 
+// release frees the endpoint's slot and delivers the decisions that this makes possible.
 func (e *Engine) release(to *routing.Endpoint, outcome routing.Outcome, took time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -301,8 +310,9 @@
 	e.decideAll(e.router.Release(to, outcome, took, e.now()))
 }
 
-// conclude turns what came of a try into the answer, or says that to try again is right.
-func (e *Engine) conclude(t *ticket, to *routing.Endpoint, got endpoint.Answer) (a Answer, again bool) {
+// attemptResult converts the endpoint's answer to the answer of the call; retry says
+// whether the request may be sent again instead.
+func (e *Engine) conclude(t *ticket, to *routing.Endpoint, got endpoint.Answer) (a Answer, retry bool) {
 	a.Endpoint = to.ID
 	switch got.Outcome {
 	case endpoint.Done:
@@ -321,7 +331,8 @@
 	return refusal(result.SendFailed, got.Err.Error(), noOwnerRetry), true
 }
 
-// mayRetry allows a further run of a request that ran and failed.
+// mayRunAgain says whether a request that ran and failed may run once more, and counts the
+// retry.
 func (e *Engine) mayRetry(t *ticket) bool {
 	if t.call.NotRepeatable || t.retries >= t.workload.Retries {
 		return false
@@ -330,7 +341,8 @@
 	return true
 }
 
-// expire is the duty that refuses requests whose deadline has come.
+// runExpiry periodically refuses requests whose deadline has passed, and sends those for
+// which an endpoint has become available.
 func (e *Engine) expire(ctx context.Context) {
 	clock.Every(ctx, expireEvery, func() {
 		e.mu.Lock()
@@ -340,7 +352,7 @@
 	})
 }
 
-// refuseWaiting tells all waiting requests that they were not run.
+// refuseWaiting refuses all requests that wait for an endpoint; they were not run.
 func (e *Engine) refuseWaiting() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -348,8 +360,8 @@
 }
 
 func (e *Engine) refuseWaitingLocked() {
-	for _, q := range e.router.Drain() {
-		e.decide(routing.Decision{Kind: routing.Stopped, Request: q, RetryAfter: noOwnerRetry})
+	for _, request := range e.router.Drain() {
+		e.decide(routing.Decision{Kind: routing.Stopped, Request: request, RetryAfter: noOwnerRetry})
 	}
 }
 
--- a/pkg/shard/doc.go
+++ b/pkg/shard/doc.go
@@ -1,29 +1,32 @@
-// Package shard is the owner of one shard at work. An Engine lives as long as one epoch
-// of ownership in one process. It joins the pure decisions (placement, routing, keys,
-// batch) to the workers, the endpoints and the store.
+// Package shard contains the engine that does the work of a shard's owner. An Engine
+// belongs to one epoch of ownership and runs in one process. It applies the decisions of
+// the packages placement, routing, keys and batch, which do no I/O, to the workers, the
+// endpoints and the store.
 //
-// The duties of an engine, each a goroutine:
+// An engine runs these goroutines:
 //
-//	expiry      refuses requests whose deadline has come
-//	placing     decides which waiting task starts where
-//	worker      one for each worker: sends commands, renews leases, takes in reports
-//	health      asks endpoints for what they run when that is in doubt
+//	expiry      refuses requests whose deadline has passed
+//	placement   decides which waiting task starts on which worker
+//	worker      one for each worker: sends commands, renews leases, processes reports
+//	health      asks endpoints how many requests they run when the owner can't know it
 //	journal     writes batch entries to the store in groups
-//	removal     removes batch segments that are of no use any more
-//	recovery    once: reads the batch requests and waits for the workers' reports
+//	removal     removes batch segments that are no longer needed
+//	recovery    runs once: reads the batch requests from the store
 //
-// State is guarded by one lock, held for the time of a decision and never while anything
-// is sent. Each worker duty and each request has a channel of its own through which the
-// decisions reach it; all are bounded.
+// One lock guards the state. It is held while a decision is made, and never while anything
+// is sent. Decisions reach the goroutine of a worker and that of a request through a
+// bounded channel of its own.
 //
-// Every send to a worker or an endpoint is preceded, at the last moment, by a look at the
-// authority on the monotonic clock; commands to workers carry its end as well.
+// Right before anything is sent to a worker or an endpoint, the engine checks on the
+// monotonic clock that its authority over the shard has not ended. Commands to workers
+// also carry the time at which it ends.
 //
 // # Files
 //
-// Commands and queries stand apart: engine.go has the life of an engine, call.go and
-// batch.go what callers command, tasks.go and worker_duty.go the work on workers,
-// health.go the endpoints, queries.go what is only read.
+// Commands and queries are in separate files: engine.go has the life cycle of an engine,
+// call.go and batch.go the requests of callers, tasks.go, worker_controller.go and
+// worker_reports.go the tasks on workers, health.go the state of endpoints,
+// segment_removal.go the removal of batch segments, queries.go what only reads.
 //
 // # Usage
 //
--- a/pkg/shard/engine.go
+++ b/pkg/shard/engine.go
@@ -19,42 +19,44 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Config says which shard an engine works for, and the times of its work.
+// Config configures an engine.
 type Config struct {
 	Shard cell.ShardID
 	Epoch cell.Epoch
-	// TaskLease is the term of a worker's lease on its tasks.
+	// TaskLease is the duration of a worker's lease on its tasks.
 	TaskLease time.Duration
-	// ReportEvery is how often each worker is asked for a report and its leases renewed.
+	// ReportInterval is the longest time between two exchanges with a worker, each of which
+	// renews the worker's leases and returns its report.
 	ReportEvery time.Duration
-	// DispatchFlight is the longest time that a request sent by the former owner may
-	// still be on its way.
+	// MaxTransitTime is the longest time for which something that the previous owner sent may
+	// still be in transit.
 	DispatchFlight time.Duration
-	// JournalInterval lies between two writes of the journal.
+	// JournalInterval is the shortest time between two writes of the journal.
 	JournalInterval time.Duration
 	Keys            keys.Config
 }
 
-// Margin is added to leases for clocks that run unlike.
+// clockMargin is added to leases and time limits because clocks on different hosts run at
+// slightly different rates.
 const margin = 250 * time.Millisecond
 
-// Deps are what an engine needs of the world.
+// Deps are the dependencies of an engine.
 type Deps struct {
 	Clock     clock.Clock
 	Workers   *worker.Client
 	Endpoints *endpoint.Client
-	// Authority tells until when this process may act on the shard, as
-	// ownership.Keeper.Authority does.
+	// Authority returns the epoch in which this process owns the shard, when its authority
+	// ends, and whether it has any now; see ownership.Keeper.Authority.
 	Authority func() (cell.Epoch, clock.Time, bool)
-	// LoadBatches reads all batch entries of the shard from the store.
+	// LoadBatches reads all batch segments of the shard from the store.
 	LoadBatches func(ctx context.Context) ([]batch.Segment, error)
-	// StoreUp says whether the store answered lately.
+	// StoreUp says whether the store has answered recently.
 	StoreUp func() bool
 	// PutSegment writes a batch segment to the store.
 	PutSegment func(ctx context.Context, key, value string) (revision int64, err error)
-	// RemoveSegment removes one that is of no use any more.
+	// RemoveSegment removes a batch segment from the store if it still has the given revision.
 	RemoveSegment func(ctx context.Context, key string, revision int64) error
-	// Delegate has another shard run a request of a key that is at home here.
+	// Delegate has another shard run a request; home is the key's home shard, which is this one.
 	Delegate func(home cell.ShardID, c Call) Answer
 	Log      *logrus.Entry
 }
@@ -64,7 +66,7 @@
 	cfg     Config
 	deps    Deps
 	journal *batch.Journal
-	kick    chan struct{} // wakes the placing duty
+	kick    chan struct{} // wakes the placement goroutine
 	stopped atomic.Bool
 
 	mu        sync.Mutex
@@ -77,7 +79,7 @@
 	desired   map[string]settings.Workload // service tasks of this shard, by id
 	workers   map[string]*workerDuty
 	endpoints map[string]*endpointState
-	ending    map[batch.ID]bool // whose end is being stored
+	ending    map[batch.ID]bool // requests whose end is being stored
 	began     clock.Time
 	recovery  recoveryState
 	retries   retryBudget
@@ -86,16 +88,19 @@
 	inFlight  int
 }
 
-// recoveryState tells how far a new owner knows what the former one left.
+// recoveryState tells how much a new owner has learned of the state that the previous
+// owner left behind.
 type recoveryState struct {
-	inherited  bool // there was an owner before
-	hostsKnown bool
-	batchesIn  bool
-	settled    bool // all workers have answered, or their leases have lapsed
+	inherited  bool // the shard had an owner before
+	hostsKnown bool // the platform's host list was received
+	batchesIn  bool // the batch requests were read from the store
+	// settled says that recovery is complete: hosts and batch requests are known, and all
+	// workers have reported or the leases that the previous owner gave them have expired.
+	settled bool
 }
 
-// New returns an engine whose duties end with ctx and begin with Run. Of the first epoch of a shard it
-// knows that nothing was left by a former owner.
+// New returns an engine. Run starts its goroutines; they end with ctx. In the first epoch
+// of a shard there is no previous owner, so nothing has to be recovered from one.
 func New(ctx context.Context, cfg Config, deps Deps) *Engine {
 	e := &Engine{
 		runCtx: ctx, cfg: cfg, deps: deps, kick: make(chan struct{}, 1),
@@ -105,19 +110,20 @@
 		retries: newRetryBudget(), segments: batch.NewSegments(),
 	}
 	e.recovery.inherited = cfg.Epoch > 1
-	takenOver := time.Time{}
+	takeoverTime := time.Time{}
 	if e.recovery.inherited {
-		takenOver = deps.Clock.Wall()
+		takeoverTime = deps.Clock.Wall()
 	}
-	e.memory = keys.New(cfg.Keys, takenOver)
+	e.memory = keys.New(cfg.Keys, takeoverTime)
 	e.journal = batch.NewJournal(cfg.Shard, cfg.JournalInterval, batch.JournalDeps{
 		Put: deps.PutSegment, Authorized: e.authorized, Stored: e.segmentStored,
 	})
 	return e
 }
 
-// Run works until the engine's ctx ends. Requests in flight then are finished before it returns;
-// those that wait are refused.
+// Run runs the engine until its ctx ends. It then refuses the requests that wait for an
+// endpoint, and returns when its goroutines have ended. Calls whose request was already
+// sent finish in the goroutines of their callers.
 func (e *Engine) Run() {
 	ctx := e.runCtx
 	e.duties.Go(func() { e.journal.Run(ctx) })
@@ -132,13 +138,14 @@
 	e.duties.Wait()
 }
 
-// authorized is asked right before each send.
+// authorized says whether this process still owns the shard in the engine's epoch. It is
+// called right before anything is sent.
 func (e *Engine) authorized() bool {
 	epoch, _, ok := e.deps.Authority()
 	return ok && epoch == e.cfg.Epoch
 }
 
-// SetTree puts settings in force: services and their instances, limits and quotas.
+// SetTree applies new settings: services and their instances, limits and quotas.
 func (e *Engine) SetTree(tree *settings.Tree) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -150,6 +157,8 @@
 	e.wake()
 }
 
+// updateServices passes the services of the new settings to the router, and refuses the
+// waiting requests of services that old contains and the new settings do not.
 func (e *Engine) putServices(old *settings.Tree) {
 	for _, w := range e.tree.Sorted() {
 		if w.Kind == settings.KindService {
@@ -163,26 +172,28 @@
 		if _, ok := e.tree.Workloads[name]; ok {
 			continue
 		}
-		for _, q := range e.router.RemoveService(name) {
-			e.decide(routing.Decision{Kind: routing.NoService, Request: q})
+		for _, request := range e.router.RemoveService(name) {
+			e.decide(routing.Decision{Kind: routing.NoService, Request: request})
 		}
 	}
 }
 
-// putQuotas gives each shard of the cell an equal part of every team's quota.
+// updateQuotas sets this shard's part of each team's quota: the quota divided by the number
+// of shards of the cell, rounded up.
 func (e *Engine) putQuotas() {
 	n := int64(max(len(e.tree.Layout.Shards()), 1))
 	quotas := make(map[string]cell.Resources, len(e.tree.Quotas))
-	for team, q := range e.tree.Quotas {
+	for team, quota := range e.tree.Quotas {
 		quotas[team] = cell.Resources{
-			CPUMillis: (q.CPUMillis + n - 1) / n, MemoryMB: (q.MemoryMB + n - 1) / n,
-			Accelerators: (q.Accelerators + n - 1) / n,
+			CPUMillis: (quota.CPUMillis + n - 1) / n, MemoryMB: (quota.MemoryMB + n - 1) / n,
+			Accelerators: (quota.Accelerators + n - 1) / n,
 		}
 	}
 	e.placer.SetQuotas(quotas)
 }
 
-// SetHosts takes in the platform's host list.
+// SetHosts applies the platform's host list. It has no effect before the first SetTree and
+// after the engine's ctx has ended.
 func (e *Engine) SetHosts(hosts []store.Host) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -199,6 +210,9 @@
 	e.wake()
 }
 
+// updateHost records the state of a worker host and starts a controller for a new one. A
+// worker whose host is leaving is drained; it takes tasks again when the host returns to
+// the state live.
 func (e *Engine) putHost(h store.Host) {
 	w, known := e.workers[h.ID]
 	if !known && h.State == store.HostGone {
@@ -219,7 +233,7 @@
 	}
 }
 
-// wake makes the placing duty look again.
+// triggerPlacement makes the placement goroutine run without waiting for its next interval.
 func (e *Engine) wake() {
 	select {
 	case e.kick <- struct{}{}:
@@ -227,7 +241,7 @@
 	}
 }
 
-// now is short for the monotonic clock.
+// now returns the time on the monotonic clock.
 func (e *Engine) now() clock.Time {
 	return e.deps.Clock.Now()
 }
--- a/pkg/shard/health.go
+++ b/pkg/shard/health.go
@@ -14,58 +14,63 @@
 	healthTimeout = 300 * time.Millisecond
 )
 
-// doubt is an endpoint that may run requests for which nobody here waits.
+// healthCheck is a check of an endpoint that may run foreign requests: requests whose
+// answer this owner does not wait for, because the previous owner sent them or because
+// the answer was lost.
 type doubt struct {
 	id      string
 	address netip.AddrPort
-	// over is when such requests have run for their time limit.
+	// over says that foreign requests have ended because their time limit has passed.
 	over bool
 }
 
-// watchHealth is the duty that asks endpoints in doubt what they run.
+// runHealthChecks periodically asks the endpoints that may run foreign requests how many
+// requests they run.
 func (e *Engine) watchHealth(ctx context.Context) {
 	clock.Every(ctx, healthEvery, func() {
-		for _, d := range e.doubts() {
-			e.askHealth(ctx, d)
+		for _, check := range e.doubts() {
+			e.askHealth(ctx, check)
 		}
 	})
 }
 
-// doubts lists the endpoints to ask; none while a request of the former owner may still
-// be on its way to one.
+// dueHealthChecks returns the checks to be made now. There are none while a request that
+// the previous owner sent may still be in transit, since the answer would not count it.
 func (e *Engine) doubts() []doubt {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.recovery.inherited && e.now() < e.began.Add(e.cfg.DispatchFlight) {
 		return nil
 	}
-	var list []doubt
+	var checks []doubt
 	for _, id := range e.router.HasForeign() {
 		state, ok := e.endpoints[id]
 		if !ok {
 			continue
 		}
 		limit := e.tree.Workloads[state.workload].TimeLimit
-		list = append(list, doubt{id, state.address, e.now() > state.doubtSince.Add(limit+margin)})
+		checks = append(checks, doubt{id, state.address, e.now() > state.doubtSince.Add(limit+margin)})
 	}
-	return list
+	return checks
 }
 
-func (e *Engine) askHealth(ctx context.Context, d doubt) {
-	h, ok, err := e.deps.Endpoints.Health(ctx, d.address, healthTimeout)
+// checkHealth asks an endpoint for its health and passes the number of its foreign
+// requests to the router. When their time limit has passed there are none.
+func (e *Engine) askHealth(ctx context.Context, check doubt) {
+	health, ok, err := e.deps.Endpoints.Health(ctx, check.address, healthTimeout)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
-	case d.over:
-		e.decideAll(e.router.Foreign(d.id, 0, e.now()))
+	case check.over:
+		e.decideAll(e.router.Foreign(check.id, 0, e.now()))
 	case err == nil && ok:
-		e.takeHealth(d.id, h)
+		e.takeHealth(check.id, health)
 	}
 }
 
-func (e *Engine) takeHealth(id string, h endpoint.Health) {
-	if h.Leaving {
+func (e *Engine) takeHealth(id string, health endpoint.Health) {
+	if health.Leaving {
 		e.router.Leaving(id)
 	}
-	e.decideAll(e.router.Foreign(id, h.InUse, e.now()))
+	e.decideAll(e.router.Foreign(id, health.InUse, e.now()))
 }
--- a/pkg/shard/queries.go
+++ b/pkg/shard/queries.go
@@ -9,20 +9,20 @@
 	"foldarch.dev/foldarch/pkg/routing"
 )
 
-// Status is what an engine tells of itself.
+// Status is the state of an engine.
 type Status struct {
 	Shard     cell.ShardID
 	Epoch     cell.Epoch
-	Authority bool
-	Recovered bool
+	Authority bool // the engine may act on the shard now
+	Recovered bool // the state that the previous owner left is known
 	Usage     placement.Usage
 	Endpoints int
-	InFlight  int
-	Queued    int
-	Keys      int
+	InFlight  int // requests that were sent to endpoints and have not ended
+	Queued    int // requests that wait for an endpoint
+	Keys      int // idempotency keys in the key table
 }
 
-// Status returns what the engine has in hand.
+// Status returns the engine's present state.
 func (e *Engine) Status() Status {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -36,27 +36,27 @@
 	return s
 }
 
-// Loads returns the load of each service, for others that look for free slots.
+// Loads returns the load of each service. Other shards use it to find free slots.
 func (e *Engine) Loads() map[string]routing.Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.router.Loads()
 }
 
-// InFlight returns how many requests were sent to endpoints and are not over.
+// InFlight returns the number of requests that were sent to endpoints and have not ended.
 func (e *Engine) InFlight() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.inFlight
 }
 
-// TaskDecision says where a task of a workload is, or why it waits.
+// TaskDecision says where a task is placed, or why it waits.
 type TaskDecision struct {
 	Task     string
 	Decision string
 }
 
-// Explain tells of each task of a workload in this shard.
+// Explain returns a TaskDecision for each task of a workload in this shard, ordered by task id.
 func (e *Engine) Explain(workload string) []TaskDecision {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -75,8 +75,8 @@
 	return list
 }
 
-// DrainWorker makes a worker leave, by an operator's command, and says whether the shard
-// has it.
+// DrainWorker drains a worker on an operator's command, and says whether the shard has
+// that worker.
 func (e *Engine) DrainWorker(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/pkg/shard/retry_budget.go
+++ b/pkg/shard/retry_budget.go
@@ -1,14 +1,13 @@
 package shard
 
-// The budget of retries: each request that is admitted earns a part of a retry, so that
-// retries add a tenth to the load at most, however many requests fail. A few are allowed
-// at once.
 const (
-	retryPart  = 0.1
-	retryBurst = 20
+	retryPart  = 0.1 // tokens that each admitted request adds
+	retryBurst = 20  // largest number of tokens
 )
 
-// retryBudget bounds retries of all callers together. The engine's lock guards it.
+// retryBudget is a token bucket that limits the retries of all callers together. A retry
+// takes one token, so that retries add at most a tenth to the load in the long run,
+// however many requests fail. The engine's lock guards it.
 type retryBudget struct {
 	tokens float64
 }
@@ -17,12 +16,12 @@
 	return retryBudget{tokens: retryBurst}
 }
 
-// earn is called for each request that is admitted.
+// deposit adds the tokens of one admitted request.
 func (b *retryBudget) earn() {
 	b.tokens = min(b.tokens+retryPart, retryBurst)
 }
 
-// take says whether a further try is within the budget.
+// withdraw takes one token and says whether there was one.
 func (b *retryBudget) take() bool {
 	if b.tokens < 1 {
 		return false
--- a/pkg/shard/removal.go
+++ b/pkg/shard/segment_removal.go
@@ -12,12 +12,13 @@
 	"github.com/sirupsen/logrus"
 )
 
-// removeEvery bounds the writes that removal costs: one a shard in this time.
+// removalInterval limits the load on the store: one removal per shard in this time.
 const removeEvery = 5 * time.Second
 
-// segmentStored takes in a segment and the requests in it at once: between the two, the
-// removal would find a segment of requests that nobody knows. Requests of a segment that
-// the store may not hold are not accepted.
+// handleStoredSegment records a segment that was written to the store and accepts the
+// requests that it contains. Both happen under one lock: otherwise the removal of segments
+// could run between them and find a segment whose requests are unknown. Requests in an
+// unsettled segment, which the store may not hold, are not accepted.
 func (e *Engine) segmentStored(s batch.Segment) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -33,8 +34,8 @@
 	}
 }
 
-// removeSegments is the duty that removes batch segments of which every request ended
-// longer ago than its window.
+// runSegmentRemoval periodically removes a batch segment whose requests all ended longer
+// ago than their window.
 func (e *Engine) removeSegments(ctx context.Context) {
 	clock.Every(ctx, removeEvery, func() { e.removeOne(ctx) })
 }
@@ -50,7 +51,8 @@
 	if !found || !e.authorized() {
 		return
 	}
-	// A segment never changes, so a conflict says that it is gone: an answer was lost.
+	// A segment is never modified, so a conflict means that an earlier removal succeeded
+	// although its answer was lost.
 	if err := e.deps.RemoveSegment(ctx, s.Key, s.Revision); err != nil && !errors.Is(err, store.ErrConflict) {
 		e.log("segment_not_removed", logrus.Fields{"segment": s.Key, "error": err})
 		return
@@ -60,7 +62,8 @@
 	e.segments.Removed(s.Key, e.book)
 }
 
-// keepFor is how long a result is kept for its caller after the end: a window.
+// retention returns how long the result of a request is kept after its end, so that its
+// caller can read it: the window of the workload.
 func (e *Engine) keepFor(r batch.Record) time.Duration {
 	if w, ok := e.tree.Workloads[r.Workload]; ok {
 		return w.Window
--- a/pkg/shard/removal_test.go
+++ b/pkg/shard/segment_removal_test.go
@@ -19,7 +19,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// segmentStore keeps batch segments as the platform's store does.
+// segmentStore is an in-memory substitute for the batch segments in the platform's store.
 type segmentStore struct {
 	mu       sync.Mutex
 	revision int64
@@ -68,13 +68,13 @@
 	return all, nil
 }
 
-// newRecoveredOwner returns an owner without workers that has read the store, and whose
-// journal writes. Its authority is asked of authorized.
+// newRecoveredOwner returns an engine without workers that has read the store and whose
+// journal runs. The function authorized decides whether the engine has authority.
 func newRecoveredOwner(t *testing.T, s *segmentStore, epoch cell.Epoch, authorized func() bool) *Engine {
 	return newOwnerThatPuts(t, s, s.put, epoch, authorized)
 }
 
-// newOwnerThatPuts returns such an owner that writes segments by put.
+// newOwnerWithPut is newRecoveredOwner with put as the function that writes segments.
 func newOwnerThatPuts(t *testing.T, s *segmentStore, put func(ctx context.Context, key, value string) (int64, error), epoch cell.Epoch, authorized func() bool) *Engine {
 	g := NewWithT(t)
 	tree, faults := settings.Parse(map[string]string{
@@ -107,49 +107,50 @@
 
 func always() bool { return true }
 
-// Guards against the loss of a request whose segment the removal sees before the caller's
-// goroutine goes on: the next owner then knew nothing of it, or its end alone.
+// Guards against the loss of a request. If the removal of segments runs after the segment
+// is stored and before the submitting goroutine continues, it must not remove the segment:
+// the next owner would find nothing of the request, or only its end.
 func TestRemovalLeavesARequestThatWasStoredAMomentAgo(t *testing.T) {
 	t.Run("before its end", func(t *testing.T) {
 		g := NewWithT(t)
-		s, _, kept := storedWhileRemoving(t)
-		found, err := newRecoveredOwner(t, s, 2, always).ReadBatch("tester", kept.ID)
+		s, _, accepted := storedWhileRemoving(t)
+		found, err := newRecoveredOwner(t, s, 2, always).ReadBatch("tester", accepted.ID)
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(found).To(Equal(kept))
+		g.Expect(found).To(Equal(accepted))
 	})
 	t.Run("after its end", func(t *testing.T) {
 		g := NewWithT(t)
-		s, e, kept := storedWhileRemoving(t)
-		end := batch.Entry{Ended: &batch.End{ID: kept.ID, State: batch.Done}}
+		s, e, accepted := storedWhileRemoving(t)
+		end := batch.Entry{Ended: &batch.End{ID: accepted.ID, State: batch.Done}}
 		g.Expect(e.journal.Append(e.runCtx, end)).To(Succeed())
-		found, err := newRecoveredOwner(t, s, 2, always).ReadBatch("tester", kept.ID)
+		found, err := newRecoveredOwner(t, s, 2, always).ReadBatch("tester", accepted.ID)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(found.State).To(Equal(batch.Done))
 	})
 }
 
-// storedWhileRemoving submits a request to an owner that looks for segments to remove when
-// the request is stored and its caller has no answer yet.
+// storeDuringRemoval submits a request to an engine that runs the removal of segments
+// after the request is stored and before its caller has an answer.
 func storedWhileRemoving(t *testing.T) (*segmentStore, *Engine, batch.Record) {
 	g := NewWithT(t)
 	s := newSegmentStore()
 	var e *Engine
 	removing := false
 	e = newRecoveredOwner(t, s, 1, func() bool {
-		if s.len() > 0 && !removing { // the journal asks between the write and its answer
+		if s.len() > 0 && !removing { // the journal calls this between the write and its answer
 			removing = true
 			e.removeOne(e.runCtx)
 		}
 		return true
 	})
-	kept, err := e.SubmitBatch(e.runCtx, Submission{Caller: "tester", Key: "k", Workload: "publish", Payload: "p"})
+	accepted, err := e.SubmitBatch(e.runCtx, Submission{Caller: "tester", Key: "k", Workload: "publish", Payload: "p"})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(removing).To(BeTrue())
-	return s, e, kept
+	return s, e, accepted
 }
 
-// Guards against a segment of a request that its owner never takes in: nobody would run
-// it, and nobody could tell when it may be removed.
+// Guards against a stored request that its owner does not accept because its authority
+// ended during the write: the request would not run, and its segment would stay for ever.
 func TestRequestThatIsStoredWithoutAnAnswerIsKept(t *testing.T) {
 	g := NewWithT(t)
 	s := newSegmentStore()
@@ -165,9 +166,9 @@
 	_, err := e.SubmitBatch(e.runCtx, request)
 	g.Expect(result.From(err).Code).To(Equal(result.InProgress))
 
-	kept, err := e.SubmitBatch(e.runCtx, request)
+	accepted, err := e.SubmitBatch(e.runCtx, request)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(kept.State).To(Equal(batch.Waiting))
+	g.Expect(accepted.State).To(Equal(batch.Waiting))
 	g.Expect(e.Explain("publish")).To(HaveLen(1))
 	g.Expect(s.len()).To(Equal(1), "the same key was stored twice")
 }
--- a/pkg/shard/tasks.go
+++ b/pkg/shard/tasks.go
@@ -16,15 +16,18 @@
 
 const (
 	placeEvery = 200 * time.Millisecond
-	// placeMost bounds the decisions made under the lock at a time.
+	// maxDecisions limits the placement decisions that are made in one turn under the lock.
 	placeMost = 128
-	// intentionPause is the attempt whose pause follows an intention that was not stored.
+	// intentPauseAttempt is the attempt number passed to store.Pause after an intention to
+	// start a request could not be stored; it sets the length of the pause.
 	intentionPause = 5
-	// firstReports is how long the first owner of a shard waits for all workers.
+	// firstReportsTimeout is how long the first owner of a shard waits for the reports of
+	// all workers.
 	firstReports = 2 * time.Second
 )
 
-// putInstances works out which service tasks the shard has to run and brings them about.
+// updateInstances determines which service tasks the shard has to run, ends those that are
+// no longer wanted and queues those that are missing.
 func (e *Engine) putInstances() {
 	desired := map[string]settings.Workload{}
 	for _, w := range e.tree.Sorted() {
@@ -47,8 +50,9 @@
 	e.drainMisplaced()
 }
 
-// submitDesired lets the service tasks that run nowhere wait for a place. Before a new
-// owner knows what runs, it must not start anything that may run already.
+// submitDesired queues the service tasks that run nowhere. It does nothing until recovery
+// is complete, because before that a task may already run on a worker that has not
+// reported yet.
 func (e *Engine) submitDesired() {
 	if e.recovery.settled {
 		e.submitServices()
@@ -61,22 +65,23 @@
 	}
 }
 
-// drainMisplaced drains the service tasks that run where the rules no longer allow it.
+// drainDisallowed drains the service tasks on workers where the place rules no longer
+// allow them.
 func (e *Engine) drainMisplaced() {
 	for id, w := range e.desired {
 		workerID, ok := e.placer.WorkerOf(id)
 		if !ok {
 			continue
 		}
-		duty := e.workers[workerID]
-		if allowed, reason := w.Place.Allows(duty.site()); !allowed {
+		controller := e.workers[workerID]
+		if allowed, reason := w.Place.Allows(controller.site()); !allowed {
 			e.log("drain", logrus.Fields{"task": id, "worker": workerID, "reason": reason})
-			duty.drain(id)
+			controller.drain(id)
 		}
 	}
 }
 
-// unwant ends a service task that the settings no longer ask for.
+// endInstance ends a service task that the settings no longer contain.
 func (e *Engine) unwant(id string) {
 	if e.placer.Withdraw(id) {
 		return
@@ -93,7 +98,8 @@
 	}
 }
 
-// batchTaskOf is the task of a batch request; its deadline orders it among others.
+// newBatchTask returns the task of a batch request. Its deadline is the end of the
+// workload's window after the submission, which sets its order in the queue.
 func (e *Engine) batchTaskOf(r batch.Record, w settings.Workload) placement.Task {
 	t := taskOf(w, string(r.ID))
 	t.Repeatable = !r.NotRepeatable
@@ -101,7 +107,7 @@
 	return t
 }
 
-// place is the duty that decides which waiting task starts where.
+// runPlacement places waiting tasks at each interval and whenever triggerPlacement is called.
 func (e *Engine) place(ctx context.Context) {
 	ticker := time.NewTicker(placeEvery)
 	defer ticker.Stop()
@@ -133,8 +139,9 @@
 	}
 }
 
-// checkSettled ends the recovery of a new owner when nothing can run any more of which
-// no worker has told.
+// checkRecovery completes the recovery of a new owner once every task that may still run
+// is known: all workers have reported, or the leases of those that have not have expired.
+// It then queues the service tasks and batch requests that run nowhere.
 func (e *Engine) checkSettled() {
 	r := &e.recovery
 	if r.settled || !r.hostsKnown || e.tree == nil {
@@ -144,7 +151,7 @@
 		return
 	}
 	if !r.batchesIn {
-		e.submitServices() // what services lack needs no word from the store
+		e.submitServices() // service tasks do not depend on the batch requests in the store
 		return
 	}
 	r.settled = true
@@ -164,9 +171,10 @@
 	return true
 }
 
-// reportsDue is until when the owner waits for workers that have not reported: until the
-// leases that a former owner gave have lapsed for certain. The first owner of a shard waits
-// a moment only, so that it does not put everything on the worker that answers first.
+// reportDeadline is until when the owner waits for workers that have not reported: until
+// the leases that a previous owner gave have certainly expired. The first owner of a shard
+// waits only for firstReportsTimeout, so that it does not place all tasks on the worker
+// that reports first.
 func (e *Engine) reportsDue() clock.Time {
 	if !e.recovery.inherited {
 		return e.began.Add(firstReports)
@@ -174,7 +182,9 @@
 	return e.began.Add(e.cfg.TaskLease + e.cfg.DispatchFlight + 2*margin)
 }
 
-// resume lets a batch request go on that was neither ended nor found on a worker.
+// resumeBatch decides about a batch request that has not ended and was not found on a
+// worker. It is queued again, unless the request is not repeatable and the previous owner
+// stored the intention to start it: then its outcome is unknown.
 func (e *Engine) resume(r batch.Record) {
 	w, ok := e.tree.Workloads[r.Workload]
 	if _, placed := e.placer.WorkerOf(string(r.ID)); placed || !ok {
@@ -187,14 +197,14 @@
 	e.placer.Submit(e.batchTaskOf(r, w), e.now())
 }
 
-// start hands a placed task to its worker; for a batch request that is not repeatable the
-// intention is stored first.
+// start passes a placed task to its worker's controller. For a batch request that is not
+// repeatable, the intention to start it is stored first.
 func (e *Engine) start(ctx context.Context, d placement.Decision) {
-	duty := e.workers[d.Worker]
+	controller := e.workers[d.Worker]
 	task := worker.Task{ID: d.Task.ID, Workload: d.Task.Workload, Resources: d.Task.Resources}
 	if w, ok := e.desired[d.Task.ID]; ok {
 		task.Service, task.Slots = true, w.Slots
-		duty.start(task)
+		controller.start(task)
 		return
 	}
 	record, ok := e.book.Get(batch.ID(d.Task.ID))
@@ -204,32 +214,33 @@
 	}
 	task.Payload = record.Payload
 	if !record.NotRepeatable || record.Intended {
-		duty.start(task)
+		controller.start(task)
 		return
 	}
-	e.duties.Go(func() { e.intend(ctx, duty, task) })
+	e.duties.Go(func() { e.intend(ctx, controller, task) })
 }
 
-// intend stores that a request is about to be started. When that fails for certain the
-// task goes back to wait; when it is not known whether it is stored, too, since nothing
-// was started and this owner knows it.
-func (e *Engine) intend(ctx context.Context, duty *workerDuty, task worker.Task) {
+// storeIntent stores the intention to start a request that is not repeatable, and then
+// starts it. When the write fails, or when it is unknown whether it succeeded, the task
+// returns to the queue: this owner knows that it did not start the task.
+func (e *Engine) intend(ctx context.Context, controller *workerDuty, task worker.Task) {
 	err := e.journal.Append(ctx, batch.Entry{Starting: batch.ID(task.ID)})
 	if err != nil {
-		_ = store.Pause(ctx, intentionPause) // the store is down; placing it again at once would spin
+		_ = store.Pause(ctx, intentionPause) // avoids a busy loop of placements while the store is down
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if err == nil {
 		e.book.Apply(batch.Entry{Starting: batch.ID(task.ID)})
-		duty.start(task)
+		controller.start(task)
 		return
 	}
 	e.log("intention_failed", logrus.Fields{"task": task.ID, "error": err})
 	e.gone(task.ID)
 }
 
-// gone takes in that a task certainly no longer runs, or never started.
+// handleTaskGone processes that a task certainly no longer runs, or never started. If the
+// task is still wanted it is queued again.
 func (e *Engine) gone(id string) {
 	started := false
 	if workerID, ok := e.placer.WorkerOf(id); ok {
@@ -246,12 +257,14 @@
 	}
 }
 
-// isServiceTask tells the ids of service tasks ("scoring/seoul-1/0") from those of batch
-// requests ("seoul-1.0.93c1…").
+// isServiceTask distinguishes the ids of service tasks ("scoring/seoul-1/0") from those of
+// batch requests ("seoul-1.0.93c1…").
 func isServiceTask(id string) bool {
 	return strings.Contains(id, "/")
 }
 
+// handleBatchGone queues a batch request again whose task is gone. The outcome is unknown
+// when the task was started and the request is not repeatable.
 func (e *Engine) batchGone(id batch.ID, started bool) {
 	r, ok := e.book.Get(id)
 	if !ok || r.State.Ended() {
--- a/pkg/shard/unsettled_test.go
+++ b/pkg/shard/unsettled_segment_test.go
@@ -11,12 +11,15 @@
 	. "github.com/onsi/gomega"
 )
 
-// Guards against a request that runs again under a later owner, after its window: the write of a first copy took effect without an answer, so that its segment is not known.
+// Guards against a request that runs a second time under a later owner. The write of its
+// first copy took effect but was not answered, so the owner does not know whether that
+// segment exists. After the request's window the owner must not remove the segment with
+// the end of the request while the first copy may remain.
 func TestRequestWhoseFirstCopyWasUnsettledDoesNotRunAgain(t *testing.T) {
 	g := NewWithT(t)
 	s := newSegmentStore()
 	puts := 0
-	lose := func(ctx context.Context, key, value string) (int64, error) {
+	loseFirstAnswer := func(ctx context.Context, key, value string) (int64, error) {
 		puts++
 		r, err := s.put(ctx, key, value)
 		if puts == 1 {
@@ -24,13 +27,13 @@
 		}
 		return r, err
 	}
-	e := newOwnerThatPuts(t, s, lose, 1, always)
-	req := Submission{Caller: "tester", Key: "k", Workload: "publish", Payload: "p"}
-	_, err := e.SubmitBatch(e.runCtx, req)
+	e := newOwnerThatPuts(t, s, loseFirstAnswer, 1, always)
+	submission := Submission{Caller: "tester", Key: "k", Workload: "publish", Payload: "p"}
+	_, err := e.SubmitBatch(e.runCtx, submission)
 	g.Expect(result.From(err).Code).To(Equal(result.InProgress))
-	kept, err := e.SubmitBatch(e.runCtx, req)
+	accepted, err := e.SubmitBatch(e.runCtx, submission)
 	g.Expect(err).NotTo(HaveOccurred())
-	end := batch.Entry{Ended: &batch.End{ID: kept.ID, State: batch.Done, At: time.Now().Add(-2 * time.Hour)}}
+	end := batch.Entry{Ended: &batch.End{ID: accepted.ID, State: batch.Done, At: time.Now().Add(-2 * time.Hour)}}
 	g.Expect(e.journal.Append(e.runCtx, end)).To(Succeed())
 	e.mu.Lock()
 	e.book.Apply(end)
@@ -42,14 +45,15 @@
 	g.Expect(next.Explain("publish")).To(BeEmpty())
 }
 
-// Guards against segments that are kept for ever: the end of their request was stored twice.
+// Guards against segments that are never removed because the end of their request was
+// stored twice.
 func TestSegmentsOfARequestWithTwoStoredEndsAreRemoved(t *testing.T) {
 	g := NewWithT(t)
 	s := newSegmentStore()
 	e := newRecoveredOwner(t, s, 1, always)
-	kept, err := e.SubmitBatch(e.runCtx, Submission{Caller: "tester", Key: "k", Workload: "publish", Payload: "p"})
+	accepted, err := e.SubmitBatch(e.runCtx, Submission{Caller: "tester", Key: "k", Workload: "publish", Payload: "p"})
 	g.Expect(err).NotTo(HaveOccurred())
-	end := batch.Entry{Ended: &batch.End{ID: kept.ID, State: batch.Done, At: time.Now().Add(-2 * time.Hour)}}
+	end := batch.Entry{Ended: &batch.End{ID: accepted.ID, State: batch.Done, At: time.Now().Add(-2 * time.Hour)}}
 	g.Expect(e.journal.Append(e.runCtx, end)).To(Succeed())
 	g.Expect(e.journal.Append(e.runCtx, end)).To(Succeed())
 	next := newRecoveredOwner(t, s, 2, always)
--- a/pkg/shard/worker_duty.go
+++ b/pkg/shard/worker_controller.go
@@ -16,44 +16,49 @@
 )
 
 const (
-	// commandTimeout bounds one exchange with a worker.
+	// exchangeTimeout limits one exchange with a worker.
 	commandTimeout = time.Second
-	// While a batch task runs, its worker is asked again after a part of the time that
-	// the task has taken so far: its end is known late by that part at most.
-	pollPart  = 4
+	// pollDivisor sets how often a worker with batch tasks is polled: after the time since a
+	// batch task was last started on it, divided by pollDivisor. The end of that task is
+	// thus noticed late by at most a quarter of its run time.
+	pollPart = 4
+	// minPollInterval is the shortest interval that results from pollDivisor.
 	pollLeast = 100 * time.Millisecond
 )
 
-// workerDuty speaks with one worker. Its fields are guarded by the engine's lock.
+// workerController sends commands to one worker and processes its reports. Its fields are
+// guarded by the engine's lock.
 type workerDuty struct {
 	engine *Engine
 	host   store.Host
 	wakeUp chan struct{}
 
-	leaving  bool
+	leaving  bool // the worker is being drained and takes no new tasks
 	status   worker.Status
 	clocked  bool // status holds the worker's clock, so that commands can be sent
-	reported bool // the worker has answered a command of this epoch
+	reported bool // the worker has answered a command of this epoch and was not lost since
 	sequence int64
 	started  clock.Time // when a batch task was last started
-	// lapse is when all leases that were given to the worker have ended for certain.
+	// leasesExpire is when all leases that were given to the worker have certainly expired.
 	lapse clock.Time
 
-	tasks    map[string]progress
+	tasks map[string]progress // the tasks that are placed on the worker
+
+	// The maps of pending commands, by task id, hold what the worker has not acknowledged yet.
 	starting map[string]worker.Task
 	draining map[string]bool
-	drained  map[string]bool // the drain was ordered before
+	drained  map[string]bool // tasks for which a drain was requested, acknowledged or not
 	stopping map[string]bool
-	forget   map[string]bool
+	forget   map[string]bool // ended tasks whose result the worker need not keep
 }
 
-// progress says how far the start of a task has come.
+// startState says how far the start of a task has come.
 type progress int
 
 const (
-	placedOnly   progress = iota // nothing was sent: the task certainly does not run
-	sent                         // it may run
-	acknowledged                 // the worker has taken it
+	placedOnly   progress = iota // not sent to the worker: the task certainly does not run
+	sent                         // sent to the worker: the task may run
+	acknowledged                 // accepted by the worker
 )
 
 func newWorkerDuty(e *Engine, h store.Host) *workerDuty {
@@ -90,15 +95,15 @@
 	w.wake()
 }
 
-// drop forgets a task that no longer runs, and returns how far its start had come.
+// removeTask removes a task that no longer runs, and returns how far its start had come.
 func (w *workerDuty) drop(id string) progress {
-	p := w.tasks[id]
+	state := w.tasks[id]
 	delete(w.tasks, id)
 	delete(w.starting, id)
 	delete(w.draining, id)
 	delete(w.drained, id)
 	delete(w.stopping, id)
-	return p
+	return state
 }
 
 func (w *workerDuty) stop(id string) {
@@ -106,6 +111,8 @@
 	w.wake()
 }
 
+// triggerExchange makes the controller exchange commands and a report with the worker
+// without waiting for its next interval.
 func (w *workerDuty) wake() {
 	select {
 	case w.wakeUp <- struct{}{}:
@@ -113,7 +120,7 @@
 	}
 }
 
-// run is the duty of one worker.
+// run exchanges commands and reports with the worker until ctx ends.
 func (w *workerDuty) run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -129,21 +136,21 @@
 	}
 }
 
-// nextExchange is how long to wait for the next report. A batch task that was started a
-// short while ago may be a short one, so that its end is asked for soon, and ever less
-// often the longer it takes.
+// exchangeDelay returns how long to wait until the next exchange; err is the error of the
+// last one. A batch task that was started recently may be short, so the worker is polled
+// soon, and less and less often the longer the task takes.
 func (w *workerDuty) nextExchange(err error) time.Duration {
 	e := w.engine
-	most := e.cfg.ReportEvery
+	longest := e.cfg.ReportEvery
 	if err != nil {
-		return min(most, commandTimeout)
+		return min(longest, commandTimeout)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !w.runsBatch() {
-		return most
+		return longest
 	}
-	return min(max(e.now().Sub(w.started)/pollPart, pollLeast), most)
+	return min(max(e.now().Sub(w.started)/pollPart, pollLeast), longest)
 }
 
 func (w *workerDuty) runsBatch() bool {
@@ -155,7 +162,7 @@
 	return false
 }
 
-// exchange sends one set of commands and takes the worker's report in.
+// exchange sends one set of commands to the worker and processes the report that it returns.
 func (w *workerDuty) exchange(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
@@ -182,7 +189,7 @@
 	return nil
 }
 
-// readClock asks for a status when the worker's clock is not known.
+// readClock requests the worker's status when its clock is not known.
 func (w *workerDuty) readClock(ctx context.Context) error {
 	e := w.engine
 	e.mu.Lock()
@@ -201,7 +208,9 @@
 	return nil
 }
 
-// commands builds what is to be sent now, under the authority that there is.
+// buildCommands returns the commands to be sent now. They are valid until the engine's
+// authority ends; there are none, and the result is false, once it has ended. The caller
+// holds the engine's lock.
 func (w *workerDuty) commands() (worker.Commands, bool) {
 	e := w.engine
 	epoch, until, ok := e.deps.Authority()
@@ -229,14 +238,14 @@
 	return cmds, true
 }
 
-// failed takes in that an exchange failed. When every lease has lapsed, the tasks on the
-// worker have certainly ended.
+// handleFailure processes a failed exchange. Once all leases that were given to the worker
+// have expired, its tasks have certainly ended, and the worker is removed from placement.
 func (w *workerDuty) failed(err error) {
 	e := w.engine
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if errors.Is(err, worker.ErrStale) {
-		w.clocked = false // the clock may have jumped with a restart of the worker
+		w.clocked = false // the worker may have restarted with another clock reading
 	}
 	if !w.reported || e.now() <= w.lapse {
 		return
@@ -252,7 +261,7 @@
 	w.draining, w.drained, w.stopping = map[string]bool{}, map[string]bool{}, map[string]bool{}
 }
 
-// answered takes a report in. The caller holds the engine's lock.
+// handleStatus processes the worker's answer to cmds. The caller holds the engine's lock.
 func (w *workerDuty) answered(cmds worker.Commands, status worker.Status) {
 	w.acknowledge(cmds)
 	w.status = status
@@ -278,7 +287,8 @@
 	e.wake()
 }
 
-// acknowledge marks what the worker has taken.
+// acknowledge removes the commands that the worker has answered from the pending ones, and
+// marks the started tasks as accepted.
 func (w *workerDuty) acknowledge(cmds worker.Commands) {
 	for _, t := range cmds.Start {
 		delete(w.starting, t.ID)
--- a/pkg/shard/reports.go
+++ b/pkg/shard/worker_reports.go
@@ -10,15 +10,16 @@
 	"github.com/sirupsen/logrus"
 )
 
-// endpointState is what the engine needs of an endpoint besides routing.
+// endpointState is the state of an endpoint that the router does not hold.
 type endpointState struct {
 	address  netip.AddrPort
 	workload string
-	// doubtSince is since when the endpoint may run requests that nobody here waits for.
+	// foreignSince is when the endpoint last may have received a request whose answer this
+	// owner does not wait for: when this owner's epoch began, or when an answer was lost.
 	doubtSince clock.Time
 }
 
-// reportedTask takes in what a worker says of one task.
+// handleReport processes a worker's report about one task.
 func (e *Engine) reportedTask(w *workerDuty, r worker.Report) {
 	switch {
 	case r.State == worker.Running || r.State == worker.Draining:
@@ -55,25 +56,28 @@
 	}
 }
 
-// adopt records a task that runs on a worker though this owner did not start it there. A
-// task that this owner believes elsewhere is left alone: it ends with its lease.
+// adopt records a task that a worker runs although this owner did not start it there, and
+// says whether it did so. A task that is placed on another worker is not adopted; its
+// lease is not renewed, and it ends when the lease expires.
 func (e *Engine) adopt(w *workerDuty, r worker.Report) bool {
 	if other, ok := e.placer.WorkerOf(r.ID); ok && other != w.host.ID {
 		e.log("task_elsewhere", logrus.Fields{"task": r.ID, "worker": w.host.ID, "placed_on": other})
 		return false
 	}
 	t := placement.Task{ID: r.ID, Workload: r.Workload, Resources: r.Resources}
-	if known, ok := e.tree.Workloads[r.Workload]; ok {
-		t = taskOf(known, r.ID)
+	if workload, ok := e.tree.Workloads[r.Workload]; ok {
+		t = taskOf(workload, r.ID)
 		t.Resources = r.Resources
 	}
 	e.placer.Found(t, w.host.ID)
 	w.tasks[r.ID] = acknowledged
-	w.wake() // so that the lease is renewed under this epoch soon
+	w.wake() // renews the lease under this epoch soon
 	e.log("task_found", logrus.Fields{"task": r.ID, "worker": w.host.ID})
 	return true
 }
 
+// updateEndpoint adds the endpoint of a running service task to the router, or replaces it
+// when its address has changed.
 func (e *Engine) putEndpoint(r worker.Report) {
 	state, known := e.endpoints[r.ID]
 	if known && state.address == r.Endpoint {
@@ -95,13 +99,14 @@
 	}
 }
 
-// reportedEnd takes in a batch task that is over and whose result the worker keeps.
+// handleBatchReport processes the report of a batch task that has ended and whose result
+// the worker keeps.
 func (e *Engine) reportedEnd(w *workerDuty, r worker.Report) {
 	id := batch.ID(r.ID)
 	record, ok := e.book.Get(id)
 	switch {
 	case !ok && !e.recovery.batchesIn:
-		return // the store has not told yet whose it is
+		return // the request has not been read from the store yet
 	case !ok || record.State.Ended():
 		w.forget[r.ID] = true
 		w.drop(r.ID)
@@ -120,7 +125,8 @@
 	e.endBatch(batch.End{ID: id, State: state, Worker: w.host.ID, Result: r.Result}, w)
 }
 
-// drainWorker has all service tasks of a worker finish; batch tasks run to their end.
+// drainWorker closes a worker to new tasks and drains its service tasks. Its batch tasks
+// run to their end.
 func (e *Engine) drainWorker(w *workerDuty) {
 	e.placer.CloseWorker(w.host.ID, true)
 	for id := range w.tasks {
