--- a/pkg/shard/call.go
+++ b/pkg/shard/call.go
@@ -66,26 +66,26 @@
 	if !e.authorized() || e.stopped.Load() {
 		return refusal(result.NoOwner, "this process has no authority over "+e.cfg.Shard.String(), noOwnerRetry)
 	}
-	t, refused := e.admit(c)
+	p, refused := e.admit(c)
 	if refused != nil {
 		return *refused
 	}
-	answer := e.runHereOrElsewhere(t)
-	e.remember(t, answer)
+	answer := e.runHereOrElsewhere(p)
+	e.remember(p, answer)
 	return answer
 }
 
 // runOrDelegate runs a request in this shard or, when the shard has no endpoint for the
 // service, has another shard run it. Only a request with a key is delegated, and only once;
 // its home shard keeps the answer.
-func (e *Engine) runHereOrElsewhere(t *ticket) Answer {
-	if t.call.Delegated || t.call.Key == "" || e.hasEndpoints(t.call.Service) {
-		return e.serve(t)
+func (e *Engine) runHereOrElsewhere(p *ticket) Answer {
+	if p.call.Delegated || p.call.Key == "" || e.hasEndpoints(p.call.Service) {
+		return e.serve(p)
 	}
 	if !e.authorized() {
 		return refusal(result.NoOwner, result.NoOwner.Row().Text, noOwnerRetry)
 	}
-	c := t.call
+	c := p.call
 	c.Delegated = true
 	return e.deps.Delegate(e.cfg.Shard, c)
 }
@@ -107,13 +107,13 @@
 	}
 	e.retries.earn()
 	c.NotRepeatable = c.NotRepeatable || !w.Repeatable
-	t := &ticket{call: c, workload: w, key: c.Caller + "/" + c.Key, decided: make(chan routing.Decision, 1)}
+	p := &ticket{call: c, workload: w, key: c.Caller + "/" + c.Key, decided: make(chan routing.Decision, 1)}
 	if c.Key == "" {
-		t.key = "once/" + uuid.NewString()
-		return t, nil
+		p.key = "once/" + uuid.NewString()
+		return p, nil
 	}
 	if c.Delegated {
-		return t, nil
+		return p, nil
 	}
 	request := keys.Use{
 		Key:    keys.Key{Caller: c.Caller, Text: c.Key},
@@ -122,7 +122,7 @@
 	}
 	v := e.memory.Begin(request, e.deps.Clock.Wall())
 	if v.Kind == keys.Fresh {
-		return t, nil
+		return p, nil
 	}
 	a := answerOf(v)
 	return nil, &a
@@ -166,13 +166,13 @@
 }
 
 // recordAnswer keeps the answer for repeats, or frees the key when the request did not run.
-func (e *Engine) remember(t *ticket, a Answer) {
-	if t.call.Key == "" || t.call.Delegated {
+func (e *Engine) remember(p *ticket, a Answer) {
+	if p.call.Key == "" || p.call.Delegated {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	key := keys.Key{Caller: t.call.Caller, Text: t.call.Key}
+	key := keys.Key{Caller: p.call.Caller, Text: p.call.Key}
 	if a.Code.Row().Ran == result.RanNo {
 		e.memory.Forget(key)
 		return
@@ -182,11 +182,11 @@
 
 // sendWithRetries sends the request. It sends it again when the request certainly did not
 // run, or when it ran and failed and may be repeated, within the retry budget.
-func (e *Engine) serve(t *ticket) Answer {
+func (e *Engine) serve(p *ticket) Answer {
 	var a Answer
 	for range resendMost + 1 {
 		var retry bool
-		if a, retry = e.try(t); !retry || !e.mayResend() {
+		if a, retry = e.try(p); !retry || !e.mayResend() {
 			return a
 		}
 	}
@@ -202,20 +202,20 @@
 
 // attempt waits until an endpoint has a free slot and sends the request to it. retry says
 // whether the request may be sent again.
-func (e *Engine) try(t *ticket) (a Answer, retry bool) {
-	t.request = routing.Request{
-		Service: t.call.Service, Caller: t.call.Caller, Class: t.call.Class,
-		Deadline: t.call.Deadline, Tag: t,
+func (e *Engine) try(p *ticket) (a Answer, retry bool) {
+	p.request = routing.Request{
+		Service: p.call.Service, Caller: p.call.Caller, Class: p.call.Class,
+		Deadline: p.call.Deadline, Tag: p,
 	}
 	e.mu.Lock()
-	e.decide(e.router.Arrive(&t.request, e.now()))
+	e.decide(e.router.Arrive(&p.request, e.now()))
 	e.mu.Unlock()
-	d := <-t.decided
-	e.logRoute(t, d)
+	d := <-p.decided
+	e.logRoute(p, d)
 	if d.Kind != routing.Send {
 		return routeRefusal(d), false
 	}
-	return e.send(t, d.Endpoint)
+	return e.send(p, d.Endpoint)
 }
 
 // deliver passes a routing decision to the call that waits for it. The caller holds the
@@ -259,7 +259,7 @@
 
 // send calls the endpoint and waits for its answer, even when the caller no longer waits,
 // since a request that was sent can't be taken back.
-func (e *Engine) send(t *ticket, to *routing.Endpoint) (a Answer, retry bool) {
+func (e *Engine) send(p *ticket, to *routing.Endpoint) (a Answer, retry bool) {
 	e.mu.Lock()
 	state, ok := e.endpoints[to.ID]
 	e.mu.Unlock()
@@ -268,17 +268,17 @@
 		return refusal(result.SendFailed, "the endpoint has gone", noOwnerRetry), true
 	}
 	began := e.now()
-	limit := min(t.call.Deadline.Sub(began), t.workload.TimeLimit)
+	limit := min(p.call.Deadline.Sub(began), p.workload.TimeLimit)
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	got := e.deps.Endpoints.Call(ctx, state.address, endpoint.Request{
-		Key: t.key, Shard: e.cfg.Shard, Epoch: e.cfg.Epoch,
-		NotRepeatable: t.call.NotRepeatable, Body: t.call.Body, Authorized: e.authorized,
+		Key: p.key, Shard: e.cfg.Shard, Epoch: e.cfg.Epoch,
+		NotRepeatable: p.call.NotRepeatable, Body: p.call.Body, Authorized: e.authorized,
 	})
 	took := e.now().Sub(began)
 	e.release(to, e.outcomeOf(got), took)
-	e.logAnswer(t, to, got, took)
-	return e.conclude(t, to, got)
+	e.logAnswer(p, to, got, took)
+	return e.conclude(p, to, got)
 }
 
 // routingOutcome converts the endpoint's answer to the outcome that the router counts.
@@ -312,7 +312,7 @@
 
 // attemptResult converts the endpoint's answer to the answer of the call; retry says
 // whether the request may be sent again instead.
-func (e *Engine) conclude(t *ticket, to *routing.Endpoint, got endpoint.Answer) (a Answer, retry bool) {
+func (e *Engine) conclude(p *ticket, to *routing.Endpoint, got endpoint.Answer) (a Answer, retry bool) {
 	a.Endpoint = to.ID
 	switch got.Outcome {
 	case endpoint.Done:
@@ -320,7 +320,7 @@
 		return a, false
 	case endpoint.Failed:
 		a.Code, a.Message = result.EndpointFailed, got.Err.Error()
-		return a, e.mayRetry(t)
+		return a, e.mayRetry(p)
 	case endpoint.Lost:
 		a.Code, a.Message = result.AnswerLost, got.Err.Error()
 		return a, false
@@ -333,11 +333,11 @@
 
 // mayRunAgain says whether a request that ran and failed may run once more, and counts the
 // retry.
-func (e *Engine) mayRetry(t *ticket) bool {
-	if t.call.NotRepeatable || t.retries >= t.workload.Retries {
+func (e *Engine) mayRetry(p *ticket) bool {
+	if p.call.NotRepeatable || p.retries >= p.workload.Retries {
 		return false
 	}
-	t.retries++
+	p.retries++
 	return true
 }
 
@@ -365,10 +365,10 @@
 	}
 }
 
-func (e *Engine) logRoute(t *ticket, d routing.Decision) {
+func (e *Engine) logRoute(p *ticket, d routing.Decision) {
 	fields := logrus.Fields{
-		"service": t.call.Service, "caller": t.call.Caller, "key": t.key,
-		"decision": d.Kind, "waited_ms": e.now().Sub(t.request.Arrived()).Milliseconds(),
+		"service": p.call.Service, "caller": p.call.Caller, "key": p.key,
+		"decision": d.Kind, "waited_ms": e.now().Sub(p.request.Arrived()).Milliseconds(),
 	}
 	if d.Endpoint != nil {
 		fields["endpoint"] = d.Endpoint.ID
@@ -376,12 +376,12 @@
 	e.deps.Log.WithFields(fields).Info("route")
 }
 
-func (e *Engine) logAnswer(t *ticket, to *routing.Endpoint, got endpoint.Answer, took time.Duration) {
+func (e *Engine) logAnswer(p *ticket, to *routing.Endpoint, got endpoint.Answer, took time.Duration) {
 	if got.Outcome == endpoint.Done {
 		return
 	}
 	e.deps.Log.WithFields(logrus.Fields{
-		"service": t.call.Service, "key": t.key, "endpoint": to.ID,
+		"service": p.call.Service, "key": p.key, "endpoint": to.ID,
 		"outcome": got.Outcome, "took_ms": took.Milliseconds(), "error": got.Err,
 	}).Warn("call_failed")
 }
--- a/pkg/shard/worker_controller.go
+++ b/pkg/shard/worker_controller.go
@@ -193,9 +193,9 @@
 func (w *workerDuty) readClock(ctx context.Context) error {
 	e := w.engine
 	e.mu.Lock()
-	clocked, address := w.clocked, w.host.Address
+	clockKnown, address := w.clocked, w.host.Address
 	e.mu.Unlock()
-	if clocked {
+	if clockKnown {
 		return nil
 	}
 	status, err := e.deps.Workers.Status(ctx, address)
