--- a/pkg/placement/placer.go
+++ b/pkg/placement/placer.go
@@ -172,7 +172,7 @@
 	for team := range teams {
 		cursors = append(cursors, &turn{team: team, share: p.share(team)})
 	}
-	failed := newMisses()
+	failedSearches := newMisses()
 	for len(out) < limit && len(cursors) > 0 {
 		c := slices.MinFunc(cursors, func(a, b *turn) int {
 			return cmp.Or(cmp.Compare(a.share, b.share), cmp.Compare(a.team, b.team))
@@ -183,7 +183,7 @@
 			continue
 		}
 		task := list[c.next]
-		decisions := p.try(task, rank, now, failed, len(cursors) > 1)
+		decisions := p.try(task, rank, now, failedSearches, len(cursors) > 1)
 		started := len(decisions) > 0 && decisions[0].Kind == Start
 		if !started {
 			c.next++
@@ -201,16 +201,16 @@
 
 // tryPlace places one task if a worker is suitable. othersWait says that tasks of other
 // teams in the same class wait too; only then does the quota apply.
-func (p *Placer) try(t *Task, rank int, now clock.Time, failed misses, othersWait bool) []Decision {
+func (p *Placer) try(t *Task, rank int, now clock.Time, failedSearches misses, othersWait bool) []Decision {
 	if rank != settings.ClassUrgent.Rank() && othersWait && p.overQuota(t) {
 		return nil
 	}
-	if t.Class != settings.ClassUrgent && failed.covers(t) {
+	if t.Class != settings.ClassUrgent && failedSearches.covers(t) {
 		return nil
 	}
 	w, examined := p.choose(t)
 	if w == nil {
-		failed.add(t)
+		failedSearches.add(t)
 		return p.missed(t, now)
 	}
 	task := *t
