--- a/pkg/placement/model.go
+++ b/pkg/placement/model.go
@@ -72,7 +72,7 @@
 	at       int    // its position in the bucket
 }
 
-// placedTask is a task that is placed on a worker.
+// placed is a task that is placed on a worker.
 type placed struct {
 	Task
 	worker    *worker
--- a/pkg/shard/engine.go
+++ b/pkg/shard/engine.go
@@ -25,7 +25,7 @@
 	Epoch cell.Epoch
 	// TaskLease is the duration of a worker's lease on its tasks.
 	TaskLease time.Duration
-	// ReportInterval is the longest time between two exchanges with a worker, each of which
+	// ReportEvery is the longest time between two exchanges with a worker, each of which
 	// renews the worker's leases and returns its report.
 	ReportEvery time.Duration
 	// MaxTransitTime is the longest time for which something that the previous owner sent may
@@ -233,7 +233,7 @@
 	}
 }
 
-// triggerPlacement makes the placement goroutine run without waiting for its next interval.
+// wake makes the placement goroutine run without waiting for its next interval.
 func (e *Engine) wake() {
 	select {
 	case e.kick <- struct{}{}:
--- a/pkg/shard/tasks.go
+++ b/pkg/shard/tasks.go
@@ -107,7 +107,7 @@
 	return t
 }
 
-// runPlacement places waiting tasks at each interval and whenever triggerPlacement is called.
+// runPlacement places waiting tasks at each interval and whenever wake is called.
 func (e *Engine) place(ctx context.Context) {
 	ticker := time.NewTicker(placeEvery)
 	defer ticker.Stop()
--- a/pkg/shard/worker_controller.go
+++ b/pkg/shard/worker_controller.go
@@ -111,7 +111,7 @@
 	w.wake()
 }
 
-// triggerExchange makes the controller exchange commands and a report with the worker
+// wake makes the controller exchange commands and a report with the worker
 // without waiting for its next interval.
 func (w *workerDuty) wake() {
 	select {
