--- a/pkg/placement/queries.go
+++ b/pkg/placement/queries.go
@@ -71,7 +71,7 @@
 	return text
 }
 
-// rejectReason returns why the worker can't take the task now, or "suitable" when it can.
+// rejectReason returns why the worker can't take the task now, or "would do" when it can.
 func (w *worker) refusal(t *Task) string {
 	allowed, reason := t.Place.Allows(w.Site)
 	free := w.free()
@@ -81,13 +81,13 @@
 	case w.closed:
 		return "takes no new tasks"
 	case w.reserved != "" && w.reserved != t.ID:
-		return "reserved for " + w.reserved
+		return "kept free for " + w.reserved
 	case t.Resources.CPUMillis > free.CPUMillis:
-		return "not enough free processors"
+		return "too few processors free"
 	case t.Resources.MemoryMB > free.MemoryMB:
-		return "not enough free memory"
+		return "too little memory free"
 	case t.Resources.Accelerators > free.Accelerators:
-		return "not enough free accelerators"
+		return "too few accelerators free"
 	}
-	return "suitable"
+	return "would do"
 }
