--- a/pkg/endpoint/client.go
+++ b/pkg/endpoint/client.go
@@ -15,7 +15,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// The wire to an endpoint.
+// Paths, headers and header values of the HTTP protocol between an owner and an endpoint.
 const (
 	CallPath   = "/"
 	HealthPath = "/health"
@@ -25,37 +25,38 @@
 	EpochHeader         = "Foldarch-Epoch"
 	NotRepeatableHeader = "Foldarch-Not-Repeatable"
 
-	// RefusedHeader in an answer says that the request did not run, and why. A status
-	// alone does not say so: a service may answer 503 after it has run half of a request.
+	// RefusedHeader in an answer says that the request did not run, and why. The HTTP status
+	// does not show this: a service may answer 503 after it has run half of a request.
 	RefusedHeader  = "Foldarch-Refused"
-	RefusedLeaving = "leaving" // the endpoint takes no new work
-	RefusedStale   = "stale"   // the epoch is too low
+	RefusedLeaving = "leaving" // the endpoint accepts no new requests
+	RefusedStale   = "stale"   // the endpoint has seen a higher epoch
 )
 
-// idleConns is how many unused connections are kept to one endpoint: its slots and a few.
+// maxIdleConns bounds the unused connections that are kept to one endpoint. It is somewhat
+// above the usual number of slots.
 const idleConns = 16
 
-// Outcome says what is known of a call.
+// Outcome says what is known of a request after a call.
 type Outcome int
 
-// The outcomes.
+// The outcomes of a call.
 const (
-	Done    Outcome = iota // it ran; the answer is whole
-	Failed                 // it ran, or may have, and the endpoint answered with an error
+	Done    Outcome = iota // it ran, and the answer is complete
+	Failed                 // it ran, or may have, but the answer is an error or too large
 	NotRun                 // it certainly did not run
-	Leaving                // it did not run, and the endpoint takes no new work
-	Lost                   // it was sent and no whole answer came
+	Leaving                // it did not run, and the endpoint accepts no new requests
+	Lost                   // it may have been sent, and no complete answer arrived
 )
 
-// Request is one call.
+// Request is a request to an endpoint.
 type Request struct {
 	Key           string
 	Shard         cell.ShardID
 	Epoch         cell.Epoch
 	NotRepeatable bool
 	Body          []byte
-	// Authorized is asked at the last moment before the request is written to the
-	// connection; when it says no, nothing is sent.
+	// Authorized is called immediately before the request is written to the connection. If
+	// it returns false, the request is not sent. It may be nil.
 	Authorized func() bool
 }
 
@@ -64,17 +65,17 @@
 	return [...]string{"done", "failed", "not_run", "leaving", "lost"}[o]
 }
 
-// Answer is what came of a call.
+// Answer is the result of a call.
 type Answer struct {
 	Outcome Outcome
 	Body    []byte
-	Err     error // for Failed, NotRun and Lost
+	Err     error // set for every outcome but Done
 }
 
-// Health is what an endpoint may tell of itself.
+// Health is the state that an endpoint may report at HealthPath.
 type Health struct {
-	InUse   int  `json:"in_use"`
-	Leaving bool `json:"leaving"`
+	InUse   int  `json:"in_use"`  // running requests
+	Leaving bool `json:"leaving"` // the endpoint accepts no new requests
 }
 
 // Client calls endpoints. It is safe for concurrent use.
@@ -83,15 +84,15 @@
 	maxBody int64
 }
 
-// New returns a client that reads answers up to maxBody bytes.
+// New returns a client that accepts answers of up to maxBody bytes.
 func New(d *dialer.Dialer, maxBody int64) *Client {
 	return &Client{http: &http.Client{Transport: d.Transport(idleConns)}, maxBody: maxBody}
 }
 
-// ErrNoAuthority is the cause of NotRun when Authorized stopped a request at the last moment.
+// ErrNoAuthority is the error of a request that was not sent because Authorized returned false.
 var ErrNoAuthority = errors.New("authority ended before the request was sent")
 
-// Call sends a request to an endpoint and waits for its whole answer until ctx ends.
+// Call sends a request to an endpoint and waits for its complete answer until ctx ends.
 func (c *Client) Call(ctx context.Context, address netip.AddrPort, r Request) Answer {
 	body := &guardedBody{data: r.Body, authorized: r.Authorized}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, fmt.Sprintf("http://%s%s", address, CallPath), body)
@@ -116,7 +117,7 @@
 	return c.read(resp)
 }
 
-// failedSend decides whether the endpoint can have seen the whole request.
+// classifySendError decides whether the endpoint may have received the complete request.
 func failedSend(err error, body *guardedBody) Answer {
 	if body.withhold() || dialer.NotSent(err) {
 		return Answer{Outcome: NotRun, Err: errors.Wrap(err, "send to endpoint")}
@@ -124,6 +125,7 @@
 	return Answer{Outcome: Lost, Err: errors.Wrap(err, "answer of endpoint")}
 }
 
+// readAnswer reads the response of an endpoint and determines the outcome of the request.
 func (c *Client) read(resp *http.Response) Answer {
 	switch resp.Header.Get(RefusedHeader) {
 	case RefusedLeaving:
@@ -144,9 +146,10 @@
 	return Answer{Outcome: Done, Body: data}
 }
 
-// Health asks an endpoint how many requests it runs; ok is false when it does not tell.
-func (c *Client) Health(ctx context.Context, address netip.AddrPort, limit time.Duration) (h Health, ok bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+// Health asks an endpoint how many requests it runs and whether it is leaving. ok is false if
+// the endpoint does not report this.
+func (c *Client) Health(ctx context.Context, address netip.AddrPort, timeout time.Duration) (h Health, ok bool, err error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s%s", address, HealthPath), nil)
 	if err != nil {
--- a/pkg/endpoint/doc.go
+++ b/pkg/endpoint/doc.go
@@ -1,25 +1,25 @@
-// Package endpoint is the client of the instances of services. It is the only package
-// that knows how a request travels to an endpoint: as an HTTP POST whose body is the
-// caller's body.
+// Package endpoint is the client for service endpoints, which are the instances of a service.
+// It is the only package that knows how a request is sent to an endpoint: as an HTTP POST
+// whose body is the body of the caller's request.
 //
-// Call answers the one question on which retries and the promise "not run" rest: is it
-// known that the request did not run? Go's HTTP transport sends some requests a second
-// time by itself; for that reason the caller's key does not travel under the name
-// Idempotency-Key, which would allow the transport to do so, and the body can't be read
-// a second time.
+// The outcome that Call returns states whether a request is known not to have run. Retries and
+// the result codes of class 2xx ("not run") depend on this. Go's HTTP transport repeats some
+// requests by itself. To prevent that, the caller's key is not sent as Idempotency-Key, which
+// would permit the transport to repeat the request, and the body can be read only once.
 //
-// An endpoint may know nothing of foldarch. Three things help when it does: it can say in the
-// RefusedHeader of an answer that it takes no new work, it can refuse there a lower epoch
-// than it has seen, and it can tell how many requests it runs under HealthPath, which lets
-// a new owner take over without waiting out the longest request.
+// An endpoint needs to know nothing of foldarch, but it can support it in three ways: state in
+// the RefusedHeader of an answer that it accepts no new requests; refuse, with the same header, a
+// request of a lower epoch than it has seen; and report at HealthPath how many requests it
+// runs. The last one spares a new owner of a shard from waiting for the time limit of the requests
+// that its predecessor sent.
 //
 // # Usage
 //
-//	c := endpoint.New(dialer)
+//	c := endpoint.New(dialer, maxBody)
 //	answer := c.Call(ctx, address, endpoint.Request{Key: "k", Body: body})
 //	switch answer.Outcome {
-//	case endpoint.Done, endpoint.Failed: // it ran
-//	case endpoint.NotRun:                // it certainly did not
-//	case endpoint.Lost:                  // nobody knows
+//	case endpoint.Done, endpoint.Failed: // it ran, or may have
+//	case endpoint.NotRun:                // it certainly did not run
+//	case endpoint.NoAnswer:              // it is unknown whether it ran
 //	}
 package endpoint
--- a/pkg/endpoint/guarded_body.go
+++ b/pkg/endpoint/guarded_body.go
@@ -5,19 +5,19 @@
 	"sync"
 )
 
-// guardedBody is a request body that asks for authority once more when the transport
-// begins to read it, and remembers whether it did. The transport holds the head of a
-// request back in its buffer until then, so a refusal keeps the whole request from being
-// understood by the endpoint: it announces a body that never comes.
+// guardedBody is a request body that checks the authority once more when the HTTP transport
+// begins to read it. Until then the transport keeps the headers of the request in its buffer.
+// If the authority has ended, Read fails: the endpoint never receives a complete request,
+// since the headers announce a body that does not follow.
 type guardedBody struct {
 	mu         sync.Mutex
 	data       []byte
-	authorized func() bool
+	authorized func() bool // may be nil
 	begun      bool
 	refused    bool
 }
 
-// Read gives the body out, or ErrNoAuthority.
+// Read reads from the body, or returns ErrNoAuthority.
 func (b *guardedBody) Read(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -36,13 +36,14 @@
 	return n, nil
 }
 
-// Close does nothing: the data needs no release.
+// Close implements io.Closer; there is nothing to release.
 func (b *guardedBody) Close() error {
 	return nil
 }
 
-// withhold makes sure that a body which has not been read yet never will be, and reports
-// whether that is so. The transport may still be about to read it after Do has returned.
+// preventRead makes all later reads fail unless the body has been read from already. It
+// reports whether the body has not been and will not be read. This is needed because the
+// transport may begin to read a body after http.Client.Do has returned.
 func (b *guardedBody) withhold() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pkg/peer/client.go
+++ b/pkg/peer/client.go
@@ -21,24 +21,26 @@
 	poolExpiration  = 30 * time.Second
 )
 
-// Client calls peers. It is safe for concurrent use.
+// Client calls peers over pooled connections. It is safe for concurrent use.
 type Client struct {
 	dialer *dialer.Dialer
 	pool   *drpcpool.Pool[netip.AddrPort, drpcpool.Conn]
 }
 
-// NewClient returns a client without connections.
+// NewClient returns a client that opens its connections with d when they are needed.
 func NewClient(d *dialer.Dialer) *Client {
 	return &Client{dialer: d, pool: drpcpool.New[netip.AddrPort, drpcpool.Conn](drpcpool.Options{
 		Capacity: poolCapacity, KeyCapacity: poolKeyCapacity, Expiration: poolExpiration,
 	})}
 }
 
-// Close closes all connections.
+// Close closes all pooled connections.
 func (c *Client) Close() {
 	_ = c.pool.Close()
 }
 
+// rpcClient returns a client of the peer at an address. Its calls take their connection from
+// the pool or open a new one.
 func (c *Client) peer(ctx context.Context, address netip.AddrPort) peerpb.DRPCPeerClient {
 	return peerpb.NewDRPCPeerClient(c.pool.Get(ctx, address,
 		func(ctx context.Context, address netip.AddrPort) (drpcpool.Conn, error) {
@@ -50,32 +52,33 @@
 		}))
 }
 
-// Beat exchanges with a peer what each knows of itself.
+// Heartbeat sends this process's description of itself to a peer and returns the peer's.
 func (c *Client) Beat(ctx context.Context, address netip.AddrPort, self members.Member) (members.Member, error) {
 	got, err := c.peer(ctx, address).Beat(ctx, wireMember(self))
 	if err != nil {
-		return members.Member{}, errors.Wrapf(err, "beat to %s", address)
+		return members.Member{}, errors.Wrapf(err, "heartbeat to %s", address)
 	}
 	return memberOf(got)
 }
 
-// Ask asks a successor for a grant.
-func (c *Client) Ask(ctx context.Context, address netip.AddrPort, shard cell.ShardID, ask ownership.Ask) (ownership.Reply, error) {
+// RequestGrant asks the successor of a shard for a grant. The record is sent only until the
+// successor has answered once, which a non-zero Echo shows.
+func (c *Client) Ask(ctx context.Context, address netip.AddrPort, shard cell.ShardID, grantRequest ownership.Ask) (ownership.Reply, error) {
 	request := &peerpb.GrantRequest{
-		Shard: shard.String(), Epoch: int64(ask.Epoch), OwnerIncarnation: ask.Owner.Incarnation,
-		Revision: ask.Revision, Echo: ask.Echo,
+		Shard: shard.String(), Epoch: int64(grantRequest.Epoch), OwnerIncarnation: grantRequest.Owner.Incarnation,
+		Revision: grantRequest.Revision, Echo: grantRequest.Echo,
 	}
-	if ask.Echo == 0 {
-		request.Record = ask.Record.String()
+	if grantRequest.Echo == 0 {
+		request.Record = grantRequest.Record.String()
 	}
 	got, err := c.peer(ctx, address).Grant(ctx, request)
 	if err != nil {
-		return ownership.Reply{}, errors.Wrapf(err, "ask %s for a grant", address)
+		return ownership.Reply{}, errors.Wrapf(err, "request a grant from %s", address)
 	}
 	return ownership.Reply{Granted: got.Granted, Clock: got.Clock}, nil
 }
 
-// Forward hands a request to the owner of a shard.
+// Forward sends a request to the process that owns its shard and returns that process's answer.
 func (c *Client) Forward(ctx context.Context, address netip.AddrPort, r Request) (Answer, error) {
 	got, err := c.peer(ctx, address).Forward(ctx, wireRequest(r))
 	if err != nil {
@@ -84,7 +87,7 @@
 	return answerOf(got), nil
 }
 
-// Settings fetches the settings that a peer has in force.
+// Settings fetches the settings that are in force at a peer.
 func (c *Client) Settings(ctx context.Context, address netip.AddrPort) (revision int64, docs map[string]string, err error) {
 	got, err := c.peer(ctx, address).Settings(ctx, &peerpb.SettingsRequest{})
 	if err != nil {
@@ -93,7 +96,7 @@
 	return got.Revision, got.Documents, nil
 }
 
-// millis is for the wire.
+// millis converts a duration to the unit of the messages.
 func millis(d time.Duration) int64 {
 	return d.Milliseconds()
 }
--- a/pkg/peer/doc.go
+++ b/pkg/peer/doc.go
@@ -1,16 +1,15 @@
-// Package peer is the wire between foldarch's own processes: drpc over TCP
-// (api/peer.proto). Client calls a peer at an address, Serve answers calls with a Server
-// of functions. The rest of the system sees the types of its own packages and none of the
-// wire's.
+// Package peer is the RPC protocol between foldarch's own processes: drpc over TCP, as
+// api/peer.proto defines it. Client calls a peer at an address, and Serve answers such calls
+// by means of Handlers. Other packages see their own types only, not the generated ones.
 //
-// A drpc connection carries one call at a time, so the client keeps a pool of them.
+// A drpc connection carries one call at a time, so the client keeps a pool of connections.
 //
 // # Usage
 //
 //	c := peer.NewClient(dialer)
-//	member, err := c.Beat(ctx, address, self)
+//	member, err := c.Heartbeat(ctx, address, self)
 //	answer, err := c.Forward(ctx, address, request)
 //	if dialer.NotSent(err) {
-//		// the peer was not reached: the request certainly did not run there
+//		// no connection to the peer could be opened: the request certainly did not run there
 //	}
 package peer
--- a/pkg/peer/messages.go
+++ b/pkg/peer/messages.go
@@ -14,7 +14,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Kind says what a request asks for.
+// RequestKind says what a request asks for.
 type Kind int32
 
 // The kinds of request.
@@ -26,7 +26,7 @@
 	Explain     = Kind(peerpb.RequestKind_EXPLAIN)
 )
 
-// Request is a request on its way to the owner of a shard.
+// Request is a request to the owner of a shard. Which fields are set depends on its kind.
 type Request struct {
 	Kind          Kind
 	Shard         cell.ShardID
@@ -35,20 +35,21 @@
 	Key           string
 	ID            string // of a batch request or a worker
 	IssuedAt      time.Time
-	TimeLeft      time.Duration
+	TimeLeft      time.Duration // until the deadline
 	Class         routing.Class
 	NotRepeatable bool
-	Delegated     bool
+	Delegated     bool // the key's home is another shard, which keeps the answer
 	Body          []byte
 }
 
-// Repeatable says that the request may be given to another owner when it is not known
-// what came of it: the owner of the key decides whether it runs again.
+// Repeatable reports whether the request may be forwarded to the shard's new owner when the
+// answer of the previous one did not arrive. This is safe for a call at its key's home shard, whose
+// owner decides whether the call runs again, and for every request other than a call.
 func (r Request) Repeatable() bool {
 	return r.Kind != Call || (r.Key != "" && !r.Delegated)
 }
 
-// Answer is the final answer of an owner.
+// Answer is the owner's final answer to a request.
 type Answer struct {
 	Code       result.Code
 	Message    string
--- a/pkg/peer/server.go
+++ b/pkg/peer/server.go
@@ -13,7 +13,7 @@
 	"storj.io/drpc/drpcserver"
 )
 
-// Handlers are the functions that answer calls of peers.
+// Handlers are the functions that answer the calls of peers, one for each call of Client.
 type Handlers struct {
 	Beat     func(members.Member) members.Member
 	Grant    func(cell.ShardID, ownership.Ask) ownership.Reply
@@ -21,7 +21,7 @@
 	Settings func() (revision int64, docs map[string]string)
 }
 
-// Serve answers calls until ctx ends.
+// Serve answers the calls that arrive at l until ctx ends.
 func Serve(ctx context.Context, l net.Listener, h Handlers) error {
 	mux := drpcmux.New()
 	if err := peerpb.DRPCRegisterPeer(mux, &server{h}); err != nil {
@@ -30,11 +30,12 @@
 	return drpcserver.New(mux).Serve(ctx, l)
 }
 
+// server implements the generated server interface on top of Handlers.
 type server struct {
 	handlers Handlers
 }
 
-// Beat answers an exchange of members.
+// Beat answers a heartbeat with this process's description of itself.
 func (s *server) Beat(_ context.Context, w *peerpb.Member) (*peerpb.Member, error) {
 	m, err := memberOf(w)
 	if err != nil {
@@ -43,26 +44,26 @@
 	return wireMember(s.handlers.Beat(m)), nil
 }
 
-// Grant answers an owner that asks for a grant.
+// Grant answers an owner's request for a grant.
 func (s *server) Grant(_ context.Context, w *peerpb.GrantRequest) (*peerpb.GrantReply, error) {
 	shard, err := cell.ParseShardID(w.Shard)
 	if err != nil {
 		return nil, err
 	}
-	ask := ownership.Ask{
+	grantRequest := ownership.Ask{
 		Epoch: cell.Epoch(w.Epoch), Owner: ownership.Holder{Incarnation: w.OwnerIncarnation},
 		Revision: w.Revision, Echo: w.Echo,
 	}
 	if w.Record != "" {
-		if ask.Record, err = ownership.ParseRecord(w.Record); err != nil {
+		if grantRequest.Record, err = ownership.ParseRecord(w.Record); err != nil {
 			return nil, err
 		}
 	}
-	reply := s.handlers.Grant(shard, ask)
+	reply := s.handlers.Grant(shard, grantRequest)
 	return &peerpb.GrantReply{Granted: reply.Granted, Clock: reply.Clock}, nil
 }
 
-// Forward answers a request for a shard.
+// Forward answers a request to the owner of a shard.
 func (s *server) Forward(ctx context.Context, w *peerpb.Request) (*peerpb.Answer, error) {
 	r, err := requestOf(w)
 	if err != nil {
@@ -71,7 +72,7 @@
 	return wireAnswer(s.handlers.Forward(ctx, r)), nil
 }
 
-// Settings hands over the settings in force.
+// Settings returns the settings in force.
 func (s *server) Settings(context.Context, *peerpb.SettingsRequest) (*peerpb.SettingsReply, error) {
 	revision, docs := s.handlers.Settings()
 	return &peerpb.SettingsReply{Revision: revision, Documents: docs}, nil
--- a/pkg/routing/endpoint.go
+++ b/pkg/routing/endpoint.go
@@ -7,60 +7,62 @@
 )
 
 const (
-	ejectAfter     = 3 // failures in a row
+	ejectAfter     = 3 // consecutive failures
 	ejectFirst     = time.Second
 	ejectMost      = 30 * time.Second
-	latencyWeight  = 8 // a new latency counts for one part in so many
-	shrinkNumerat  = 7 // a failure leaves 7/10 of the slots
+	latencyWeight  = 8 // weight of a new latency in the moving average: 1/8
+	shrinkNumerat  = 7 // a failure reduces the usable slots to 7/10
 	shrinkDenomina = 10
 )
 
-// Outcome says how an endpoint served a request.
+// Outcome is the result of sending a request to an endpoint.
 type Outcome int
 
-// The outcomes.
+// The outcomes of a request.
 const (
 	Served    Outcome = iota
 	Failed            // the endpoint answered with an error
-	Lost              // no answer came; the request may still run and keeps its slot
-	Refused           // the endpoint said that it takes no new work
-	Unreached         // the endpoint could not be reached
-	Unsent            // nothing was sent, through no fault of the endpoint
+	Lost              // no answer arrived; the request may still run and occupies its slot
+	Refused           // the endpoint answered that it accepts no new requests
+	Unreached         // no connection to the endpoint could be opened
+	Unsent            // nothing was sent, for a reason other than the endpoint
 )
 
 // Endpoint is one instance of a service.
 type Endpoint struct {
 	ID      string
 	service *service
-	slots   int // what the endpoint has
-	limit   int // what is used of them at present
-	inUse   int // requests sent from here
-	foreign int // requests that may still run there without our waiting for them
-	leaving bool
+	slots   int  // as configured
+	limit   int  // slots that may be used at present; lowered by failures
+	inUse   int  // requests that were sent and whose outcome is still awaited
+	foreign int  // requests that may still run although their outcome is not awaited
+	leaving bool // accepts no new requests
 	removed bool
 
-	latency      time.Duration
+	latency      time.Duration // moving average
 	failures     int
 	ejections    int
 	ejectedUntil clock.Time
 }
 
-// InUse returns how many requests were sent to the endpoint and are not over.
+// InUse returns how many requests were sent to the endpoint and have not been released.
 func (e *Endpoint) InUse() int {
 	return e.inUse
 }
 
-// takes says whether the endpoint can be given a request now.
+// isAvailable reports whether a request can be sent to the endpoint now. After an ejection, and
+// until it succeeds again, an endpoint is given only one request at a time.
 func (e *Endpoint) takes(now clock.Time) bool {
 	busy := e.inUse + e.foreign
 	if e.leaving || e.removed || busy >= e.limit || now < e.ejectedUntil {
 		return false
 	}
-	trying := e.ejections > 0 && e.failures > 0
-	return !trying || busy == 0
+	onProbation := e.ejections > 0 && e.failures > 0
+	return !onProbation || busy == 0
 }
 
-// better says whether e is a better choice than o.
+// preferredOver reports whether e has a lower share of its slots in use than o or, if the
+// shares are equal, a lower latency.
 func (e *Endpoint) better(o *Endpoint) bool {
 	mine := (e.inUse + e.foreign) * o.limit
 	theirs := (o.inUse + o.foreign) * e.limit
@@ -70,6 +72,7 @@
 	return e.latency < o.latency
 }
 
+// release updates the endpoint with the outcome of a request that was sent to it.
 func (e *Endpoint) release(outcome Outcome, latency time.Duration, now clock.Time) {
 	e.inUse--
 	switch outcome {
@@ -86,6 +89,7 @@
 	}
 }
 
+// recordSuccess clears the failures and restores one slot.
 func (e *Endpoint) served(latency time.Duration) {
 	e.failures, e.ejections = 0, 0
 	e.limit = min(e.limit+1, e.slots)
@@ -96,6 +100,8 @@
 	e.latency += (latency - e.latency) / latencyWeight
 }
 
+// recordFailure reduces the usable slots and ejects the endpoint after too many consecutive
+// failures, or after a single one if it has been ejected and has not succeeded since.
 func (e *Endpoint) faulted(now clock.Time) {
 	e.failures++
 	e.limit = max(e.limit*shrinkNumerat/shrinkDenomina, 1)
--- a/pkg/routing/queue.go
+++ b/pkg/routing/queue.go
@@ -1,9 +1,11 @@
 package routing
 
-// queue holds the requests of one class of one service. The callers take turns.
+// queue holds the waiting requests of one class of one service. The callers are served
+// round-robin.
 type queue struct {
 	byCaller map[string]*callerQueue
-	// turns are the callers that have requests, in a ring; the next one is first.
+	// nextCaller is the caller to serve next. It is an element of a ring of all callers
+	// that have waiting requests.
 	turns *callerQueue
 	size  int
 }
@@ -13,10 +15,11 @@
 	caller     string
 	head, tail *Request
 	size       int
-	prev, next *callerQueue // in the ring of turns
+	prev, next *callerQueue // in the ring of callers with waiting requests
 }
 
-// maxIdleCallers bounds what is remembered of callers without requests.
+// maxIdleCallers is the number of known callers from which on those without waiting requests
+// are removed before another one is added.
 const maxIdleCallers = 1024
 
 func newQueue() *queue {
@@ -42,7 +45,7 @@
 	q.size++
 }
 
-// pop takes the first request of the caller whose turn it is.
+// pop removes and returns the oldest request of the next caller, or nil if the queue is empty.
 func (q *queue) pop() *Request {
 	c := q.turns
 	if c == nil {
@@ -60,35 +63,35 @@
 	return r
 }
 
-// heaviest returns the caller with the most requests, and how many those are.
+// largestCaller returns the caller with the most requests and their number.
 func (q *queue) heaviest() (*callerQueue, int) {
 	if q.turns == nil {
 		return nil, 0
 	}
-	most := q.turns
+	largest := q.turns
 	for c := q.turns.next; c != q.turns; c = c.next {
-		if c.size > most.size {
-			most = c
+		if c.size > largest.size {
+			largest = c
 		}
 	}
-	return most, most.size
+	return largest, largest.size
 }
 
-// dropNewest takes the newest request of a caller that has more than one.
+// removeNewestOfMany removes and returns the newest request of a caller that has at least two.
 func (q *queue) dropNewest(c *callerQueue) *Request {
-	before := c.head
-	for before.next != c.tail {
-		before = before.next
+	secondNewest := c.head
+	for secondNewest.next != c.tail {
+		secondNewest = secondNewest.next
 	}
-	dropped := c.tail
-	before.next = nil
-	c.tail = before
+	newest := c.tail
+	secondNewest.next = nil
+	c.tail = secondNewest
 	c.size--
 	q.size--
-	return dropped
+	return newest
 }
 
-// removeIf takes out all requests for which match says so.
+// removeIf removes and returns all requests for which match returns true.
 func (q *queue) removeIf(match func(*Request) bool) []*Request {
 	var removed []*Request
 	for _, c := range q.byCaller {
@@ -128,7 +131,7 @@
 	return removed
 }
 
-// link puts a caller at the end of the ring.
+// addToRing inserts a caller so that it is served after all others in the ring.
 func (q *queue) link(c *callerQueue) {
 	if q.turns == nil {
 		c.prev, c.next = c, c
@@ -152,6 +155,8 @@
 	c.prev, c.next = nil, nil
 }
 
+// forgetIdleCallers removes the callers without waiting requests once maxIdleCallers callers
+// are known.
 func (q *queue) dropIdle() {
 	if len(q.byCaller) < maxIdleCallers {
 		return
--- a/pkg/routing/request.go
+++ b/pkg/routing/request.go
@@ -6,7 +6,7 @@
 	"foldarch.dev/foldarch/pkg/clock"
 )
 
-// Class orders requests; a lower number goes first.
+// Class is the urgency of a request. Requests of a lower class number are sent first.
 type Class int
 
 // The classes of requests.
@@ -17,36 +17,37 @@
 	nClasses
 )
 
-// Request is one request as routing sees it. The caller keeps it until it was decided.
+// Request is one request to route. The caller must not reuse it before it has received a
+// decision other than Queued for it.
 type Request struct {
 	Service  string
 	Caller   string
 	Class    Class
-	Deadline clock.Time // the answer is of no use from then on
-	// Tag belongs to the caller of this package.
+	Deadline clock.Time // from then on the request is not sent any more
+	// Tag is for use by the caller of this package, which does not read it.
 	Tag any
 
 	arrived clock.Time
-	next    *Request
+	next    *Request // of the same caller in the queue
 }
 
-// Arrived returns when the request came in.
+// ArrivedAt returns when the request was passed to Router.Route.
 func (r *Request) Arrived() clock.Time {
 	return r.arrived
 }
 
-// Kind says what was decided.
+// DecisionKind says what was decided about a request.
 type Kind int
 
 // The kinds of decision.
 const (
 	Send      Kind = iota // call the endpoint now
-	Queued                // wait for a further decision
-	QueueFull             // refused: the queue, or the caller's part of it, is full
-	Expired               // refused: the deadline has come
+	Queued                // the request waits; another decision follows
+	QueueFull             // refused: the queue, or the caller's share of it, is full
+	Expired               // refused: the deadline has passed
 	NoService             // refused: the shard has no such service
-	NoSlots               // refused: no endpoint of the service takes work
-	Stopped               // refused: the shard is given up
+	NoSlots               // refused: every endpoint of the service is leaving or ejected
+	Stopped               // refused: this process no longer owns the shard
 )
 
 // String returns the kind's name for logs.
@@ -54,13 +55,15 @@
 	return [...]string{"send", "queued", "queue_full", "expired", "no_service", "no_slots", "stopped"}[k]
 }
 
-// Decision is what was decided of a request.
+// Decision is what was decided about a request.
 type Decision struct {
 	Kind     Kind
 	Request  *Request
-	Endpoint *Endpoint // for Send
-	// RetryAfter is when to come back after a refusal; 0 says that it makes no sense.
+	Endpoint *Endpoint // set if Kind is Send
+	// RetryAfter is how long a refused caller should wait before it retries; 0 means that a
+	// retry is of no use.
 	RetryAfter time.Duration
-	// Evicted is a queued request that is refused as QueueFull to make room for this one.
+	// Evicted is a waiting request that was removed from the queue in favour of this one. Its
+	// caller is refused with QueueFull.
 	Evicted *Request
 }
--- a/pkg/routing/router.go
+++ b/pkg/routing/router.go
@@ -7,15 +7,16 @@
 	"foldarch.dev/foldarch/pkg/clock"
 )
 
-// firstRetry is told to refused callers of a service whose speed is not known yet.
+// defaultRetryAfter is the retry delay for callers of a service that has not answered yet, so
+// that its latency is unknown, or that has no usable slots.
 const firstRetry = 200 * time.Millisecond
 
-// Service is what routing needs to know of a service.
+// Service holds the limits of a service.
 type Service struct {
 	QueueLimit int
 }
 
-// Router decides for the endpoints of one shard.
+// Router assigns requests to the endpoints of one shard.
 type Router struct {
 	services  map[string]*service
 	endpoints map[string]*Endpoint
@@ -23,9 +24,9 @@
 
 type service struct {
 	Service
-	endpoints []*Endpoint // in the order of their ids
+	endpoints []*Endpoint // sorted by id
 	queues    [nClasses]*queue
-	latency   time.Duration // of all endpoints, smoothed
+	latency   time.Duration // moving average over all endpoints
 }
 
 // New returns a router without services.
@@ -46,7 +47,8 @@
 	r.services[name] = added
 }
 
-// RemoveService takes a service away and returns the requests that were waiting for it.
+// RemoveService removes a service and its endpoints, and returns the requests that were
+// waiting for it.
 func (r *Router) RemoveService(name string) []*Request {
 	s, ok := r.services[name]
 	if !ok {
@@ -60,8 +62,9 @@
 	return s.drain(func(*Request) bool { return true })
 }
 
-// PutEndpoint adds an endpoint. Of an endpoint that may still run requests of a former
-// owner, all slots count as taken until Foreign tells otherwise.
+// PutEndpoint adds an endpoint or changes the number of its slots. An inherited endpoint may
+// still run requests that a previous owner of the shard sent, so all its slots count as in use
+// until UpdateOrphans says otherwise.
 func (r *Router) PutEndpoint(serviceName, id string, slots int, inherited bool) {
 	s, ok := r.services[serviceName]
 	if !ok {
@@ -81,6 +84,7 @@
 	slices.SortFunc(s.endpoints, func(a, b *Endpoint) int { return compareIDs(a.ID, b.ID) })
 }
 
+// compareIDs orders ids by length first, so that numbered ids are in numerical order.
 func compareIDs(a, b string) int {
 	if len(a) != len(b) {
 		return len(a) - len(b)
@@ -91,8 +95,7 @@
 	return 1
 }
 
-// RemoveEndpoint takes an endpoint away; requests that were sent to it are released as
-// usual.
+// RemoveEndpoint removes an endpoint. Requests that were sent to it must still be released.
 func (r *Router) RemoveEndpoint(id string) {
 	e, ok := r.endpoints[id]
 	if !ok {
@@ -104,26 +107,29 @@
 	s.endpoints = slices.DeleteFunc(s.endpoints, func(x *Endpoint) bool { return x == e })
 }
 
-// Leaving marks an endpoint as taking no new work.
+// MarkLeaving excludes an endpoint from new requests because it is about to stop.
 func (r *Router) Leaving(id string) {
 	if e, ok := r.endpoints[id]; ok {
 		e.leaving = true
 	}
 }
 
-// Foreign tells how many requests, at most, an endpoint runs for which nobody here waits:
-// those of a former owner, and those whose answer was lost. It returns what can be sent
-// now. The number never goes up by a report, since a report counts our own requests too.
-func (r *Router) Foreign(id string, most int, now clock.Time) []Decision {
+// UpdateOrphans sets an upper bound on the orphaned requests of an endpoint, which are those
+// that a previous owner sent and those that got no answer, and returns the decisions on
+// waiting requests that can be sent now. It never raises the number of orphaned requests,
+// because the number of running requests that an endpoint reports includes those whose
+// outcome is still awaited.
+func (r *Router) Foreign(id string, maxOrphans int, now clock.Time) []Decision {
 	e, ok := r.endpoints[id]
 	if !ok {
 		return nil
 	}
-	e.foreign = min(e.foreign, max(most, 0))
+	e.foreign = min(e.foreign, max(maxOrphans, 0))
 	return r.pull(e.service, now)
 }
 
-// HasForeign lists the endpoints that may run requests for which nobody here waits.
+// EndpointsWithOrphans lists the endpoints that may run requests whose outcome is not awaited:
+// those that a previous owner sent, and those that got no answer.
 func (r *Router) HasForeign() []string {
 	var ids []string
 	for id, e := range r.endpoints {
@@ -135,7 +141,7 @@
 	return ids
 }
 
-// Arrive decides of a new request.
+// Route decides whether a new request is sent, queued or refused.
 func (r *Router) Arrive(q *Request, now clock.Time) Decision {
 	s, ok := r.services[q.Service]
 	q.arrived = now
@@ -156,8 +162,8 @@
 	return s.enqueue(q)
 }
 
-// Release tells that a request sent to an endpoint is over, and returns what can be sent
-// in its place and which waiting requests have expired.
+// Release records the outcome of a request that was sent to an endpoint. It returns the
+// waiting requests that can be sent now and those that turned out to have expired.
 func (r *Router) Release(e *Endpoint, outcome Outcome, latency time.Duration, now clock.Time) []Decision {
 	e.release(outcome, latency, now)
 	if outcome == Served {
@@ -166,7 +172,7 @@
 	return r.pull(e.service, now)
 }
 
-// Expire returns the waiting requests whose deadline has come.
+// Expire removes and returns the waiting requests whose deadline has passed.
 func (r *Router) Expire(now clock.Time) []Decision {
 	var out []Decision
 	for _, s := range r.services {
@@ -177,7 +183,7 @@
 	return out
 }
 
-// Drain takes out and returns all waiting requests.
+// RemoveQueued removes and returns all waiting requests.
 func (r *Router) Drain() []*Request {
 	var all []*Request
 	for _, s := range r.services {
@@ -186,7 +192,8 @@
 	return all
 }
 
-// PullAll returns what can be sent; it is called when endpoints have come or come back.
+// DispatchAll returns the waiting requests of all services that can be sent now. It is to be
+// called after endpoints were added, and regularly for those whose ejection has ended.
 func (r *Router) PullAll(now clock.Time) []Decision {
 	var out []Decision
 	for _, s := range r.services {
@@ -195,7 +202,8 @@
 	return out
 }
 
-// pull returns what can be sent of one service.
+// dispatch returns the waiting requests of one service that can be sent now, and those that
+// turned out to have expired.
 func (r *Router) pull(s *service, now clock.Time) []Decision {
 	var out []Decision
 	for s.waiting() > 0 {
@@ -214,11 +222,11 @@
 	return out
 }
 
-// Load is what a service has and uses in the shard.
+// Load is the capacity and use of a service in the shard.
 type Load struct {
 	Slots  int
 	InUse  int
-	Queued int
+	Queued int // waiting requests
 }
 
 // Loads returns the load of each service.
@@ -237,7 +245,7 @@
 	return loads
 }
 
-// Endpoints returns how many endpoints the shard has.
+// EndpointCount returns how many endpoints the shard has.
 func (r *Router) Endpoints() int {
 	return len(r.endpoints)
 }
@@ -250,7 +258,8 @@
 	return n
 }
 
-// hasTakers says whether waiting makes sense: some endpoint is neither leaving nor gone.
+// hasActiveEndpoint reports whether any endpoint is neither leaving nor ejected. Without one,
+// a request is refused instead of queued.
 func (s *service) hasTakers(now clock.Time) bool {
 	for _, e := range s.endpoints {
 		if !e.leaving && now >= e.ejectedUntil {
@@ -260,6 +269,7 @@
 	return false
 }
 
+// chooseEndpoint returns the preferred endpoint among those that are available, or nil.
 func (s *service) choose(now clock.Time) *Endpoint {
 	var best *Endpoint
 	for _, e := range s.endpoints {
@@ -270,6 +280,7 @@
 	return best
 }
 
+// pop removes and returns the next request of the most urgent class that has one, or nil.
 func (s *service) pop() *Request {
 	for _, q := range s.queues {
 		if r := q.pop(); r != nil {
@@ -279,9 +290,8 @@
 	return nil
 }
 
-// enqueue puts a request into its queue. In a full queue it takes the place of the newest
-// request of the heaviest caller, of the least urgent class that has one, unless that
-// caller is its own.
+// enqueue adds a request to the queue of its class. When the service's queues are full, it
+// refuses the request unless evictFor finds another one to remove.
 func (s *service) enqueue(r *Request) Decision {
 	q := s.queues[r.Class]
 	if s.waiting() < s.QueueLimit {
@@ -296,6 +306,10 @@
 	return Decision{Kind: Queued, Request: r, Evicted: evicted, RetryAfter: s.retryAfter()}
 }
 
+// evictFor removes and returns a waiting request that has to give way to r, or returns nil. It
+// searches the classes from the least urgent one down to that of r. In a less urgent class it
+// takes the newest request of the caller with the most requests. In the class of r it does so
+// only if that caller has at least two more requests than the caller of r.
 func (s *service) evictFor(r *Request) *Request {
 	for class := nClasses - 1; class >= r.Class; class-- {
 		q := s.queues[class]
@@ -306,18 +320,18 @@
 		if class > r.Class {
 			return q.takeNewest(c)
 		}
-		mine := 0
+		ownSize := 0
 		if own, ok := q.byCaller[r.Caller]; ok {
-			mine = own.size
+			ownSize = own.size
 		}
-		if size > mine+1 {
+		if size > ownSize+1 {
 			return q.takeNewest(c)
 		}
 	}
 	return nil
 }
 
-// takeNewest takes the newest request of a caller, whose only one it may be.
+// removeNewest removes and returns the newest request of a caller.
 func (q *queue) takeNewest(c *callerQueue) *Request {
 	if c.size > 1 {
 		return q.dropNewest(c)
@@ -345,7 +359,7 @@
 	s.latency += (latency - s.latency) / latencyWeight
 }
 
-// retryAfter is how long the queue needs to be worked off by the slots there are.
+// retryAfter estimates how long the usable slots take to serve the waiting requests.
 func (s *service) retryAfter() time.Duration {
 	slots := 0
 	for _, e := range s.endpoints {
