--- a/pkg/peer/client.go
+++ b/pkg/peer/client.go
@@ -63,15 +63,15 @@
 
 // RequestGrant asks the successor of a shard for a grant. The record is sent only until the
 // successor has answered once, which a non-zero Echo shows.
-func (c *Client) Ask(ctx context.Context, address netip.AddrPort, shard cell.ShardID, grantRequest ownership.Ask) (ownership.Reply, error) {
-	request := &peerpb.GrantRequest{
-		Shard: shard.String(), Epoch: int64(grantRequest.Epoch), OwnerIncarnation: grantRequest.Owner.Incarnation,
-		Revision: grantRequest.Revision, Echo: grantRequest.Echo,
+func (c *Client) Ask(ctx context.Context, address netip.AddrPort, shard cell.ShardID, request ownership.Ask) (ownership.Reply, error) {
+	message := &peerpb.GrantRequest{
+		Shard: shard.String(), Epoch: int64(request.Epoch), OwnerIncarnation: request.Owner.Incarnation,
+		Revision: request.Revision, Echo: request.Echo,
 	}
-	if grantRequest.Echo == 0 {
-		request.Record = grantRequest.Record.String()
+	if request.Echo == 0 {
+		message.Record = request.Record.String()
 	}
-	got, err := c.peer(ctx, address).Grant(ctx, request)
+	got, err := c.peer(ctx, address).Grant(ctx, message)
 	if err != nil {
 		return ownership.Reply{}, errors.Wrapf(err, "request a grant from %s", address)
 	}
--- a/pkg/peer/server.go
+++ b/pkg/peer/server.go
@@ -50,16 +50,16 @@
 	if err != nil {
 		return nil, err
 	}
-	grantRequest := ownership.Ask{
+	request := ownership.Ask{
 		Epoch: cell.Epoch(w.Epoch), Owner: ownership.Holder{Incarnation: w.OwnerIncarnation},
 		Revision: w.Revision, Echo: w.Echo,
 	}
 	if w.Record != "" {
-		if grantRequest.Record, err = ownership.ParseRecord(w.Record); err != nil {
+		if request.Record, err = ownership.ParseRecord(w.Record); err != nil {
 			return nil, err
 		}
 	}
-	reply := s.handlers.Grant(shard, grantRequest)
+	reply := s.handlers.Grant(shard, request)
 	return &peerpb.GrantReply{Granted: reply.Granted, Clock: reply.Clock}, nil
 }
 
--- a/pkg/result/codes.go
+++ b/pkg/result/codes.go
@@ -2,7 +2,8 @@
 
 import "net/http"
 
-// Code numbers a result. The numbers are part of the API and are never given again.
+// Code is the number of a result. The numbers are part of the API; a number that is no longer
+// used is not assigned to another result.
 type Code int
 
 // The result codes.
@@ -38,7 +39,7 @@
 	IssuedInFuture Code = 409
 	UnknownQueue   Code = 410
 	UnknownJob     Code = 411
-	// Unauthenticated is of calls without a key that counts.
+	// Unauthenticated is the result of calls without a valid API key of a customer.
 	Unauthenticated Code = 412
 
 	SettingsInvalid  Code = 501
@@ -58,13 +59,13 @@
 	RanUnknown Ran = "unknown"
 )
 
-// Row is what the table says of one code.
+// CodeInfo describes one code.
 type Row struct {
 	Code   Code
 	Name   string
 	Status int // HTTP status
 	Ran    Ran
-	// Retry says that coming back with the same key makes sense.
+	// Retry says that it is of use to send the request again with the same key.
 	Retry bool
 	Text  string
 }
@@ -114,21 +115,21 @@
 
 func indexRows() map[Code]Row {
 	index := make(map[Code]Row, len(rows))
-	for _, r := range rows {
-		index[r.Code] = r
+	for _, info := range rows {
+		index[info.Code] = info
 	}
 	return index
 }
 
-// Rows lists the table in the order of the codes.
+// Codes lists all codes in numerical order.
 func Rows() []Row {
 	return append([]Row(nil), rows...)
 }
 
-// Row returns what the table says of the code; of an unknown code, what it says of Internal.
+// Info describes the code. For an unknown code it describes Internal.
 func (c Code) Row() Row {
-	if r, ok := byCode[c]; ok {
-		return r
+	if info, ok := byCode[c]; ok {
+		return info
 	}
 	return byCode[Internal]
 }
--- a/pkg/result/doc.go
+++ b/pkg/result/doc.go
@@ -1,21 +1,22 @@
-// Package result is the table of numbered result codes: what every answer of foldarch
-// to a caller or an operator is called, whether the request ran, and which HTTP status
-// carries it. docs/result-codes.md is the same table for readers; a test compares them.
+// Package result defines the numbered result codes of foldarch's answers to callers and
+// operators. For each code it holds the name, whether the request ran, and the HTTP status.
+// docs/result-codes.md documents the codes; a test compares the two.
 //
-// The hundreds tell the most important thing first:
+// The hundreds digit gives the class of a code:
 //
-//	1xx  done
-//	2xx  not run: known, final, said at once, usually with a time to come back
-//	3xx  outcome unknown, or not over yet
-//	4xx  the request itself is at fault; not run
-//	5xx  an operator's command or a settings tree is at fault
+//	1xx  success
+//	2xx  the request did not run and will not; answered as soon as this is known, usually with
+//	     a time after which to retry
+//	3xx  the outcome is unknown, the request is still running, or its answer is not kept any more
+//	4xx  the request itself is invalid and did not run
+//	5xx  an operator's command or a settings tree is invalid, or foldarch itself failed
 //
 // # Usage
 //
 //	return result.New(result.Overloaded, "queue of scoring is full").WithRetryAfter(200 * time.Millisecond)
 //
-// and at the border:
+// and where an error becomes an answer:
 //
-//	problem := result.From(err) // *result.Error, result.Internal for an unknown error
-//	row := problem.Code.Row()
+//	problem := result.From(err) // *result.Error, result.Internal for any other error
+//	info := problem.Code.Info()
 package result
--- a/pkg/result/error.go
+++ b/pkg/result/error.go
@@ -7,12 +7,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Error is a failure with a result code. It is the only error that crosses a border of
-// the system.
+// Error is an error with a result code. All errors that reach callers and operators over the
+// APIs are of this type.
 type Error struct {
 	Code    Code
 	Message string
-	// RetryAfter is when to come back; 0 says that it makes no sense.
+	// RetryAfter is how long to wait before a retry; 0 means that a retry is of no use.
 	RetryAfter time.Duration
 }
 
@@ -21,19 +21,19 @@
 	return &Error{Code: code, Message: fmt.Sprintf(format, args...)}
 }
 
-// WithRetryAfter returns a copy that says when to come back.
+// WithRetryAfter returns a copy of the error with the given RetryAfter.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
 }
 
-// Error returns the code, its name and the message.
+// Error returns the code, its name and the message, such as "201 overloaded: queue is full".
 func (e *Error) Error() string {
 	return fmt.Sprintf("%d %s: %s", e.Code, e.Code, e.Message)
 }
 
-// From returns err as an Error. An error without a code becomes Internal.
+// From returns the Error in the chain of err. An error without a result code becomes Internal.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
--- a/pkg/result/problem.go
+++ b/pkg/result/problem.go
@@ -10,33 +10,34 @@
 	"github.com/ogen-go/ogen/ogenerrors"
 )
 
-// Problem is a failure as the APIs write it.
+// Problem is the JSON body of an error response of the APIs.
 type Problem struct {
 	Status       int    `json:"-"` // HTTP status
 	Code         Code   `json:"code"`
 	Name         string `json:"name"`
 	Message      string `json:"message"`
 	Ran          Ran    `json:"ran"`
-	RetryAfterMs int64  `json:"retry_after_ms,omitempty"` // 0 says that coming back makes no sense
+	RetryAfterMs int64  `json:"retry_after_ms,omitempty"` // 0 means that a retry is of no use
 }
 
-// ProblemOf describes an error; one without a result code is Internal.
+// NewProblem returns the problem for an error. An error without a result code becomes Internal.
 func ProblemOf(err error) Problem {
 	e := From(err)
-	row := e.Code.Row()
+	info := e.Code.Row()
 	return Problem{
-		Status: row.Status, Code: e.Code, Name: row.Name, Message: e.Message, Ran: row.Ran,
+		Status: info.Status, Code: e.Code, Name: info.Name, Message: e.Message, Ran: info.Ran,
 		RetryAfterMs: e.RetryAfter.Milliseconds(),
 	}
 }
 
-// RetryAfterSeconds is when to come back in whole seconds, rounded up.
+// RetryAfterSeconds returns RetryAfterMs in whole seconds, rounded up, as the Retry-After
+// header needs it.
 func (p Problem) RetryAfterSeconds() int {
 	const second = int64(time.Second / time.Millisecond)
 	return int((p.RetryAfterMs + second - 1) / second)
 }
 
-// WriteMalformed answers a request that a generated decoder refuses.
+// WriteMalformed writes the response to a request that the generated server could not decode.
 func WriteMalformed(_ context.Context, w http.ResponseWriter, _ *http.Request, err error) {
 	code := Malformed
 	var tooLarge *http.MaxBytesError
--- a/pkg/result/result_test.go
+++ b/pkg/result/result_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/gomega"
 )
 
-var update = flag.Bool("update", false, "write docs/result-codes.md anew")
+var update = flag.Bool("update", false, "rewrite docs/result-codes.md")
 
 const page = "../../docs/result-codes.md"
 
@@ -35,12 +35,12 @@
 	g := NewWithT(t)
 	var text strings.Builder
 	text.WriteString(preface)
-	for _, r := range Rows() {
-		back := "no"
-		if r.Retry {
-			back = "yes"
+	for _, c := range Rows() {
+		retry := "no"
+		if c.Retry {
+			retry = "yes"
 		}
-		fmt.Fprintf(&text, "| %d | `%s` | %d | %s | %s | %s |\n", r.Code, r.Name, r.Status, r.Ran, back, r.Text)
+		fmt.Fprintf(&text, "| %d | `%s` | %d | %s | %s | %s |\n", c.Code, c.Name, c.Status, c.Ran, retry, c.Text)
 	}
 	if *update {
 		g.Expect(os.WriteFile(page, []byte(text.String()), 0o600)).To(Succeed())
@@ -53,14 +53,14 @@
 func TestHundredsSayWhetherARequestRan(t *testing.T) {
 	g := NewWithT(t)
 	seen := map[string]bool{}
-	for _, r := range Rows() {
-		g.Expect(seen[r.Name]).To(BeFalse(), r.Name)
-		seen[r.Name] = true
-		switch r.Code / 100 {
+	for _, c := range Rows() {
+		g.Expect(seen[c.Name]).To(BeFalse(), c.Name)
+		seen[c.Name] = true
+		switch c.Code / 100 {
 		case 2, 4:
-			g.Expect(r.Ran).To(Equal(RanNo), r.Name)
+			g.Expect(c.Ran).To(Equal(RanNo), c.Name)
 		case 3:
-			g.Expect(r.Ran).NotTo(Equal(RanNo), r.Name)
+			g.Expect(c.Ran).NotTo(Equal(RanNo), c.Name)
 		}
 	}
 }
--- a/pkg/revision/queries.go
+++ b/pkg/revision/queries.go
@@ -8,9 +8,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Head returns the head in force; in a cell without settings its Revision is 0.
-func (b *Book) Head(ctx context.Context) (Head, error) {
-	item, err := b.store.Read(ctx, HeadKey)
+// Head returns the current head. In a cell without settings its Revision is 0.
+func (r *Book) Head(ctx context.Context) (Head, error) {
+	item, err := r.store.Read(ctx, HeadKey)
 	if errors.Is(err, store.ErrAbsent) {
 		return Head{}, nil
 	}
@@ -20,9 +20,9 @@
 	return ParseHead(item)
 }
 
-// Commit returns one commit.
-func (b *Book) Commit(ctx context.Context, digest Digest) (Commit, error) {
-	item, err := b.store.Read(ctx, commitPrefix+string(digest))
+// Commit reads the commit with the given digest.
+func (r *Book) Commit(ctx context.Context, digest Digest) (Commit, error) {
+	item, err := r.store.Read(ctx, commitPrefix+string(digest))
 	if err != nil {
 		return Commit{}, errors.Wrapf(err, "read settings commit %s", digest)
 	}
@@ -33,14 +33,14 @@
 	return c, nil
 }
 
-// Documents returns the texts of a commit. It asks the store only for those that are not
-// among the known texts, which are given by digest.
-func (b *Book) Documents(ctx context.Context, c Commit, known map[Digest]string) (map[string]string, error) {
+// Documents returns the texts of a commit by file name. It reads only those texts from the store
+// that known, which holds texts by digest, does not contain.
+func (r *Book) Documents(ctx context.Context, c Commit, known map[Digest]string) (map[string]string, error) {
 	docs := make(map[string]string, len(c.Files))
 	for file, digest := range c.Files {
 		text, ok := known[digest]
 		if !ok {
-			item, err := b.store.Read(ctx, docPrefix+string(digest))
+			item, err := r.store.Read(ctx, docPrefix+string(digest))
 			if err != nil {
 				return nil, errors.Wrapf(err, "read settings document %s", file)
 			}
@@ -51,15 +51,15 @@
 	return docs, nil
 }
 
-// History returns up to n commits, the one in force first.
-func (b *Book) History(ctx context.Context, n int) ([]Commit, error) {
-	head, err := b.Head(ctx)
+// History returns up to n commits, newest first.
+func (r *Book) History(ctx context.Context, n int) ([]Commit, error) {
+	head, err := r.Head(ctx)
 	if err != nil {
 		return nil, err
 	}
 	var commits []Commit
 	for next := head.Commit; next != "" && len(commits) < n; {
-		c, err := b.Commit(ctx, next)
+		c, err := r.Commit(ctx, next)
 		if err != nil {
 			return nil, err
 		}
--- a/pkg/revision/revision.go
+++ b/pkg/revision/revision.go
@@ -13,7 +13,7 @@
 	"github.com/google/uuid"
 )
 
-// HeadKey is the key of the store that names the commit in force.
+// HeadKey is the store key of the head.
 const HeadKey = "cell/settings/head"
 
 const (
@@ -21,7 +21,7 @@
 	docPrefix    = "settings/doc/"
 )
 
-// Digest is the hex form of the first half of a SHA-256.
+// Digest is the first half of a SHA-256 hash in hexadecimal form.
 type Digest string
 
 // Head names the commit in force.
@@ -30,11 +30,11 @@
 	WriteID  string `json:"write_id"`
 	Commit   Digest `json:"commit"`
 
-	// stored is the revision of the head's key in the store, 0 when there is no head.
+	// storeRevision is the store's revision of HeadKey; 0 if there is no head.
 	stored int64
 }
 
-// Commit is one set of documents and where it came from.
+// Commit is one revision of the settings: its files and its origin.
 type Commit struct {
 	Revision int64             `json:"revision"`
 	Parent   Digest            `json:"parent"`
@@ -44,19 +44,19 @@
 	Files    map[string]Digest `json:"files"`
 }
 
-// Change says who changes the settings and why.
+// Change names the author of a new revision and the reason for it.
 type Change struct {
 	Author string
 	Note   string
 }
 
-// Book reads and writes the settings of one cell.
+// Repository reads and writes the settings of one cell.
 type Book struct {
 	store *store.Store
 	clk   clock.Clock
 }
 
-// New returns the book of the cell whose store is given.
+// New returns the repository of the cell whose store is given.
 func New(s *store.Store, clk clock.Clock) *Book {
 	return &Book{store: s, clk: clk}
 }
@@ -67,7 +67,7 @@
 	return Digest(hex.EncodeToString(sum[:16]))
 }
 
-// ParseHead reads a head as it stands in the store.
+// ParseHead decodes the head from its item in the store.
 func ParseHead(item store.Item) (Head, error) {
 	var h Head
 	if err := json.Unmarshal([]byte(item.Value), &h); err != nil {
@@ -77,44 +77,47 @@
 	return h, nil
 }
 
-// Apply makes docs the settings in force, provided that head is still in force. The
-// error is store.ErrConflict when it is not, and store.ErrTooLarge, with the file's name,
-// when a document does not fit; in both cases nothing is changed.
-func (b *Book) Apply(ctx context.Context, head Head, docs map[string]string, change Change) (Head, error) {
-	files, err := b.writeDocuments(ctx, head, docs)
+// Apply makes docs the settings in force, provided that head is still the current head.
+// Otherwise it returns store.ErrConflict. If a document is too large for the store, it returns
+// store.ErrTooLarge with the name of the file. In both cases the settings in force stay as they
+// are.
+func (r *Book) Apply(ctx context.Context, head Head, docs map[string]string, change Change) (Head, error) {
+	files, err := r.writeDocuments(ctx, head, docs)
 	if err != nil {
 		return Head{}, err
 	}
 	commit := Commit{
 		Revision: head.Revision + 1, Parent: head.Commit, Files: files,
-		Author: change.Author, Note: change.Note, At: b.clk.Wall().UTC(),
+		Author: change.Author, Note: change.Note, At: r.clk.Wall().UTC(),
 	}
 	text, err := json.Marshal(commit)
 	if err != nil {
 		return Head{}, errors.Wrap(err, "encode commit")
 	}
 	digest := DigestOf(string(text))
-	if err := b.writeOnce(ctx, commitPrefix+string(digest), string(text)); err != nil {
+	if err := r.writeOnce(ctx, commitPrefix+string(digest), string(text)); err != nil {
 		return Head{}, errors.Wrap(err, "write commit")
 	}
-	return b.moveHead(ctx, head, Head{Revision: commit.Revision, WriteID: uuid.NewString(), Commit: digest})
+	return r.moveHead(ctx, head, Head{Revision: commit.Revision, WriteID: uuid.NewString(), Commit: digest})
 }
 
-func (b *Book) moveHead(ctx context.Context, from, to Head) (Head, error) {
+// moveHead replaces the head from by the head to, provided that from is still the current one.
+func (r *Book) moveHead(ctx context.Context, from, to Head) (Head, error) {
 	text, err := json.Marshal(to)
 	if err != nil {
 		return Head{}, errors.Wrap(err, "encode head")
 	}
-	to.stored, err = b.store.Swap(ctx, store.Item{Key: HeadKey, Value: string(text)}, from.stored)
+	to.stored, err = r.store.Swap(ctx, store.Item{Key: HeadKey, Value: string(text)}, from.stored)
 	if err != nil {
 		return Head{}, errors.Wrap(err, "move settings head")
 	}
 	return to, nil
 }
 
-// writeDocuments writes the documents that the commit in force does not have.
-func (b *Book) writeDocuments(ctx context.Context, head Head, docs map[string]string) (map[string]Digest, error) {
-	stored, err := b.storedDigests(ctx, head)
+// writeDocuments writes the documents that the commit of head does not contain, and returns the
+// digests of all documents by file name.
+func (r *Book) writeDocuments(ctx context.Context, head Head, docs map[string]string) (map[string]Digest, error) {
+	stored, err := r.storedDigests(ctx, head)
 	if err != nil {
 		return nil, err
 	}
@@ -125,7 +128,7 @@
 		if stored[digest] {
 			continue
 		}
-		if err := b.writeOnce(ctx, docPrefix+string(digest), text); err != nil {
+		if err := r.writeOnce(ctx, docPrefix+string(digest), text); err != nil {
 			return nil, errors.Wrapf(err, "write document %s", file)
 		}
 		stored[digest] = true
@@ -133,12 +136,13 @@
 	return files, nil
 }
 
-func (b *Book) storedDigests(ctx context.Context, head Head) (map[Digest]bool, error) {
+// storedDigests returns the digests of the documents that the commit of head contains.
+func (r *Book) storedDigests(ctx context.Context, head Head) (map[Digest]bool, error) {
 	stored := map[Digest]bool{}
 	if head.Revision == 0 {
 		return stored, nil
 	}
-	commit, err := b.Commit(ctx, head.Commit)
+	commit, err := r.Commit(ctx, head.Commit)
 	if err != nil {
 		return nil, err
 	}
@@ -148,9 +152,10 @@
 	return stored, nil
 }
 
-// writeOnce writes a value under its digest; one that is there already is the same.
-func (b *Book) writeOnce(ctx context.Context, key, text string) error {
-	_, err := b.store.Swap(ctx, store.Item{Key: key, Value: text}, 0)
+// writeIfAbsent writes a text under a key that contains its digest. A value that exists already
+// has the same digest and thus the same text.
+func (r *Book) writeOnce(ctx context.Context, key, text string) error {
+	_, err := r.store.Swap(ctx, store.Item{Key: key, Value: text}, 0)
 	if errors.Is(err, store.ErrConflict) {
 		return nil
 	}
