--- a/pkg/entry/batches.go
+++ b/pkg/entry/batches.go
@@ -13,7 +13,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// SubmitBatch keeps a batch request.
+// SubmitBatch passes a batch request to the owner of its home shard, which stores and runs it.
 func (h *handler) SubmitBatch(ctx context.Context, req *entryapi.BatchRequest, params entryapi.SubmitBatchParams) (*entryapi.BatchStatus, error) {
 	w, layout, err := h.p.workload(req.Workload, settings.KindBatch)
 	if err != nil {
@@ -31,8 +31,9 @@
 	return batchStatus(a)
 }
 
-// batchHome is the shard that keeps and runs a batch request: a key that begins with a
-// hall's name stays in that hall, any other is spread over the halls that are allowed.
+// batchHomeShard returns the shard that stores and runs a batch request. A key of the form
+// "hall/rest" selects a shard of that hall, if the workload's place rule allows it. Other keys are
+// distributed over all shards of the allowed halls.
 func batchHome(w settings.Workload, layout cell.Layout, caller, key string) (cell.ShardID, bool) {
 	var allowed []cell.ShardID
 	prefix, _, _ := strings.Cut(key, "/")
@@ -52,7 +53,7 @@
 	return allowed[xxhash.Sum64String(caller+"/"+key)%uint64(len(allowed))], true
 }
 
-// ReadBatch tells how far a batch request is, and its result.
+// ReadBatch returns the state of a batch request and, once it has one, its result.
 func (h *handler) ReadBatch(ctx context.Context, params entryapi.ReadBatchParams) (*entryapi.BatchStatus, error) {
 	home, err := batchShard(params.ID)
 	if err != nil {
@@ -63,6 +64,7 @@
 	}))
 }
 
+// newBatchStatus converts the owner's answer to a batch request for the API.
 func batchStatus(a peer.Answer) (*entryapi.BatchStatus, error) {
 	if a.Code != result.OK {
 		return nil, problemOf(a)
@@ -77,6 +79,7 @@
 	return s, nil
 }
 
+// parseBatchShard returns the home shard of a batch request, which its id contains.
 func batchShard(id string) (cell.ShardID, error) {
 	home, err := batch.ID(id).Shard()
 	if err != nil {
--- a/pkg/entry/calls.go
+++ b/pkg/entry/calls.go
@@ -25,8 +25,8 @@
 	healthPath    = "/healthz"
 )
 
-// httpServer is the door: the callers' and operators' API, health for the balancer, and
-// metrics.
+// httpServer returns the server for callers and operators. It serves the generated API, the
+// health check of the load balancer, and the metrics.
 func (p *Process) httpServer() (*http.Server, error) {
 	api, err := entryapi.NewServer(&handler{p}, entryapi.WithErrorHandler(result.WriteMalformed))
 	if err != nil {
@@ -42,27 +42,29 @@
 	return &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}, nil
 }
 
+// limitBody limits the size of the request bodies that next can read.
 func (p *Process) limitBody(next http.Handler) http.Handler {
-	most := p.cfg.Limits.MaxBodyKB << 10
+	maxBytes := p.cfg.Limits.MaxBodyKB << 10
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		r.Body = http.MaxBytesReader(w, r.Body, most)
+		r.Body = http.MaxBytesReader(w, r.Body, maxBytes)
 		next.ServeHTTP(w, r)
 	})
 }
 
-// serveHealth tells the balancer whether to send callers here.
+// serveHealth answers the load balancer's health check. The status is 503 while the process is
+// leaving or has no settings in force.
 func (p *Process) serveHealth(w http.ResponseWriter, _ *http.Request) {
 	if revision, _, _ := p.settings.current(); p.draining.Load() || revision == 0 {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// handler answers the generated API.
+// handler implements the generated API.
 type handler struct {
 	p *Process
 }
 
-// CallService runs a caller's request.
+// CallService forwards a caller's request to the owner of a shard and returns the owner's answer.
 func (h *handler) CallService(ctx context.Context, req entryapi.CallServiceReq, params entryapi.CallServiceParams) (*entryapi.CallServiceOKHeaders, error) {
 	body, err := readBody(req.Data)
 	if err != nil {
@@ -98,7 +100,8 @@
 	return data, nil
 }
 
-// callRequest checks a call and finds the shard that has to answer it.
+// callRequest validates a call and determines the shard that has to answer it: the home shard of
+// its key or, without a key, the shard with the lowest load.
 func (p *Process) callRequest(params entryapi.CallServiceParams, body []byte) (peer.Request, error) {
 	w, layout, err := p.workload(params.Service, settings.KindService)
 	if err != nil {
@@ -135,7 +138,8 @@
 	entryapi.CallServiceFoldarchClassBackground: routing.Background,
 }
 
-// workload looks a workload up in the settings in force.
+// findWorkload returns a workload of the given kind from the settings in force, and the layout
+// of the cell. It returns an error while this process has no settings or is leaving.
 func (p *Process) workload(name string, kind settings.Kind) (settings.Workload, cell.Layout, error) {
 	_, _, tree := p.settings.current()
 	if tree == nil {
@@ -154,28 +158,30 @@
 	return w, tree.Layout, nil
 }
 
-func (p *Process) timeLeft(deadline entryapi.OptInt64, limit time.Duration) (time.Duration, error) {
+// timeLeft returns the time until the caller's deadline, at most the time limit of the workload.
+func (p *Process) timeLeft(deadline entryapi.OptInt64, timeLimit time.Duration) (time.Duration, error) {
 	if !deadline.Set {
-		return limit, nil
+		return timeLimit, nil
 	}
 	left := time.UnixMilli(deadline.Value).Sub(p.clk.Wall())
 	if left <= 0 {
 		return 0, result.New(result.DeadlinePast, "the deadline was %s ago", -left)
 	}
-	return min(left, limit), nil
+	return min(left, timeLimit), nil
 }
 
-// issuedAt is when the key was made: as the caller says, or as a key tells that is a
-// version 7 UUID.
+// issuedAt returns when the key was generated: the time that the caller states or, if the key or
+// its part after the first slash is a version 7 UUID, the time in that UUID. Otherwise it returns the
+// zero time.
 func issuedAt(params entryapi.CallServiceParams) time.Time {
 	if params.FoldarchIssuedAt.Set {
 		return time.UnixMilli(params.FoldarchIssuedAt.Value)
 	}
-	text := params.IdempotencyKey.Value
-	if _, rest, found := strings.Cut(text, "/"); found {
-		text = rest
+	key := params.IdempotencyKey.Value
+	if _, rest, found := strings.Cut(key, "/"); found {
+		key = rest
 	}
-	id, err := uuid.Parse(text)
+	id, err := uuid.Parse(key)
 	if err != nil || id.Version() != 7 {
 		return time.Time{}
 	}
@@ -183,16 +189,17 @@
 	return time.Unix(sec, nsec)
 }
 
-// count counts answers by code, such as calls.overloaded.
-func (p *Process) count(what string, code result.Code) {
-	metrics.GetOrRegisterCounter(what+"."+code.String(), p.registry).Inc(1)
+// countAnswer increments the metric of a result code, such as calls.overloaded.
+func (p *Process) count(prefix string, code result.Code) {
+	metrics.GetOrRegisterCounter(prefix+"."+code.String(), p.registry).Inc(1)
 }
 
+// answerError returns the error that an owner's answer describes.
 func problemOf(a peer.Answer) error {
 	return result.New(a.Code, "%s", a.Message).WithRetryAfter(a.RetryAfter)
 }
 
-// NewError writes a result as the API's problem.
+// NewError converts an error to the API's problem response.
 func (h *handler) NewError(_ context.Context, err error) *entryapi.ProblemStatusCodeWithHeaders {
 	p := result.ProblemOf(err)
 	out := &entryapi.ProblemStatusCodeWithHeaders{
--- a/pkg/entry/doc.go
+++ b/pkg/entry/doc.go
@@ -1,27 +1,30 @@
-// Package entry is the process on an entry host. It is the door for callers, and it is
-// the place where the owners of shards live: routing of requests and placement of tasks
-// run in one process, because two would not fit the memory that a host has for them
-// (docs/design/one-program.md).
+// Package entry implements foldarch-entry, the process on an entry host. The process serves
+// callers and operators, and it is where the owners of shards run. Routing of requests and
+// placement of tasks run in the same process, because two processes would not fit into the
+// memory that a host has for them (docs/design/one-program.md).
 //
-// A Process joins these duties, each a goroutine:
+// A Process runs these parts, each in goroutines of its own:
 //
-//	callers     answers callers and operators over HTTP (package entryapi)
-//	peers       answers other processes over drpc (package peer)
-//	watch       follows the settings head and the shard records in the store
-//	hosts       reads the platform's host list
-//	beats       exchanges with other processes what each knows of itself
-//	ownership   keeps authority over shards (package ownership)
-//	engines     starts and stops a shard.Engine with each epoch of ownership
+//   - an HTTP server for callers and operators (package entryapi)
+//   - a drpc server for other processes (package peer)
+//   - a watch on the settings head and the shard records in the store
+//   - a poll of the platform's host list
+//   - heartbeats, in which processes exchange descriptions of themselves
+//   - a controller, which acquires and keeps authority over shards (package ownership)
+//   - a shard.Engine for each shard that this process owns, started and stopped with each
+//     epoch of ownership
 //
-// A request goes from the door to the owner of a shard, in this process or by Forward in
-// another, and the owner calls the endpoint. A request with a key goes to the key's home
-// shard; one without goes to the shard with free slots that is nearest.
+// The process that receives a request passes it to the owner of a shard, which is in the same
+// process or reached by peer.Client.Forward, and the owner calls an endpoint. A request with a
+// key goes to the home shard of the key. A request without one goes to the least loaded shard,
+// preferably of the process's own hall.
 //
 // # Files
 //
-// process.go has the life of a process; settings_duty.go, membership.go and engines.go
-// its duties; calls.go and batches.go what callers command, forward.go the way to the
-// owner, operator_commands.go and operator_queries.go what operators use.
+// process.go has the start and the planned stop of a process. store_watch.go, membership.go and
+// engines.go have its background work. calls.go and batches.go implement the callers' API,
+// forward.go passes requests to owners, and operator_commands.go and operator_queries.go
+// implement the operators' API.
 //
 // # Usage
 //
--- a/pkg/entry/engines.go
+++ b/pkg/entry/engines.go
@@ -16,10 +16,11 @@
 
 const enginesEvery = 25 * time.Millisecond
 
-// runEngines is the duty that drives the keeper and has an engine at work for each epoch
-// in which this process owns a shard.
+// runEngines starts the ownership controller as soon as it exists. From then on it starts an
+// engine for each shard and epoch that this process owns, and stops the engines of those that it
+// owns no longer.
 func (p *Process) runEngines(ctx context.Context) {
-	var keeperStarted bool
+	var controllerStarted bool
 	ticker := time.NewTicker(enginesEvery)
 	defer ticker.Stop()
 	for {
@@ -29,28 +30,29 @@
 			return
 		case <-ticker.C:
 		}
-		k := p.keeper.Load()
-		if k == nil {
+		c := p.keeper.Load()
+		if c == nil {
 			continue
 		}
-		if !keeperStarted {
-			p.giveRecords(k)
-			p.duties.Go(func() { k.Run(ctx) })
-			keeperStarted = true
+		if !controllerStarted {
+			p.giveRecords(c)
+			p.duties.Go(func() { c.Run(ctx) })
+			controllerStarted = true
 		}
-		owned := k.Owned()
+		owned := c.Owned()
 		p.stopEngines(owned)
-		p.startEngines(ctx, k, owned)
+		p.startEngines(ctx, c, owned)
 	}
 }
 
-// giveRecords tells a new keeper the records that were seen before it was there.
-func (p *Process) giveRecords(k *ownership.Keeper) {
+// observeStoredRecords passes the records of the hall's shards to a new controller, which was
+// not there when the watch on the store reported them.
+func (p *Process) giveRecords(c *ownership.Keeper) {
 	for id, record := range p.readRecords() {
-		k.Observe(id, record.record, record.revision)
+		c.Observe(id, record.record, record.revision)
 	}
 	if p.storeUp() {
-		k.StoreSeen()
+		c.StoreSeen()
 	}
 }
 
@@ -59,24 +61,26 @@
 	revision int64
 }
 
+// readRecords reads the records of the hall's shards from the store. Absent and unreadable
+// records are left out.
 func (p *Process) readRecords() map[cell.ShardID]storedRecord {
 	ctx, cancel := context.WithTimeout(context.Background(), storeCallTimeout)
 	defer cancel()
-	found := map[cell.ShardID]storedRecord{}
+	records := map[cell.ShardID]storedRecord{}
 	_, _, tree := p.settings.current()
 	for _, id := range tree.Layout.Shards() {
 		if id.Hall != p.cfg.Hall {
 			continue
 		}
 		if record, revision, err := p.readRecord(ctx, id); err == nil && revision > 0 {
-			found[id] = storedRecord{record, revision}
+			records[id] = storedRecord{record, revision}
 		}
 	}
-	return found
+	return records
 }
 
-// stopEngines stops those that owned does not name with their epoch. A stopped engine
-// finishes what is in flight.
+// stopEngines stops the engines whose shard and epoch are not in owned. A stopped engine lets
+// the requests that were sent to endpoints finish.
 func (p *Process) stopEngines(owned map[cell.ShardID]cell.Epoch) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -88,7 +92,8 @@
 	}
 }
 
-func (p *Process) startEngines(ctx context.Context, k *ownership.Keeper, owned map[cell.ShardID]cell.Epoch) {
+// startEngines starts an engine for each shard in owned that does not have one.
+func (p *Process) startEngines(ctx context.Context, c *ownership.Keeper, owned map[cell.ShardID]cell.Epoch) {
 	_, _, tree := p.settings.current()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -97,7 +102,7 @@
 			continue
 		}
 		engineCtx, stop := context.WithCancel(ctx)
-		engine := shard.New(engineCtx, p.engineConfig(id, epoch), p.engineDeps(k, id))
+		engine := shard.New(engineCtx, p.engineConfig(id, epoch), p.engineDeps(c, id))
 		p.engines[id] = &runningEngine{engine: engine, epoch: epoch, stop: stop}
 		engine.SetTree(tree)
 		if p.hosts != nil {
@@ -117,16 +122,16 @@
 		TaskLease:      time.Duration(p.cfg.Times.TaskLease),
 		ReportEvery:    time.Duration(p.cfg.Times.ReportEvery),
 		DispatchFlight: dispatchFlight,
-		// All shards of the cell share the store's writes evenly.
+		// Each shard gets an equal share of the cell's write rate.
 		JournalInterval: time.Duration(float64(shards) / p.cfg.Limits.CellWritesPerSecond * float64(time.Second)),
 		Keys:            keyConfig,
 	}
 }
 
-func (p *Process) engineDeps(k *ownership.Keeper, id cell.ShardID) shard.Deps {
+func (p *Process) engineDeps(c *ownership.Keeper, id cell.ShardID) shard.Deps {
 	return shard.Deps{
 		Clock: p.clk, Workers: p.workers, Endpoints: p.endpoints,
-		Authority: func() (cell.Epoch, clock.Time, bool) { return k.Authority(id) },
+		Authority: func() (cell.Epoch, clock.Time, bool) { return c.Authority(id) },
 		LoadBatches: func(ctx context.Context) ([]batch.Segment, error) {
 			return batch.Load(ctx, p.store, id)
 		},
@@ -140,10 +145,11 @@
 	}
 }
 
-func (p *Process) swapRecord(ctx context.Context, id cell.ShardID, record string, expect int64) (int64, error) {
-	return p.store.Swap(ctx, store.Item{Key: ownership.KeyOf(id), Value: record}, expect)
+func (p *Process) swapRecord(ctx context.Context, id cell.ShardID, record string, expectedRevision int64) (int64, error) {
+	return p.store.Swap(ctx, store.Item{Key: ownership.KeyOf(id), Value: record}, expectedRevision)
 }
 
+// readRecord reads the ownership record of a shard; the revision is 0 if there is none.
 func (p *Process) readRecord(ctx context.Context, id cell.ShardID) (ownership.Record, int64, error) {
 	item, err := p.store.Read(ctx, ownership.KeyOf(id))
 	if errors.Is(err, store.ErrAbsent) {
@@ -156,7 +162,7 @@
 	return record, item.Revision, err
 }
 
-// engine returns the engine of a shard if this process owns it.
+// engine returns the engine of a shard if this process runs one.
 func (p *Process) engine(id cell.ShardID) (*shard.Engine, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pkg/entry/forward.go
+++ b/pkg/entry/forward.go
@@ -19,23 +19,26 @@
 )
 
 const (
+	// refusalRetryDelay is the retry delay for requests that this process refuses.
 	homeRetry = 500 * time.Millisecond
-	// answerSlack is added to a request's time when waiting for the owner's answer.
+	// answerTimeoutMargin is how long beyond a request's own time limit this process waits for
+	// the owner's answer.
 	answerSlack = 500 * time.Millisecond
-	// While a forwarded request waits, its shard's owner is looked at this often, and a
-	// former owner has this long to answer.
+	// While a forwarded request waits for its answer, ownerCheckInterval is how often the owner
+	// of its shard is checked. If the owner has changed, the previous one gets the further time
+	// previousOwnerGrace to answer.
 	replacedEvery = 100 * time.Millisecond
 	replacedGrace = 300 * time.Millisecond
-	// spillLoad is the load of the own hall above which other halls are looked at, and
-	// spillGain how much less loaded another must be. Together they keep requests from
-	// going to and fro.
+	// Requests without a key are run in another hall if the load of the own hall is at least
+	// spilloverLoad and that of the other hall is lower by more than spilloverMinGain. The
+	// minimum gain keeps halls from sending their requests to each other.
 	spillLoad = 1.0
 	spillGain = 0.3
 )
 
-// forward has the owner of a shard answer a request, in this process or in another. When
-// the shard gets another owner meanwhile, a request that may be repeated by its key is
-// given to that one, and any other is answered at once.
+// forward has the owner of a shard answer a request, in this process or in another one. If the
+// shard's owner changes before the answer arrives, a repeatable request is forwarded to the new
+// owner. For any other request forward returns AnswerLost.
 func (p *Process) forward(ctx context.Context, r peer.Request) peer.Answer {
 	ctx, cancel := context.WithTimeout(ctx, r.TimeLeft+answerSlack)
 	defer cancel()
@@ -54,38 +57,40 @@
 		if dialer.NotSent(err) {
 			return refused(result.HomeUnreachable, "the owner of "+r.Shard.String()+" can't be reached")
 		}
-		if now, known := p.addressOf(r.Shard); !known || now == address || !r.Repeatable() || ctx.Err() != nil {
+		if newAddress, known := p.addressOf(r.Shard); !known || newAddress == address || !r.Repeatable() || ctx.Err() != nil {
 			return peer.Answer{Code: result.AnswerLost, Message: "the answer of the owner of " + r.Shard.String() + " was lost"}
 		}
 	}
 }
 
-// forwardTo calls one process and gives up when it no longer owns the shard.
+// forwardTo forwards a request to the process at an address, and cancels the call when that
+// process no longer owns the shard.
 func (p *Process) forwardTo(ctx context.Context, address netip.AddrPort, r peer.Request) (peer.Answer, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	// Most calls end before the timer, and cost no more than that.
-	watch := time.AfterFunc(replacedEvery, func() { p.cancelWhenReplaced(ctx, cancel, address, r.Shard) })
-	defer watch.Stop()
+	// Most calls end before the timer fires, and then need no goroutine for the check.
+	ownerCheck := time.AfterFunc(replacedEvery, func() { p.cancelWhenReplaced(ctx, cancel, address, r.Shard) })
+	defer ownerCheck.Stop()
 	return p.peers.Forward(ctx, address, r)
 }
 
-// cancelWhenReplaced ends a call to an owner a moment after another process has become
-// the owner: the answer that the former one may still give is on its way by then.
+// cancelWhenOwnerChanges cancels a call to the owner of a shard once another process has been
+// the owner for previousOwnerGrace. An answer that the previous owner has given arrives in this time.
 func (p *Process) cancelWhenReplaced(ctx context.Context, cancel context.CancelFunc, address netip.AddrPort, id cell.ShardID) {
 	clock.Every(ctx, replacedEvery, func() {
-		if now, ok := p.addressOf(id); ok && now != address {
+		if newAddress, ok := p.addressOf(id); ok && newAddress != address {
 			clock.Sleep(ctx, replacedGrace)
 			cancel()
 		}
 	})
 }
 
+// newRefusal returns an answer that refuses a request and asks the caller to retry.
 func refused(code result.Code, message string) peer.Answer {
 	return peer.Answer{Code: code, Message: message, RetryAfter: homeRetry}
 }
 
-// answerForward answers a request that a peer forwarded.
+// handleForward answers a request that a peer has forwarded.
 func (p *Process) answerForward(ctx context.Context, r peer.Request) peer.Answer {
 	e, ok := p.engine(r.Shard)
 	if !ok {
@@ -94,6 +99,7 @@
 	return p.answerHere(ctx, e, r)
 }
 
+// handleLocally passes a request to the engine of its shard in this process.
 func (p *Process) answerHere(ctx context.Context, e *shard.Engine, r peer.Request) peer.Answer {
 	switch r.Kind {
 	case peer.Call:
@@ -117,6 +123,8 @@
 	return peer.Answer{Code: result.Malformed, Message: "unknown kind of request"}
 }
 
+// newCall converts a request to a call of an engine. The time left becomes a deadline on this
+// process's clock.
 func (p *Process) callOf(r peer.Request) shard.Call {
 	return shard.Call{
 		Service: r.Service, Caller: r.Caller, Key: r.Key, IssuedAt: r.IssuedAt, Class: r.Class,
@@ -136,7 +144,7 @@
 	return peer.Answer{Code: result.OK, ID: string(r.ID), State: string(r.State), Worker: r.Worker, Body: []byte(r.Result)}
 }
 
-// delegate has another shard run a request whose home has no endpoint for it.
+// delegate runs a call in another shard because its home shard has no endpoint of the service.
 func (p *Process) delegate(home cell.ShardID, c shard.Call) shard.Answer {
 	target, ok := p.nearest(c.Service, home)
 	if !ok {
@@ -152,9 +160,10 @@
 	}
 }
 
-// nearest returns the shard that is to run a request without a home: the least loaded of
-// the own hall, or of another hall when that one is much less loaded. Shards in except
-// are passed over.
+// chooseShard returns the shard that should run a request which has no home shard, or whose home
+// shard can't run it: the least loaded shard of the own hall or, if the own hall is fully
+// loaded, that of another hall whose load is lower by more than spilloverMinGain. Shards in except
+// are left out.
 func (p *Process) nearest(service string, except ...cell.ShardID) (cell.ShardID, bool) {
 	_, _, tree := p.settings.current()
 	w, ok := tree.Workloads[service]
@@ -172,8 +181,8 @@
 	return own, !math.IsInf(ownLoad, 1)
 }
 
-// leastLoaded looks at the shards that run instances of a service, in the own hall or in
-// the others. The load is infinite where there is none.
+// leastLoaded returns the least loaded of the shards that run instances of a service, either in
+// the own hall or in the other halls, and its load. The load is infinite if there is no such shard.
 func (p *Process) leastLoaded(w settings.Workload, layout cell.Layout, inOwnHall bool, except []cell.ShardID) (cell.ShardID, float64) {
 	best, bestLoad := cell.ShardID{}, math.Inf(1)
 	for _, i := range settings.InstancesOf(w, layout) {
@@ -187,10 +196,11 @@
 	return best, bestLoad
 }
 
-// loadOf is the part of a shard's slots in use, with those that wait. Of a shard that has
-// not told its load it is taken to be nearly full, so that one that has is preferred.
+// shardLoad returns the load of a service in a shard: its running and waiting requests as a
+// ratio of its slots. A shard whose load is not known counts as nearly full, so that shards with
+// a known load are preferred unless they are full.
 func (p *Process) loadOf(id cell.ShardID, service string) float64 {
-	const untold = 0.95
+	const unknownLoad = 0.95
 	if e, ok := p.engine(id); ok {
 		l := e.Loads()[service]
 		return fraction(l.InUse+l.Queued, l.Slots)
@@ -199,7 +209,7 @@
 	defer p.mu.Unlock()
 	l, ok := p.table.LoadOf(id, service)
 	if !ok {
-		return untold
+		return unknownLoad
 	}
 	return fraction(l.InUse+l.Queued, l.Slots)
 }
--- a/pkg/entry/main.go
+++ b/pkg/entry/main.go
@@ -20,12 +20,12 @@
 
 const (
 	programName = "foldarch-entry"
-	// logRing bounds the lines that wait to be written.
+	// maxQueuedLogLines bounds the log lines that wait to be written. Further ones are dropped.
 	logRing = 4096
 )
 
 type commandLine struct {
-	Serve    serveCommand    `cmd:"" default:"withargs" help:"Serve a cell of foldarch's own."`
+	Serve    serveCommand    `cmd:"" default:"withargs" help:"Serve a cell of services and batch workloads."`
 	Platform platformCommand `cmd:"" help:"Serve the jobs of the users' platform."`
 	Check    checkCommand    `cmd:"" help:"Check a settings file of the platform and stop."`
 }
@@ -43,7 +43,8 @@
 	File string `arg:"" help:"A settings file of the platform."`
 }
 
-// usageError is an error of the command line or the settings.
+// usageError is an error in the command line or in the settings. It ends the program with
+// program.ExitUsage.
 type usageError struct {
 	error
 }
@@ -53,7 +54,7 @@
 	var c commandLine
 	parser, err := kong.New(&c, kong.Name(programName), kong.Writers(errOut, errOut),
 		kong.Description("Serves callers on one entry host.\n\n"+
-			"SIGTERM and SIGINT stop it as planned: what it owns is handed over, no request is cut.\n\n"+
+			"SIGTERM and SIGINT begin a planned stop: the shards are handed over and requests in flight are finished.\n\n"+
 			"Examples:\n  foldarch-entry /etc/foldarch/entry.toml\n  foldarch-entry check node.toml\n"+
 			"  "+platform.SettingsVariable+"=node.toml foldarch-entry platform"))
 	if err != nil {
@@ -74,11 +75,12 @@
 	return program.ExitOK
 }
 
+// streams are the outputs of the program's commands.
 type streams struct {
 	out, errOut io.Writer
 }
 
-// Run serves a cell of foldarch's own until a signal.
+// Run serves a cell of services and batch workloads until SIGTERM or SIGINT arrives.
 func (c serveCommand) Run(s streams) error {
 	cfg, err := procconf.Load(c.Config)
 	if err != nil {
@@ -96,7 +98,7 @@
 	return p.Run(ctx)
 }
 
-// Run serves the platform's jobs until a signal.
+// Run serves the platform's jobs until SIGTERM or SIGINT arrives.
 func (c platformCommand) Run(s streams) error {
 	path := os.Getenv(platform.SettingsVariable)
 	if path == "" {
@@ -106,7 +108,7 @@
 	if err != nil {
 		return usageError{err}
 	}
-	signal.Ignore(syscall.SIGHUP) // until the settings are watched
+	signal.Ignore(syscall.SIGHUP) // it would end the process if it arrived before the settings are watched
 	w := logring.New(s.out, logRing)
 	defer w.Close()
 	ctx, stop := stopSignal()
@@ -114,7 +116,7 @@
 	return jobhost.New(cfg, newLog(w, logrus.InfoLevel.String())).Run(ctx, path, c.Metrics)
 }
 
-// Run checks a settings file.
+// Run checks a settings file and prints its warnings.
 func (c checkCommand) Run(s streams) error {
 	cfg, err := platform.LoadSettings(c.File)
 	if err != nil {
@@ -129,12 +131,14 @@
 	return err
 }
 
+// stopSignal returns a context that ends when SIGTERM or SIGINT arrives. It also ignores SIGPIPE,
+// so that a closed standard output does not end the process.
 func stopSignal() (context.Context, context.CancelFunc) {
 	signal.Ignore(syscall.SIGPIPE)
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
-// newLog returns a log of one key=value line an event.
+// newLog returns a log that writes one line of key=value pairs for each event.
 func newLog(w io.Writer, level string) *logrus.Entry {
 	l := logrus.New()
 	l.SetOutput(w)
--- a/pkg/entry/membership.go
+++ b/pkg/entry/membership.go
@@ -18,16 +18,16 @@
 	beatTimeout = 600 * time.Millisecond
 )
 
-// handlers answer the calls of peers.
+// peerHandlers returns the functions that answer the calls of peers.
 func (p *Process) handlers() peer.Handlers {
 	return peer.Handlers{
 		Beat: func(m members.Member) members.Member {
 			p.heard(m)
 			return p.describe()
 		},
-		Grant: func(id cell.ShardID, ask ownership.Ask) ownership.Reply {
-			if k := p.keeper.Load(); k != nil {
-				return k.Grant(id, ask)
+		Grant: func(id cell.ShardID, request ownership.Ask) ownership.Reply {
+			if c := p.keeper.Load(); c != nil {
+				return c.Grant(id, request)
 			}
 			return ownership.Reply{}
 		},
@@ -39,7 +39,7 @@
 	}
 }
 
-// exchangeBeats is the duty that keeps the table of members.
+// exchangeHeartbeats sends the heartbeats that are due, until ctx ends.
 func (p *Process) exchangeBeats(ctx context.Context) {
 	clock.Every(ctx, beatTick, func() {
 		p.mu.Lock()
@@ -51,6 +51,8 @@
 	})
 }
 
+// sendHeartbeat exchanges heartbeats with one peer, and fetches its settings if they are newer
+// than those in force here.
 func (p *Process) beat(ctx context.Context, address netip.AddrPort) {
 	beatCtx, cancel := context.WithTimeout(ctx, beatTimeout)
 	defer cancel()
@@ -70,8 +72,8 @@
 	p.table.Heard(m, p.clk.Now())
 }
 
-// fetchSettings takes the settings of a peer that has newer ones in force, which matters
-// when the store can't be reached from here.
+// fetchSettings applies the settings that are in force at a peer. This brings new settings to
+// a process that can't reach the store.
 func (p *Process) fetchSettings(ctx context.Context, address netip.AddrPort) {
 	ctx, cancel := context.WithTimeout(ctx, 2*beatTimeout)
 	defer cancel()
@@ -81,7 +83,7 @@
 	}
 }
 
-// describe is what this process tells of itself.
+// describeSelf returns the current description of this process for its heartbeats.
 func (p *Process) describe() members.Member {
 	m := p.self
 	m.Revision, _, _ = p.settings.current()
@@ -94,13 +96,14 @@
 	return m
 }
 
+// newController returns the controller of the given shards, which are those of the own hall.
 func (p *Process) newKeeper(own []cell.ShardID) *ownership.Keeper {
 	return ownership.NewKeeper(p.holder(), own, ownership.DefaultTerms, ownership.Deps{
 		Clock: p.clk,
 		Swap:  p.swapRecord,
 		Read:  p.readRecord,
-		Ask: func(ctx context.Context, successor ownership.Holder, id cell.ShardID, ask ownership.Ask) (ownership.Reply, error) {
-			return p.peers.Ask(ctx, successor.Address, id, ask)
+		Ask: func(ctx context.Context, successor ownership.Holder, id cell.ShardID, request ownership.Ask) (ownership.Reply, error) {
+			return p.peers.Ask(ctx, successor.Address, id, request)
 		},
 		Ended:   p.ended,
 		Peers:   p.hallPeers,
@@ -109,7 +112,8 @@
 	})
 }
 
-// hallPeers lists the processes that may become a successor.
+// successorCandidates lists the processes that may become the successor of a shard: those of the
+// own hall that are alive and not leaving.
 func (p *Process) hallPeers() []ownership.Peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -122,9 +126,9 @@
 	return peers
 }
 
-// ended looks for proof that a process has ended: its host answers that nothing listens
-// on the port, or another incarnation answers there. A host that does not answer at all
-// proves nothing.
+// hasEnded reports whether there is proof that a process has ended: its host refuses
+// connections to its port, or another incarnation answers there. If the host does not answer
+// at all, there is no proof.
 func (p *Process) ended(ctx context.Context, h ownership.Holder) bool {
 	if h.Incarnation == p.self.Incarnation {
 		return false
--- a/pkg/entry/operator_commands.go
+++ b/pkg/entry/operator_commands.go
@@ -9,7 +9,7 @@
 	"foldarch.dev/foldarch/pkg/result"
 )
 
-// Drain makes a worker, or this entry host, leave.
+// Drain drains a worker, or begins the planned stop of this entry host.
 func (h *handler) Drain(ctx context.Context, req *entryapi.DrainTarget) (*entryapi.DrainTarget, error) {
 	p := h.p
 	if req.Kind == entryapi.DrainTargetKindEntry {
@@ -30,6 +30,7 @@
 	return req, nil
 }
 
+// shardOfWorker returns the shard that a worker of the host list belongs to.
 func (p *Process) shardOfWorker(worker string) (cell.ShardID, error) {
 	_, _, tree := p.settings.current()
 	p.mu.Lock()
--- a/pkg/entry/operator_queries.go
+++ b/pkg/entry/operator_queries.go
@@ -15,7 +15,8 @@
 	"foldarch.dev/foldarch/pkg/shard"
 )
 
-// ReadCellStatus tells of this process, the shards of its hall and the members it knows.
+// ReadCellStatus returns the state of this process, of the shards of its hall and of the other
+// processes that it knows.
 func (h *handler) ReadCellStatus(context.Context) (*entryapi.ProcessStatus, error) {
 	p := h.p
 	revision, _, _ := p.settings.current()
@@ -29,14 +30,15 @@
 	return s, nil
 }
 
-// ShardStatuses tells of the shards of the hall.
+// ShardStatuses returns the states of the shards of this process's hall, sorted by shard. The
+// fields that only a shard's engine knows are set for the shards that this process owns.
 func (p *Process) ShardStatuses() []entryapi.ShardStatus {
 	list := []entryapi.ShardStatus{}
-	k := p.keeper.Load()
-	if k == nil {
+	c := p.keeper.Load()
+	if c == nil {
 		return list
 	}
-	records := k.Records()
+	records := c.Records()
 	ids := slices.SortedFunc(maps.Keys(records), func(a, b cell.ShardID) int {
 		return strings.Compare(a.String(), b.String())
 	})
@@ -53,12 +55,12 @@
 	return list
 }
 
-func fillEngine(s *entryapi.ShardStatus, e shard.Status) {
-	s.Authority = e.Authority
-	s.Workers, s.Tasks, s.Endpoints, s.Queued = e.Usage.Workers, e.Usage.Placed, e.Endpoints, e.Queued
-	s.Waiting = entryapi.NewOptInt(e.Usage.Waiting)
-	if e.Usage.Total.CPUMillis > 0 {
-		s.CPUUsedPct = entryapi.NewOptInt(int(100 * e.Usage.Used.CPUMillis / e.Usage.Total.CPUMillis))
+func fillEngine(s *entryapi.ShardStatus, engine shard.Status) {
+	s.Authority = engine.Authority
+	s.Workers, s.Tasks, s.Endpoints, s.Queued = engine.Usage.Workers, engine.Usage.Placed, engine.Endpoints, engine.Queued
+	s.Waiting = entryapi.NewOptInt(engine.Usage.Waiting)
+	if engine.Usage.Total.CPUMillis > 0 {
+		s.CPUUsedPct = entryapi.NewOptInt(int(100 * engine.Usage.Used.CPUMillis / engine.Usage.Total.CPUMillis))
 	}
 }
 
@@ -79,8 +81,8 @@
 	}
 }
 
-// ExplainWorkload tells each rule of a workload with the level it came from, and where
-// its tasks are or why they wait.
+// ExplainWorkload returns each rule of a workload with the level of the settings that it comes
+// from, and for each task its place or the reason why it waits.
 func (h *handler) ExplainWorkload(ctx context.Context, params entryapi.ExplainWorkloadParams) (*entryapi.Explanation, error) {
 	p := h.p
 	revision, _, tree := p.settings.current()
@@ -108,6 +110,9 @@
 	return e, nil
 }
 
+// explainShard asks the owner of a shard where the tasks of a workload are or why they wait. If
+// the place rule excludes the shard's hall, or if the owner can't answer, the result is a single
+// entry that says so.
 func (p *Process) explainShard(ctx context.Context, id cell.ShardID, workload string, layout cell.Layout,
 	allows func(cell.HallLayout) (bool, string)) []entryapi.ExplainTask {
 	hall, _ := layout.Hall(id.Hall)
@@ -129,6 +134,7 @@
 	return list
 }
 
+// encodeDecisions returns the answer to an Explain request, which explainShard decodes.
 func explainAnswer(decisions []shard.TaskDecision) peer.Answer {
 	text, err := json.Marshal(decisions)
 	if err != nil {
--- a/pkg/entry/peer_listener.go
+++ b/pkg/entry/peer_listener.go
@@ -5,9 +5,9 @@
 	"sync"
 )
 
-// peerListener is the listener for peers. Refuse closes the port while connections that
-// were taken go on: a closed port tells the successors that this process has given up its
-// shards for good, which is as good as its end.
+// peerListener is the listener for peers. Refuse closes the port but keeps the connections that
+// were accepted. To the successors of this process's shards a closed port proves, like the end
+// of the process, that it has given up its shards and won't act as their owner again.
 type peerListener struct {
 	net.Listener
 	closed chan struct{}
@@ -18,8 +18,8 @@
 	return &peerListener{Listener: l, closed: make(chan struct{})}
 }
 
-// Accept returns the next connection. After Refuse it waits for Close, so that the server
-// keeps the connections that it has.
+// Accept returns the next connection. After Refuse it blocks until Close, since the server
+// would end its connections if Accept returned an error.
 func (l *peerListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -28,12 +28,12 @@
 	return conn, err
 }
 
-// Refuse closes the port.
+// Refuse closes the port, so that further connections are refused.
 func (l *peerListener) Refuse() {
 	_ = l.Listener.Close()
 }
 
-// Close ends the listener.
+// Close closes the listener and ends a blocked Accept.
 func (l *peerListener) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return l.Listener.Close()
--- a/pkg/entry/process.go
+++ b/pkg/entry/process.go
@@ -31,23 +31,26 @@
 const (
 	dialTimeout      = 400 * time.Millisecond
 	storeCallTimeout = time.Second
-	// storeUpWithin is how long ago the store may have answered to count as up. The host
-	// list is read every second, so that there is an answer to go by.
-	storeUpWithin  = 2500 * time.Millisecond
+	// The store counts as up if it has answered within storeUpWindow. The host list is read
+	// about once a second, so a store that is up answers several times in this period.
+	storeUpWithin = 2500 * time.Millisecond
+	// maxDispatchTransit is how long a request that a previous owner of a shard has sent to an
+	// endpoint may still be in transit when its successor takes over.
 	dispatchFlight = 250 * time.Millisecond
 	drainTimeout   = 60 * time.Second
-	// handoverTimeout bounds the write that hands shards over. When the store does not
-	// answer, the successors follow on the proof that the peer port is closed, and have to
-	// see it while the last grant certainly holds.
+	// handoverTimeout bounds the writes that hand over the shards. If the store does not
+	// answer, the successors take over because the closed peer port proves that this process
+	// has given up the shards. They must notice it while their last grant is certain to hold.
 	handoverTimeout = 600 * time.Millisecond
 	metricsPath     = "/metrics"
 
-	// Metrics: bytes both ways, to peers, workers and the store, and to endpoints.
+	// Names of the metrics that count the bytes sent and received: controlBytesMetric those
+	// exchanged with peers, workers and the store, callBytesMetric those with endpoints.
 	controlBytes = "control.bytes"
 	callBytes    = "calls.bytes"
 )
 
-// Process is one entry host at work.
+// Process is the process on one entry host.
 type Process struct {
 	cfg      procconf.Entry
 	self     members.Member
@@ -67,15 +70,15 @@
 	draining     atomic.Bool
 	stopAsked    chan struct{} // of size 1
 
-	mu      sync.Mutex
+	mu      sync.Mutex // guards the fields below, except for background
 	table   *members.Table
-	records map[cell.ShardID]ownership.Record // of all halls
+	records map[cell.ShardID]ownership.Record // of all halls, as the store has reported them
 	engines map[cell.ShardID]*runningEngine
 	hosts   []store.Host
 	duties  sync.WaitGroup
 }
 
-// New returns a process that does nothing before Run.
+// New returns a process. It starts nothing and opens no connections before Run.
 func New(cfg procconf.Entry, log *logrus.Entry) (*Process, error) {
 	clk := clock.System()
 	registry := metrics.NewRegistry()
@@ -106,8 +109,9 @@
 	return p, nil
 }
 
-// Run works until ctx ends and then stops as planned: shards are handed over, and no
-// request in flight is cut. An address in use is an error before anything has started.
+// Run serves until ctx ends or an operator drains this entry host, and then stops as planned:
+// it hands over its shards and lets requests in flight finish. If one of its addresses is in
+// use, it returns an error before it has started anything.
 func (p *Process) Run(ctx context.Context) error {
 	callers, err := net.Listen("tcp", p.cfg.CallersAddress.String())
 	if err != nil {
@@ -128,9 +132,9 @@
 		"hall": p.cfg.Hall, "callers": p.cfg.CallersAddress, "peers": p.cfg.PeerAddress,
 		"incarnation": p.self.Incarnation,
 	}).Info("started")
-	work, stop := context.WithCancel(context.Background())
+	backgroundCtx, stop := context.WithCancel(context.Background())
 	defer stop()
-	p.startDuties(work, peers)
+	p.startDuties(backgroundCtx, peers)
 	p.duties.Go(func() { _ = server.Serve(callers) })
 	select {
 	case <-ctx.Done():
@@ -144,6 +148,8 @@
 	return nil
 }
 
+// startBackground starts the drpc server and the loops that follow the store and the other
+// processes. They end with ctx.
 func (p *Process) startDuties(ctx context.Context, peers net.Listener) {
 	metered := dialer.MeterListener(peers, p.controlBytes)
 	p.duties.Go(func() { _ = peer.Serve(ctx, metered, p.handlers()) })
@@ -153,18 +159,20 @@
 	p.duties.Go(func() { p.runEngines(ctx) })
 }
 
-// leave ends the process as planned. New requests are refused with where to go on; the
-// shards go to their successors; what is in flight is finished.
+// shutDown performs a planned stop, which takes at most drainTimeout. From its beginning, callers'
+// new requests are refused as Draining and the health check fails, so that callers change to
+// other entry hosts. After a grace period it hands the shards over to their successors, closes
+// the ports and waits for the requests in flight.
 func (p *Process) leave(server *http.Server, peers *peerListener) {
 	p.draining.Store(true)
 	p.log.Info("leaving")
 	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
 	clock.Sleep(ctx, time.Duration(p.cfg.Times.LeaveGrace))
-	if k := p.keeper.Load(); k != nil {
-		handover, done := context.WithTimeout(ctx, handoverTimeout)
-		k.Leave(handover)
-		done()
+	if c := p.keeper.Load(); c != nil {
+		handoverCtx, cancelHandover := context.WithTimeout(ctx, handoverTimeout)
+		c.Leave(handoverCtx)
+		cancelHandover()
 	}
 	peers.Refuse()
 	_ = server.Shutdown(ctx)
@@ -173,7 +181,7 @@
 	}
 }
 
-// stopRequested begins a planned stop, as the end of Run's ctx does.
+// requestStop begins a planned stop, as the end of Run's ctx does.
 func (p *Process) stopRequested() {
 	select {
 	case p.stopAsked <- struct{}{}:
@@ -195,7 +203,7 @@
 	return n
 }
 
-// holder is this process as the records name it.
+// selfHolder returns this process as it appears in ownership records.
 func (p *Process) holder() ownership.Holder {
 	return holderOf(p.self)
 }
@@ -204,19 +212,21 @@
 	return ownership.Holder{ID: m.ID, Incarnation: m.Incarnation, Address: m.Address}
 }
 
-// runningEngine is an engine with the means to stop it.
+// runningEngine is an engine with its epoch and the function that stops it.
 type runningEngine struct {
 	engine *shard.Engine
 	epoch  cell.Epoch
 	stop   context.CancelFunc
 }
 
-// addressOf is the address of the owner that is known for a shard.
+// ownerAddress returns the peer address of a shard's owner, as far as it is known. It is taken
+// from the record of the shard, or from a member that reports that it owns the shard at a higher
+// epoch.
 func (p *Process) addressOf(id cell.ShardID) (netip.AddrPort, bool) {
-	record, kept := p.keptRecord(id)
+	record, found := p.keptRecord(id)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !kept {
+	if !found {
 		record = p.records[id]
 	}
 	if m, epoch, ok := p.table.OwnerOf(id); ok && epoch > record.Epoch {
@@ -225,12 +235,13 @@
 	return record.Owner.Address, record.Owner.Address.IsValid()
 }
 
-// keptRecord is the keeper's record of a shard of the own hall. The keeper calls back
-// into the table of members, so it must not be asked with the lock held.
+// controllerRecord returns the controller's record of a shard of the own hall. It must not be
+// called with p.mu held: the controller holds its own lock while it calls functions that lock
+// p.mu.
 func (p *Process) keptRecord(id cell.ShardID) (ownership.Record, bool) {
-	k := p.keeper.Load()
-	if k == nil || id.Hall != p.cfg.Hall {
+	c := p.keeper.Load()
+	if c == nil || id.Hall != p.cfg.Hall {
 		return ownership.Record{}, false
 	}
-	return k.Record(id), true
+	return c.Record(id), true
 }
--- a/pkg/entry/settings_duty.go
+++ b/pkg/entry/store_watch.go
@@ -18,20 +18,24 @@
 )
 
 const (
-	// watchPrefix covers the settings head and the shard records with one watch.
+	// watchPrefix covers both the settings head and the shard records, so that one watch
+	// is enough.
 	watchPrefix = "cell/"
-	// watchWait is how long a watch waits. Its connection may have gone silent, so it is given up 1 s later. Settings are to be in
-	// force within 5 s; with watches of 20 s they were not when all connections had gone silent (test of two hosts).
-	watchWait    = 2 * time.Second
+	// watchWait is how long the store may wait for a change before it answers a watch. A watch
+	// whose connection has silently failed is abandoned storeCallTimeout later. Settings must be in
+	// force within 5 s; with a wait of 20 s they were not when all connections had silently failed.
+	watchWait = 2 * time.Second
+	// The host list is read every hostListInterval plus a random time below hostListMaxJitter, so
+	// that processes do not all read it at the same moment.
 	hostsEvery   = time.Second
 	hostsUnequal = 250 * time.Millisecond
 )
 
-// settingsHolder holds the settings in force. They never go back to a lower revision.
+// settingsHolder holds the settings in force. Their revision never decreases.
 type settingsHolder struct {
 	mu       sync.Mutex
 	revision int64
-	docs     map[string]string
+	docs     map[string]string // text by file name
 	tree     *settings.Tree
 }
 
@@ -45,7 +49,9 @@
 	return h.revision, h.docs, h.tree
 }
 
-// put takes settings in if they are newer, and says whether they were.
+// update puts settings in force if their revision is higher than the current one, and reports
+// whether it did. It returns an error for settings that are invalid or that change the layout in
+// a way that is not allowed.
 func (h *settingsHolder) put(revision int64, docs map[string]string) (bool, error) {
 	tree, faults := settings.Parse(docs)
 	if len(faults) > 0 {
@@ -65,7 +71,8 @@
 	return true, nil
 }
 
-// known gives the texts in force by digest, so that only changed ones are fetched.
+// textsByDigest returns the texts of the settings in force by digest, so that only changed texts
+// need to be fetched.
 func (h *settingsHolder) known() map[revision.Digest]string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -76,15 +83,17 @@
 	return index
 }
 
-// watchStore is the duty that follows the settings head and the shard records.
+// watchStore follows the settings head and the shard records in the store until ctx ends. The
+// first watch returns all items without waiting. If not all items of a watch could be applied,
+// the next watch returns them again.
 func (p *Process) watchStore(ctx context.Context) {
-	var after int64
+	var afterRevision int64
 	for attempt := 0; ctx.Err() == nil; {
 		wait := watchWait
-		if after == 0 {
+		if afterRevision == 0 {
 			wait = 0
 		}
-		items, next, err := p.store.Watch(ctx, watchPrefix, after, wait)
+		items, next, err := p.store.Watch(ctx, watchPrefix, afterRevision, wait)
 		if err != nil {
 			attempt++
 			_ = store.Pause(ctx, attempt)
@@ -92,31 +101,34 @@
 		}
 		attempt = 0
 		if p.takeItems(ctx, items) {
-			after = next
+			afterRevision = next
 		} else {
 			_ = store.Pause(ctx, 2)
 		}
-		if k := p.keeper.Load(); k != nil {
-			k.StoreSeen()
+		if c := p.keeper.Load(); c != nil {
+			c.StoreSeen()
 		}
 	}
 }
 
-// takeItems reports whether all items were taken in; if not, they are read again.
+// applyItems applies changes of the settings head and of shard records. It reports whether all of
+// them were applied; if not, they have to be read again.
 func (p *Process) takeItems(ctx context.Context, items []store.Item) bool {
-	whole := true
+	complete := true
 	for _, item := range items {
 		switch {
 		case item.Deleted:
 		case item.Key == revision.HeadKey:
-			whole = p.takeHead(ctx, item) && whole
+			complete = p.takeHead(ctx, item) && complete
 		case strings.HasPrefix(item.Key, ownership.RecordPrefix):
 			p.takeRecord(item)
 		}
 	}
-	return whole
+	return complete
 }
 
+// applyHead fetches the settings that a head names and puts them in force. It returns false if
+// the store could not be read, so that a repetition may succeed.
 func (p *Process) takeHead(ctx context.Context, item store.Item) bool {
 	head, err := revision.ParseHead(item)
 	if err != nil {
@@ -138,7 +150,7 @@
 	return true
 }
 
-// putSettings puts settings in force, wherever they came from.
+// applySettings puts settings in force that came from the store or from a peer.
 func (p *Process) putSettings(rev int64, docs map[string]string, from string) {
 	changed, err := p.settings.put(rev, docs)
 	if err != nil {
@@ -158,6 +170,8 @@
 	}
 }
 
+// applyRecord stores the ownership record of a shard, unless a record of a higher epoch is known,
+// and passes it to the controller.
 func (p *Process) takeRecord(item store.Item) {
 	id, err := ownership.ShardOfKey(item.Key)
 	if err != nil {
@@ -174,12 +188,12 @@
 		p.records[id] = record
 	}
 	p.mu.Unlock()
-	if k := p.keeper.Load(); k != nil {
-		k.Observe(id, record, item.Revision)
+	if c := p.keeper.Load(); c != nil {
+		c.Observe(id, record, item.Revision)
 	}
 }
 
-// watchHosts is the duty that reads the platform's host list.
+// watchHosts reads the platform's host list at regular intervals until ctx ends.
 func (p *Process) watchHosts(ctx context.Context) {
 	for ctx.Err() == nil {
 		hosts, err := p.store.Hosts(ctx)
@@ -190,6 +204,7 @@
 	}
 }
 
+// applyHosts passes the host list to the engines, and adds the entry hosts to the table of members.
 func (p *Process) takeHosts(hosts []store.Host) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -204,7 +219,8 @@
 	}
 }
 
-// startKeeper begins to keep the shards of the hall once the layout is known.
+// startController creates the controller for the shards of the own hall when the first settings,
+// and with them the layout, are known. runEngines starts it.
 func (p *Process) startKeeper(tree *settings.Tree) {
 	if p.keeper.Load() != nil {
 		return
--- a/pkg/routing/router.go
+++ b/pkg/routing/router.go
@@ -142,24 +142,24 @@
 }
 
 // Route decides whether a new request is sent, queued or refused.
-func (r *Router) Arrive(q *Request, now clock.Time) Decision {
-	s, ok := r.services[q.Service]
-	q.arrived = now
+func (r *Router) Arrive(request *Request, now clock.Time) Decision {
+	s, ok := r.services[request.Service]
+	request.arrived = now
 	switch {
 	case !ok:
-		return Decision{Kind: NoService, Request: q}
-	case now >= q.Deadline:
-		return Decision{Kind: Expired, Request: q}
+		return Decision{Kind: NoService, Request: request}
+	case now >= request.Deadline:
+		return Decision{Kind: Expired, Request: request}
 	case !s.hasTakers(now):
-		return Decision{Kind: NoSlots, Request: q, RetryAfter: s.retryAfter()}
+		return Decision{Kind: NoSlots, Request: request, RetryAfter: s.retryAfter()}
 	}
 	if s.waiting() == 0 {
 		if e := s.choose(now); e != nil {
 			e.inUse++
-			return Decision{Kind: Send, Request: q, Endpoint: e}
+			return Decision{Kind: Send, Request: request, Endpoint: e}
 		}
 	}
-	return s.enqueue(q)
+	return s.enqueue(request)
 }
 
 // Release records the outcome of a request that was sent to an endpoint. It returns the
@@ -176,8 +176,8 @@
 func (r *Router) Expire(now clock.Time) []Decision {
 	var out []Decision
 	for _, s := range r.services {
-		for _, q := range s.drain(func(q *Request) bool { return now >= q.Deadline }) {
-			out = append(out, Decision{Kind: Expired, Request: q})
+		for _, request := range s.drain(func(request *Request) bool { return now >= request.Deadline }) {
+			out = append(out, Decision{Kind: Expired, Request: request})
 		}
 	}
 	return out
@@ -211,13 +211,13 @@
 		if e == nil {
 			break
 		}
-		q := s.pop()
-		if now >= q.Deadline {
-			out = append(out, Decision{Kind: Expired, Request: q})
+		request := s.pop()
+		if now >= request.Deadline {
+			out = append(out, Decision{Kind: Expired, Request: request})
 			continue
 		}
 		e.inUse++
-		out = append(out, Decision{Kind: Send, Request: q, Endpoint: e})
+		out = append(out, Decision{Kind: Send, Request: request, Endpoint: e})
 	}
 	return out
 }
