--- a/pkg/entry/calls.go
+++ b/pkg/entry/calls.go
@@ -101,7 +101,7 @@
 }
 
 // callRequest validates a call and determines the shard that has to answer it: the home shard of
-// its key or, without a key, the shard with the lowest load.
+// its key or, without a key, the shard that chooseShard returns.
 func (p *Process) callRequest(params entryapi.CallServiceParams, body []byte) (peer.Request, error) {
 	w, layout, err := p.workload(params.Service, settings.KindService)
 	if err != nil {
--- a/pkg/entry/forward.go
+++ b/pkg/entry/forward.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	// refusalRetryDelay is the retry delay for requests that this process refuses.
+	// refusalRetryAfter is the retry delay for requests that this process refuses.
 	homeRetry = 500 * time.Millisecond
 	// answerTimeoutMargin is how long beyond a request's own time limit this process waits for
 	// the owner's answer.
@@ -29,9 +29,10 @@
 	// previousOwnerGrace to answer.
 	replacedEvery = 100 * time.Millisecond
 	replacedGrace = 300 * time.Millisecond
-	// Requests without a key are run in another hall if the load of the own hall is at least
-	// spilloverLoad and that of the other hall is lower by more than spilloverMinGain. The
-	// minimum gain keeps halls from sending their requests to each other.
+	// A request without a key is run in another hall if even the least loaded shard of the own
+	// hall has a load of at least spilloverLoad and a shard of another hall has a load that is
+	// lower by more than spilloverMinGain. Together the two limits keep halls from sending requests
+	// back and forth.
 	spillLoad = 1.0
 	spillGain = 0.3
 )
@@ -161,9 +162,8 @@
 }
 
 // chooseShard returns the shard that should run a request which has no home shard, or whose home
-// shard can't run it: the least loaded shard of the own hall or, if the own hall is fully
-// loaded, that of another hall whose load is lower by more than spilloverMinGain. Shards in except
-// are left out.
+// shard can't run it: the least loaded shard of the own hall or, under the conditions stated at
+// spilloverLoad, the least loaded shard of the other halls. Shards in except are left out.
 func (p *Process) nearest(service string, except ...cell.ShardID) (cell.ShardID, bool) {
 	_, _, tree := p.settings.current()
 	w, ok := tree.Workloads[service]
--- a/pkg/entry/process.go
+++ b/pkg/entry/process.go
@@ -34,13 +34,14 @@
 	// The store counts as up if it has answered within storeUpWindow. The host list is read
 	// about once a second, so a store that is up answers several times in this period.
 	storeUpWithin = 2500 * time.Millisecond
-	// maxDispatchTransit is how long a request that a previous owner of a shard has sent to an
+	// maxTransitTime is how long a request that a previous owner of a shard has sent to an
 	// endpoint may still be in transit when its successor takes over.
 	dispatchFlight = 250 * time.Millisecond
 	drainTimeout   = 60 * time.Second
 	// handoverTimeout bounds the writes that hand over the shards. If the store does not
 	// answer, the successors take over because the closed peer port proves that this process
-	// has given up the shards. They must notice it while their last grant is certain to hold.
+	// has given up the shards. They must notice it while the last grant that they gave
+	// is certain to hold.
 	handoverTimeout = 600 * time.Millisecond
 	metricsPath     = "/metrics"
 
--- a/pkg/routing/request.go
+++ b/pkg/routing/request.go
@@ -46,7 +46,7 @@
 	QueueFull             // refused: the queue, or the caller's share of it, is full
 	Expired               // refused: the deadline has passed
 	NoService             // refused: the shard has no such service
-	NoSlots               // refused: every endpoint of the service is leaving or ejected
+	NoSlots               // refused: every endpoint of the service, if any, is leaving or ejected
 	Stopped               // refused: this process no longer owns the shard
 )
 
