--- a/pkg/entry/main.go
+++ b/pkg/entry/main.go
@@ -25,7 +25,7 @@
 )
 
 type commandLine struct {
-	Serve    serveCommand    `cmd:"" default:"withargs" help:"Serve a cell of services and batch workloads."`
+	Serve    serveCommand    `cmd:"" default:"withargs" help:"Serve a cell of foldarch's own."`
 	Platform platformCommand `cmd:"" help:"Serve the jobs of the users' platform."`
 	Check    checkCommand    `cmd:"" help:"Check a settings file of the platform and stop."`
 }
