--- /dev/null
+++ b/pkg/poolowner/call_limiter.go
@@ -0,0 +1,157 @@
+package poolowner
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"foldarch.dev/foldarch/pkg/dispatch"
+)
+
+const (
+	// maxConcurrentCalls is the number of slots for calls to workers.
+	callsAtOnce = 64
+	// maxSlotTime is how long a call occupies a slot at most. A call to a worker that does not answer
+	// must not block other calls until its time limit.
+	callCounts = 50 * time.Millisecond
+	// maxWaitingSlotTime is the same for a poll, which the worker may hold open until a run ends.
+	waitCounts = 10 * time.Millisecond
+)
+
+// unboundedCalls is more calls than an owner ever makes at the same time.
+const unboundedCalls = 1 << 20
+
+func callsAtOnceOf(deps Deps) int {
+	if deps.Without.Has(dispatch.CallGate) {
+		return unboundedCalls
+	}
+	return callsAtOnce
+}
+
+// callClass is the urgency of a call.
+type callClass int
+
+// The classes of calls, most urgent first.
+const (
+	callOrder  callClass = iota // starts, stops, pace changes, and polls that fence a worker
+	callHold                    // polls that extend leases
+	callFirst                   // the first poll of a worker
+	callSilent                  // polls of workers that did not answer the last one
+	callClasses
+)
+
+// classTurns is the class that gets the freed slot, release by release. A flood of orders must not keep
+// leases from being extended or new workers from being polled. A class in which no call waits leaves its
+// turn to the most urgent one that has some.
+var turns = [...]callClass{callOrder, callHold, callOrder, callHold, callOrder, callFirst, callOrder, callSilent}
+
+// callLimiter limits the concurrent calls of this process to workers. The time limit of a call also runs
+// while the call waits for the processor: when too many are started at once, all of them time out and
+// are repeated over new connections, which costs even more. Since a call waits for its slot before its
+// time limit starts, an overloaded process keeps to the rate that it can sustain. This is admission
+// control by concurrency; see "Little's law".
+type callGate struct {
+	// afterFunc calls f after d; the function that it returns cancels this.
+	after func(d time.Duration, f func()) (cancel func())
+
+	mu      sync.Mutex
+	free    int
+	turn    int // in classTurns
+	waiting [callClasses][]chan struct{}
+}
+
+func newCallGate(calls int) *callGate {
+	return &callGate{free: calls, after: func(d time.Duration, f func()) func() {
+		t := time.AfterFunc(d, f)
+		return func() { t.Stop() }
+	}}
+}
+
+// acquire waits for a slot for a call. The call occupies the slot until done is called, but no longer
+// than slotTime. ok is false when ctx has ended; done is nil then.
+func (g *callGate) enter(ctx context.Context, class callClass, slotTime time.Duration) (done func(), ok bool) {
+	if !g.pass(ctx, class) {
+		return nil, false
+	}
+	var once sync.Once
+	releaseOnce := func() { once.Do(g.release) }
+	cancel := g.after(slotTime, releaseOnce)
+	return func() {
+		cancel()
+		releaseOnce()
+	}, true
+}
+
+// takeSlot takes a free slot, or waits for one. It returns false when ctx has ended.
+func (g *callGate) pass(ctx context.Context, class callClass) bool {
+	g.mu.Lock()
+	if g.free > 0 {
+		g.free--
+		g.mu.Unlock()
+		return true
+	}
+	turn := make(chan struct{})
+	g.waiting[class] = append(g.waiting[class], turn)
+	g.mu.Unlock()
+	select {
+	case <-turn:
+		return true
+	case <-ctx.Done():
+	}
+	if !g.withdraw(class, turn) {
+		g.release() // the slot was given at the same moment
+	}
+	return false
+}
+
+// removeWaiter removes a waiting call; it returns false when the call has been admitted already.
+func (g *callGate) withdraw(class callClass, turn chan struct{}) bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	for i, t := range g.waiting[class] {
+		if t == turn {
+			g.waiting[class] = append(g.waiting[class][:i], g.waiting[class][i+1:]...)
+			return true
+		}
+	}
+	return false
+}
+
+// waitingCount returns the number of waiting calls.
+func (g *callGate) queued() int {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	n := 0
+	for _, waiting := range g.waiting {
+		n += len(waiting)
+	}
+	return n
+}
+
+// release gives the slot of a call to a waiting one, or frees it.
+func (g *callGate) release() {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.turn = (g.turn + 1) % len(turns)
+	if g.admit(turns[g.turn]) {
+		return
+	}
+	for class := range callClasses {
+		if g.admit(class) {
+			return
+		}
+	}
+	g.free++
+}
+
+// admit admits the first waiting call of a class; it returns whether there was one. The caller holds
+// g.mu.
+func (g *callGate) admit(class callClass) bool {
+	waiting := g.waiting[class]
+	if len(waiting) == 0 {
+		return false
+	}
+	g.waiting[class] = waiting[1:]
+	close(waiting[0])
+	return true
+}
--- a/pkg/poolowner/reach.go
+++ b/pkg/poolowner/hall_contact.go
@@ -7,23 +7,24 @@
 	"foldarch.dev/foldarch/pkg/reach"
 )
 
-// hallsEvery is how often the halls that are heard are counted anew at most: each heartbeat to each of hundreds of members tells them.
+// hallCountInterval is the minimum time between two counts of the halls. The counts are needed for each
+// heartbeat to each of hundreds of members.
 const hallsEvery = 100 * time.Millisecond
 
-// halls are the data halls that the owner hears.
+// hallContact is which other data halls the owner has contact with.
 type halls struct {
 	contact   reach.Contact
 	countedAt clock.Time
 }
 
-// Reach tells whom the owner reaches.
+// Reach returns the state of the owner's connections to the store and to other halls.
 func (o *Owner) Reach() reach.Owner {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.reach()
 }
 
-// reach tells whom the owner reaches. The caller holds o.mu.
+// reach is Reach for callers that hold o.mu.
 func (o *Owner) reach() reach.Owner {
 	now := o.deps.Clock.Now()
 	if now.Sub(o.halls.countedAt) >= hallsEvery {
@@ -33,7 +34,7 @@
 	return reach.Owner{Heard: true, StoreAge: age, OtherHalls: o.halls.contact.Halls(), HallsLost: o.halls.contact.Lost(age, now)}
 }
 
-// countHalls counts the halls but the owner's of which members are heard. The caller holds o.mu.
+// countHalls counts the other halls from which heartbeats of members arrive. The caller holds o.mu.
 func (o *Owner) countHalls(now clock.Time) {
 	heard := map[string]bool{}
 	for _, m := range o.members {
@@ -49,14 +50,15 @@
 	o.halls.countedAt = now
 }
 
-// heardOf takes in when a member of another hall was heard last. The caller holds o.mu.
+// recordContact records when a member of another hall was last heard. The caller holds o.mu.
 func (o *Owner) heardOf(m *member) {
 	if o.elsewhere(m) {
 		o.halls.contact.HeardAt(m.StatusAt())
 	}
 }
 
-// elsewhere says that a member is in another data hall than the owner. A member that does not tell its hall may be in any.
+// isInOtherHall returns whether a member is in another data hall than the owner. It is false for a
+// member that does not report its hall, since it may be in any.
 func (o *Owner) elsewhere(m *member) bool {
 	hall := m.Status().Hall
 	return hall != "" && o.deps.Hall != "" && hall != o.deps.Hall
--- a/pkg/poolowner/owner.go
+++ b/pkg/poolowner/owner.go
@@ -23,90 +23,95 @@
 const (
 	// AuthorityTerm is how long after its last confirmation an owner may give orders.
 	AuthorityTerm = 2 * time.Second
-	// takeoverTerm also covers orders that were decided at its very end.
+	// maxPreviousAuthority is how long a previous owner may go on giving orders. It is longer than
+	// AuthorityTerm to cover orders decided at the very end of that time, and the age of the majority
+	// check (majorityCheckInterval).
 	takeoverTerm = AuthorityTerm + 200*time.Millisecond
-	// tokenStep leaves room for the tokens of one owner (dispatch.MaxBumps).
+	// tokenStep is the number of fencing tokens of one owner: its first one and
+	// dispatch.MaxTokenIncrements increments.
 	tokenStep = dispatch.MaxBumps + 1
-	// runsOfTerm is how far apart the run numbers of two owners begin.
+	// runNumbersPerTerm is the distance between the first run numbers of two consecutive owners.
 	runsOfTerm = 1000
 
-	// maxLease is how long what runs on a worker is leased at most: long enough for a
-	// takeover, short enough for what a crashed worker ran to start elsewhere soon.
+	// maxLease is the longest lease of a run on a worker. It outlasts a takeover, but is short enough
+	// that tasks of a crashed worker soon start elsewhere.
 	maxLease    = 5700 * time.Millisecond
 	leaseMargin = 300 * time.Millisecond
 	planEvery   = 50 * time.Millisecond
 	planPause   = 3 * time.Millisecond
-	// planRest is how many times as long as a plan took the next one waits at least, so that a
-	// pool in which much waits leaves the processor to the calls to workers.
+	// planPauseFactor is the least pause before the next plan, as a multiple of the time that the last
+	// plan took. It leaves processor time for the calls to workers when many steps wait.
 	planRest     = 2
 	inspectEvery = 250 * time.Millisecond
 	statusEvery  = time.Second
 )
 
-// ErrDeposed says that another owner has taken over.
+// ErrDeposed is returned by Run when another owner has taken over.
 var ErrDeposed = errors.New("another owner has taken over")
 
-// Claim is the ownership as the store has it.
+// Claim is this host's ownership as recorded in the store.
 type Claim struct {
 	Term     int64
 	Revision int64 // of the transaction that made this host the owner
-	// First says that there was no owner before.
+	// First is true when the pool had no owner before.
 	First bool
-	// FormerEnded says that the former owner's process has certainly ended.
+	// PreviousOwnerEnded is true when the previous owner's process has certainly ended.
 	FormerEnded bool
-	// NamedFrom is as in the holder's record (jobstore.Holder).
+	// RecordWorkersFromTerm is the field of the same purpose of the owner's record (jobstore.Holder).
 	NamedFrom int64
 }
 
-// Deps are what an owner works with.
+// Deps are the dependencies and settings of an Owner.
 type Deps struct {
 	Name    string
 	Hall    string // data hall of this host
 	Clock   clock.Clock
 	Store   *platform.Store
 	Workers *platform.Workers
-	// WorkerTimeout is the limit of a call to a worker, beyond its waiting.
+	// WorkerTimeout is the time limit of a call to a worker, in addition to the time that the worker may
+	// hold the call open.
 	WorkerTimeout time.Duration
-	// Machines is nil when there is no service of machines.
+	// Machines is nil when the platform has no machine service.
 	Machines *platform.Machines
 	Bounds   platform.Bounds
-	// Heartbeat is the time between two writes of a worker's entry.
+	// HeartbeatInterval is the interval at which a worker rewrites its entry.
 	Heartbeat time.Duration
-	// Advise makes a call for advice from this host.
+	// Advise makes an advice call from this host.
 	Advise func(ctx context.Context, call *poolpb.AdviceCall) *poolpb.AdviceResult
-	// Write puts a key into the store for a member.
+	// Write writes a key to the store on behalf of a member.
 	Write func(ctx context.Context, key string, value []byte) *poolpb.Answer
-	// ReadOperator reads anew what the operator has written, and tells the owner (SetConfig, SetEvacuated).
+	// ReadOperatorKeys reads the operator's keys again and passes them to the owner (SetConfig,
+	// SetEvacuatedHalls).
 	ReadOperator func(ctx context.Context) error
-	// StoreAge is how long ago the store answered this host.
+	// StoreAge returns the time since the store last answered this host.
 	StoreAge func() time.Duration
-	// Strength is how well this host can own the pool, in percent of what is enough.
+	// Strength is this host's capacity to own the pool, in percent of what an owner needs.
 	Strength int
-	// LinkMbps is what the link of this host carries; 0 when not told.
+	// LinkMbps is the bandwidth of this host's link; 0 when unknown.
 	LinkMbps float64
-	// Leased says that the store has confirmed the ownership within AuthorityTerm.
+	// HasLease returns whether the store has confirmed the ownership within AuthorityTerm.
 	Leased func(now clock.Time) bool
 	Log    *logrus.Entry
-	// Figures takes counters of what was decided and learned, by event.
+	// Metrics receives a counter for each kind of event of the pool.
 	Figures metrics.Registry
-	// Without leaves mechanisms out, in tests and builds for trials.
+	// Disabled turns mechanisms off, in tests and experimental builds.
 	Without dispatch.Without
 }
 
-// Owner owns a pool.
+// Owner owns a pool. It starts with New and runs until Run returns.
 type Owner struct {
 	deps  Deps
 	claim Claim
 	done  chan struct{}
-	kick  chan struct{} // of size 1: there may be something to plan
-	// unconfirmed is of size 1: the store has to be asked who the owner is.
+	kick  chan struct{} // of size 1: a plan is needed
+	// confirmSignal is of size 1: the owner's record has to be read from the store.
 	unconfirmed chan struct{}
-	// unknownJobs is of size 1: workers list jobs that are not known.
+	// unknownJobsSignal is of size 1: workers list jobs that this owner does not know.
 	unknownJobs chan struct{}
-	// names is of size 1: starts wait for the names of their workers to be stored.
+	// commitSignal is of size 1: starts wait until the store records their workers.
 	names chan struct{}
-	calls *callGate // to workers
-	// jobsKnown is closed when the jobs of the store are known.
+	calls *callGate // for calls to workers
+	// jobsLoaded is closed when the jobs of the store are loaded.
 	jobsKnown chan struct{}
 
 	mu       sync.Mutex
@@ -114,29 +119,30 @@
 	upkeep   *upkeep.Planner
 	sessions map[dispatch.WorkerID]*workerSession
 	members  map[string]*member
-	near     map[string]bool // members with the usual heartbeat (heartbeat)
+	near     map[string]bool // members with the fast heartbeat (heartbeatInterval)
 	halls    halls
 	relays   *relay.Assignments
-	unusable map[string]unusableEntry // by the worker's name
-	// unreadable are jobs whose progress can't be read.
+	unusable map[string]unusableEntry // by worker name
+	// unreadableProgress are the jobs whose stored progress can't be decoded.
 	unreadable map[job.ID]bool
-	cancelled  map[job.ID]bool // told before the job itself
-	committed  chan struct{}   // closed and renewed with each commit
-	fenced     bool            // most workers were fenced
+	cancelled  map[job.ID]bool // cancelled before the job itself was received
+	committed  chan struct{}   // closed and replaced at each commit
+	fenced     bool            // a majority of the workers has accepted this owner's token
 	counted    answerCount
 	refusals   refusals
 	limits     limits
-	plans      metrics.Timer // how long plans took
-	beats      beats         // of the duty that watches workers
-	position   position      // each field belongs to one duty
-	// roster is what the store has, by the worker's name; of the duty that keeps it, and before that of the one that loads.
+	plans      metrics.Timer // duration of plans
+	beats      beats         // used by watchWorkers only
+	position   position      // each field is used by one goroutine only
+	// roster is the roster as stored, by worker name. It is used while loading and then by writeRoster
+	// only.
 	roster map[string]rosterRecord
 
 	rosterFailures, commitFailures, readFailures *storeFailures
-	// followsJobs and followsWorkers are of the duties that watch these.
+	// jobsWatch and workersWatch are each used by the goroutine that watches these keys.
 	followsJobs, followsWorkers *jobstore.Following
 
-	lanes   [jobstore.CommitLanes]commitLane // of the duty that commits
+	lanes   [jobstore.CommitLanes]commitLane // used by runCommits only
 	yield   atomic.Pointer[string]
 	loaded  atomic.Bool
 	deposed atomic.Bool
@@ -144,7 +150,7 @@
 	duties  sync.WaitGroup
 }
 
-// New returns an owner that does nothing before Run.
+// New returns an owner. It does nothing until Run is called.
 func New(deps Deps, claim Claim) *Owner {
 	now := deps.Clock.Now()
 	o := &Owner{
@@ -173,7 +179,7 @@
 	return o
 }
 
-// formerTerm is how long a former owner may go on giving orders.
+// previousAuthorityTerm is how long the previous owner may go on giving orders.
 func formerTerm(c Claim) time.Duration {
 	if c.FormerEnded {
 		return 0
@@ -207,7 +213,7 @@
 	return nil
 }
 
-// depose ends the owner for good: another one has taken over.
+// depose ends this owner for good because another one has taken over; why is logged.
 func (o *Owner) depose(why string) {
 	if o.deposed.Swap(true) {
 		return
@@ -216,12 +222,12 @@
 	o.cancel(ErrDeposed)
 }
 
-// Depose ends the owner because the store has another one on record.
+// Depose ends the owner because the store names another one.
 func (o *Owner) Depose() {
 	o.depose("record")
 }
 
-// SetConfig puts a configuration in force.
+// SetConfig applies a new configuration.
 func (o *Owner) SetConfig(cfg *queue.Config) {
 	o.mu.Lock()
 	o.pool.SetConfig(cfg)
@@ -230,7 +236,7 @@
 	o.wake()
 }
 
-// SetEvacuated takes in which data halls are being evacuated.
+// SetEvacuatedHalls sets the data halls that are being evacuated.
 func (o *Owner) SetEvacuated(halls []string) {
 	o.mu.Lock()
 	o.pool.SetEvacuated(halls)
@@ -238,12 +244,12 @@
 	o.wake()
 }
 
-// wake has the plan made anew soon.
+// requestPlan requests a new plan soon.
 func (o *Owner) wake() {
 	signal(o.kick)
 }
 
-// signal wakes the duty that waits on a channel of size 1, or will wait on it next.
+// notify wakes the goroutine that receives from c, a channel of size 1, now or at its next receive.
 func signal(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -251,7 +257,7 @@
 	}
 }
 
-// authority says whether orders may be given. The caller holds o.mu.
+// hasAuthority returns whether this owner may give orders. The caller holds o.mu.
 func (o *Owner) authority(now clock.Time) bool {
 	if o.deposed.Load() {
 		return false
@@ -268,12 +274,11 @@
 	return most || o.deps.Leased(now)
 }
 
-// countEvery is how old the count of the workers that answer may be. It is asked for with each
-// call to a worker, and takes as long as there are workers. takeoverTerm covers it.
+// majorityCheckInterval is the maximum age of a majority check. The check is needed for each call to a
+// worker and goes over all workers. maxPreviousAuthority covers this age.
 const countEvery = 20 * time.Millisecond
 
-// mostAnswer says whether most workers have answered within AuthorityTerm. The caller holds
-// o.mu.
+// hasMajority returns whether most workers have answered within AuthorityTerm. The caller holds o.mu.
 func (o *Owner) mostAnswer(now clock.Time) bool {
 	if o.counted.at == 0 || now.Sub(o.counted.at) >= countEvery {
 		answering, all := o.pool.Answering(now, AuthorityTerm)
@@ -282,33 +287,33 @@
 	return o.counted.most
 }
 
-// answerCount says whether most workers answered, at a time.
+// majorityCheck is whether most workers answered, at checkedAt.
 type answerCount struct {
 	at   clock.Time
 	most bool
 }
 
-// runPlans is the duty that plans, a little after something has changed.
+// runPlans plans every planInterval, and shortly after a plan was requested.
 func (o *Owner) runPlans(ctx context.Context) {
 	t := time.NewTicker(planEvery)
 	defer t.Stop()
-	var took time.Duration // by the last plan
+	var planTime time.Duration // time that the last plan took
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
 		case <-o.kick:
-			clock.Sleep(ctx, o.restAfter(took))
+			clock.Sleep(ctx, o.restAfter(planTime))
 		}
-		began := time.Now()
+		startedAt := time.Now()
 		o.carryOut(ctx)
-		took = time.Since(began)
-		o.plans.Update(took)
+		planTime = time.Since(startedAt)
+		o.plans.Update(planTime)
 	}
 }
 
-// restAfter is how long the next plan waits at least after one that took a time.
+// pauseAfterPlan returns the least pause after a plan that took the given time.
 func (o *Owner) restAfter(took time.Duration) time.Duration {
 	if o.deps.Without.Has(dispatch.PlanRests) {
 		return planPause
@@ -322,22 +327,22 @@
 	o.pool.Inspect(o.deps.Clock.Now())
 }
 
-// Status summarizes the pool.
+// Status returns a summary of the pool.
 func (o *Owner) Status() dispatch.Status {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.pool.Status(o.deps.Clock.Now())
 }
 
-// Relayed is how many workers other hosts make the calls to.
+// RelayedWorkers returns the number of workers that other hosts make the calls to.
 func (o *Owner) Relayed() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.relays.Count()
 }
 
-// CallsWaiting is how many calls to workers wait for their turn. More than a few for more than a
-// moment say that this host is too small for the pool.
+// WaitingCalls returns the number of calls to workers that wait for a slot. More than a few for more
+// than a moment mean that this host is too small for the pool.
 func (o *Owner) CallsWaiting() int {
 	return o.calls.queued()
 }
@@ -358,24 +363,26 @@
 }
 
 const (
-	// longWait is from when on a step that waits in a pool with room is told of: the platform counts a job lost that waits for 3 s there.
+	// delayedStepThreshold is the waiting time from which a step in a pool with room is logged. The
+	// platform counts a job as lost when it waits for 3 s there.
 	longWait = 3 * time.Second
-	// mostLongWaits is how many steps each pool_status tells of.
+	// maxLoggedSteps is the maximum number of delayed steps that are logged with each pool_status.
 	mostLongWaits = 5
 )
 
-// logLongWaits tells which steps wait for long though there is room, and for what.
+// logDelayedSteps logs steps that have waited for long in a pool with room, and what they wait for.
 func (o *Owner) logLongWaits() {
 	o.mu.Lock()
-	waits := o.pool.LongWaits(longWait, mostLongWaits, o.deps.Clock.Now())
+	steps := o.pool.LongWaits(longWait, mostLongWaits, o.deps.Clock.Now())
 	o.mu.Unlock()
-	for _, w := range waits {
+	for _, step := range steps {
 		o.deps.Log.WithFields(logrus.Fields{
-			"step": w.Step, "customer": w.Customer, "waited_ms": w.Waited.Milliseconds(), "left_ms": w.Left.Milliseconds(), "waits": w.Waits,
+			"step": step.Step, "customer": step.Customer, "waited_ms": step.Waited.Milliseconds(), "left_ms": step.Left.Milliseconds(), "waits": step.Waits,
 		}).Info("step_waits")
 	}
 }
 
+// planAndExecute makes a plan and carries out its actions.
 func (o *Owner) carryOut(ctx context.Context) {
 	o.mu.Lock()
 	now := o.deps.Clock.Now()
@@ -418,7 +425,7 @@
 	}
 }
 
-// sessionsFor returns the sessions with the workers that actions name. The caller holds o.mu.
+// sessionsFor returns the sessions of the workers that need an order by a. The caller holds o.mu.
 func (o *Owner) sessionsFor(a dispatch.Actions) map[dispatch.WorkerID]*workerSession {
 	out := map[dispatch.WorkerID]*workerSession{}
 	for _, s := range a.Starts {
@@ -436,7 +443,7 @@
 	return out
 }
 
-// logEvent writes what the pool decided or learned.
+// logEvent logs an event of the pool.
 func (o *Owner) logEvent(e dispatch.Event) {
 	o.countEvent(e)
 	fields := logrus.Fields{}
@@ -459,7 +466,8 @@
 	o.deps.Log.WithFields(fields).Info(e.Name)
 }
 
-// countEvent counts an event under its name, and ends and rejected starts by their kind.
+// countEvent counts an event under its name; run ends, rejected starts and job ends also by their
+// reason.
 func (o *Owner) countEvent(e dispatch.Event) {
 	name := "pool." + e.Name
 	if e.Name == "run_ended" || e.Name == "start_rejected" || e.Name == "job_ended" {
--- a/pkg/poolowner/confirmations.go
+++ b/pkg/poolowner/ownership_confirmation.go
@@ -8,17 +8,17 @@
 	"foldarch.dev/foldarch/pkg/jobstore"
 )
 
-// confirmPause is the time between two looks at the owner's record, which are made only while what
-// ran on a silent worker is to be started elsewhere. It is half of the time for which the pool
-// needs a confirmation to be fresh (dispatch.confirmedWithin).
+// confirmationInterval is the time between two reads of the owner's record. They are made only while the
+// pool is to restart runs of a silent worker elsewhere. It is half of the time for which the pool
+// accepts a confirmation (dispatch.ownershipConfirmationValidity).
 const confirmPause = 400 * time.Millisecond
 
-// askConfirmation has the owner's record read.
+// requestConfirmation requests a read of the owner's record.
 func (o *Owner) askConfirmation() {
 	signal(o.unconfirmed)
 }
 
-// runConfirmations is the duty that reads the owner's record when the pool asks for it.
+// runConfirmations reads the owner's record when the pool requests it.
 func (o *Owner) runConfirmations(ctx context.Context) {
 	for {
 		select {
@@ -31,7 +31,7 @@
 	}
 }
 
-// confirm reads the owner's record. Another owner on it deposes this one.
+// confirmOwnership reads the owner's record. If it names another owner, this one is deposed.
 func (o *Owner) confirm(ctx context.Context) {
 	sentAt := o.deps.Clock.Now()
 	item, err := o.deps.Store.Read(ctx, jobstore.HolderKey)
--- a/pkg/poolowner/sessions.go
+++ b/pkg/poolowner/sessions.go
@@ -11,32 +11,32 @@
 )
 
 const (
-	// patienceStep is added to the time limit of a hold with each that got no answer.
+	// extraTimeoutStep is added to the time limit of a poll for each unanswered poll before it.
 	patienceStep = 150 * time.Millisecond
 	mostPatience = 600 * time.Millisecond
-	// holdRetry is the pause after a hold that failed.
+	// pollRetryDelay is the pause after a failed poll.
 	holdRetry = 100 * time.Millisecond
-	// noteWait bounds the waiting for the commit of reported ends before the next hold.
+	// maxCommitWait is the longest wait for the commit of reported ends before the next poll.
 	noteWait = 400 * time.Millisecond
-	// loadingHold is the time between two holds while the jobs are read.
+	// loadingPollInterval is the time between two polls while the jobs are being loaded.
 	loadingHold = 300 * time.Millisecond
-	// settleTries bounds the holds that settle one lost answer.
+	// maxFencingPolls is the maximum number of polls that are sent to fence a worker once.
 	settleTries = 60
 )
 
-// workerSession talks with one life of a worker.
+// workerSession communicates with one incarnation of a worker.
 type workerSession struct {
 	owner  *Owner
 	id     dispatch.WorkerID
 	orders *orderQueue
 	cancel context.CancelFunc
-	// failures counts the holds in a row that got no answer; of the duty runHolds.
+	// failures is the number of consecutive unanswered polls; used by runPolls only.
 	failures int
-	// settling is of size 1: a hold with a higher token is on its way.
+	// fencing is of size 1: a poll with a higher token is about to be sent.
 	settling chan struct{}
 }
 
-// openSession begins to talk with a worker. The caller holds o.mu.
+// startSession starts communicating with a worker. The caller holds o.mu.
 func (o *Owner) openSession(ctx context.Context, w dispatch.WorkerInfo) {
 	id := w.ID
 	if o.sessions[id] != nil {
@@ -64,11 +64,11 @@
 	}
 }
 
-// runHolds is the duty that renews leases and takes in reports.
+// runPolls polls the worker until nothing is left to ask it. Polls extend leases and bring reports.
 func (s *workerSession) runHolds(ctx context.Context) {
-	met := false // the first hold, which does not wait, learned the worker's clock
+	answering := false // the last poll was answered; a first poll, which does not wait, reads the worker's clock
 	for ctx.Err() == nil {
-		answered, known := s.hold(ctx, s.holdClass(met), false, met)
+		answered, known := s.hold(ctx, s.holdClass(answering), false, answering)
 		if !known {
 			return
 		}
@@ -76,7 +76,7 @@
 			s.failures = 0
 		} else {
 			s.failures++
-			met = false
+			answering = false
 			clock.Sleep(ctx, holdRetry)
 			continue
 		}
@@ -84,15 +84,15 @@
 			s.owner.awaitLoaded(ctx)
 			continue
 		}
-		if !met {
-			met = true
+		if !answering {
+			answering = true
 			continue
 		}
 		s.awaitNote(ctx)
 	}
 }
 
-// awaitLoaded waits until the jobs are known, but not so long that leases lapse.
+// awaitLoaded waits until the jobs are loaded, but not so long that leases expire.
 func (o *Owner) awaitLoaded(ctx context.Context) {
 	limit := time.NewTimer(loadingHold)
 	defer limit.Stop()
@@ -103,26 +103,26 @@
 	}
 }
 
-// hold sends one hold and takes in its answer; with waits, the worker lets it wait for an end.
-// known is false when there is nothing to be asked of the worker any more.
+// poll sends one poll and applies its answer; with waits, the worker may hold the call open until a run
+// ends. known is false when the worker needs no more polls.
 func (s *workerSession) hold(ctx context.Context, class callClass, raise, waits bool) (answered, known bool) {
 	if m := s.holdPath(&raise); m != nil {
 		return s.sendHold(ctx, m, raise, waits)
 	}
-	leave, ok := s.owner.calls.enter(ctx, class, holdCounts(waits))
+	done, ok := s.owner.calls.enter(ctx, class, holdCounts(waits))
 	if !ok {
 		return false, false
 	}
-	defer leave()
+	defer done()
 	return s.sendHold(ctx, nil, raise, waits)
 }
 
-// sendHold makes the call of a hold, by a member or, without one, by this host.
+// sendPoll makes the call of a poll, through member m or, when m is nil, from this host.
 func (s *workerSession) sendHold(ctx context.Context, m *member, raise, waits bool) (answered, known bool) {
 	o := s.owner
 	o.mu.Lock()
 	now := o.deps.Clock.Now()
-	h, ok := o.pool.HoldFor(s.id, raise, o.authority(now), now)
+	p, ok := o.pool.HoldFor(s.id, raise, o.authority(now), now)
 	wait := time.Duration(0)
 	if waits {
 		wait = o.pool.HoldWait(s.id)
@@ -132,21 +132,21 @@
 		return false, false
 	}
 	a, report, err := o.callsBy(m).Hold(ctx, platform.HoldOrder{
-		Order:    platform.Order{Worker: h.Worker, Address: h.Address, Token: h.Token},
-		LastSeen: h.LastSeen, Deadline: h.Deadline, Wait: wait, Patience: s.patience(raise),
+		Order:    platform.Order{Worker: p.Worker, Address: p.Address, Token: p.Token},
+		LastSeen: p.LastSeen, Deadline: p.Deadline, Wait: wait, Patience: s.patience(raise),
 	})
 	if m != nil {
 		s.relayAnswered(m, err == nil)
 	}
 	if err != nil {
-		o.holdFailed(h.Worker)
+		o.holdFailed(p.Worker)
 		return false, true
 	}
 	o.mu.Lock()
-	news := o.pool.HoldAnswered(h, a, report, o.deps.Clock.Now())
+	changed := o.pool.HoldAnswered(p, a, report, o.deps.Clock.Now())
 	o.tellUnknownJobs()
 	o.mu.Unlock()
-	if news {
+	if changed {
 		o.wake()
 	}
 	return a.Verdict == dispatch.VerdictDone, true
@@ -158,10 +158,11 @@
 	o.pool.HoldFailed(id, o.deps.Clock.Now())
 }
 
-// holdClass is how urgent the session's next hold is; met says that the worker has answered.
-func (s *workerSession) holdClass(met bool) callClass {
+// pollClass returns the class of the session's next poll; answering means that the last poll was
+// answered.
+func (s *workerSession) holdClass(answering bool) callClass {
 	switch {
-	case met:
+	case answering:
 		return callHold
 	case s.failures > 0:
 		return callSilent
@@ -169,7 +170,7 @@
 	return callFirst
 }
 
-// holdCounts is how long a hold counts among the calls on their way.
+// pollSlotTime returns how long a poll occupies a slot of the call limiter at most.
 func holdCounts(waits bool) time.Duration {
 	if waits {
 		return waitCounts
@@ -177,8 +178,8 @@
 	return callCounts
 }
 
-// patience gives a worker more time whose answers have not come in the usual one: it may be
-// far away or slow.
+// extraTimeout returns the extra time for the next poll. A worker that did not answer within the usual
+// time may be far away or slow.
 func (s *workerSession) patience(raise bool) time.Duration {
 	if raise || s.failures == 0 {
 		return 0
@@ -186,16 +187,16 @@
 	return min(time.Duration(s.failures)*patienceStep, mostPatience)
 }
 
-// awaitNote waits until the ends that were reported are committed, since the worker would
-// report them again at once.
+// awaitCommit waits until the reported ends are committed, since the worker would report them again at
+// once.
 func (s *workerSession) awaitNote(ctx context.Context) {
 	limit := time.NewTimer(noteWait)
 	defer limit.Stop()
 	for {
 		s.owner.mu.Lock()
-		noted, committed := s.owner.pool.Noted(s.id), s.owner.committed
+		areCommitted, committed := s.owner.pool.Noted(s.id), s.owner.committed
 		s.owner.mu.Unlock()
-		if noted {
+		if areCommitted {
 			return
 		}
 		select {
@@ -208,13 +209,13 @@
 	}
 }
 
-// settle sends holds with a higher token until one is answered, so that orders without an
-// answer are settled.
+// fence sends polls with a higher token until one is answered. An earlier order that got no answer can't
+// take effect after that.
 func (s *workerSession) settle(ctx context.Context) {
 	select {
 	case s.settling <- struct{}{}:
 	default:
-		return // one that has not been sent yet will do
+		return // a poll that has not been sent yet will do
 	}
 	s.owner.duties.Go(func() {
 		clock.Sleep(ctx, 5*time.Millisecond)
@@ -231,8 +232,8 @@
 	})
 }
 
-// put queues an order; it says whether there was room. An order whose
-// session ends before its turn is dropped, as one that waits in the queue is.
+// enqueue queues an order; it returns whether there was room. An order whose session ends while it
+// waits, in the queue or for a slot, is dropped.
 func (s *workerSession) put(order func(context.Context, relay.Calls)) bool {
 	if s == nil {
 		return false
@@ -242,11 +243,11 @@
 			order(ctx, s.owner.callsBy(m))
 			return
 		}
-		leave, ok := s.owner.calls.enter(ctx, callOrder, callCounts)
+		done, ok := s.owner.calls.enter(ctx, callOrder, callCounts)
 		if !ok {
 			return
 		}
-		defer leave()
+		defer done()
 		order(ctx, s.owner.callsBy(nil))
 	})
 }
@@ -271,14 +272,15 @@
 	}
 }
 
-// mayOrder asks for the authority once more, right before an order is sent.
+// maySendOrders checks the authority once more right before an order is sent.
 func (o *Owner) mayOrder() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.authority(o.deps.Clock.Now())
 }
 
-// withhold keeps back a start whose worker gets nothing new since the start was decided. It says whether it did.
+// cancelIfObsolete cancels a start whose worker may get no new tasks since the start was decided. It
+// returns whether it did.
 func (o *Owner) withhold(a dispatch.Start) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -303,7 +305,7 @@
 	s.put(func(ctx context.Context, calls relay.Calls) {
 		answer, err := calls.Stop(ctx, platform.Order{Worker: a.Worker, Address: a.Address, Token: a.Token}, a.Task, a.Run)
 		if err != nil {
-			return // sent again when the end does not come
+			return // the pool sends the stop again when the run does not end
 		}
 		o.mu.Lock()
 		defer o.mu.Unlock()
--- a/pkg/poolowner/unknown_jobs.go
+++ b/pkg/poolowner/unknown_jobs.go
@@ -11,11 +11,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// readsAtOnce bounds the records that are read at the same time.
+// maxConcurrentReads is the maximum number of job records that are read at the same time.
 const readsAtOnce = 8
 
-// readUnknownJobs is the duty that reads the records of jobs which workers list and of which no host has told. Until then their workers get no tasks and
-// keep their ends.
+// readUnknownJobs reads the records of jobs that workers list but that no host has reported. Until a job
+// is read, the workers that list it get no tasks and keep its run ends.
 func (o *Owner) readUnknownJobs(ctx context.Context) {
 	for {
 		select {
@@ -29,7 +29,7 @@
 	}
 }
 
-// readSome reads the records of a few jobs at the same time, since the store may be slow.
+// readConcurrently reads the records of a few jobs at the same time, since the store may be slow.
 func (o *Owner) readSome(ctx context.Context, ids []job.ID) {
 	var reads sync.WaitGroup
 	for _, id := range ids {
@@ -44,7 +44,8 @@
 	return o.pool.UnknownJobs()
 }
 
-// readUnknownJob reads the record of a job that a worker lists. After a failure it stays among the jobs to be read.
+// readUnknownJob reads the record of a job that a worker lists. If that fails, the job stays among those
+// to be read.
 func (o *Owner) readUnknownJob(ctx context.Context, id job.ID) {
 	item, err := o.deps.Store.Read(ctx, jobstore.JobKey(id))
 	if err == nil || errors.Is(err, platform.ErrAbsent) {
@@ -56,18 +57,19 @@
 	clock.Sleep(ctx, storeRetry)
 }
 
-// takeUnknownJob takes in the record of a job that a worker lists, or that there is none.
+// applyUnknownJob applies the record of a job that a worker lists, or records that it has none.
 func (o *Owner) takeUnknownJob(id job.ID, item platform.Item, found bool) {
 	o.mu.Lock()
 	if found {
 		o.takeJobs([]platform.Item{item}, nil)
 	}
-	o.pool.JobAbsent(id) // also of a record that can't be used; of a job that is known now, nothing
+	o.pool.JobAbsent(id) // also for a record that can't be decoded; no effect for a job that is known by now
 	o.mu.Unlock()
 	o.wake()
 }
 
-// tellUnknownJobs has the records of unknown jobs read, if there are any. The caller holds o.mu.
+// requestUnknownJobs requests that the records of unknown jobs be read, if there are any. The caller
+// holds o.mu.
 func (o *Owner) tellUnknownJobs() {
 	if o.pool.ListsUnknown() {
 		signal(o.unknownJobs)
--- a/pkg/poolowner/upkeep.go
+++ b/pkg/poolowner/upkeep.go
@@ -12,10 +12,10 @@
 	"github.com/sirupsen/logrus"
 )
 
-// upkeepEvery is the time between two looks at the machines while there is a wave.
+// upkeepInterval is the time between two checks of the machines while there is a wave.
 const upkeepEvery = 500 * time.Millisecond
 
-// PutWave takes in a wave of upkeep that the operator asks for.
+// AddWave adds an upkeep wave that the operator has requested.
 func (o *Owner) PutWave(w upkeep.Wave) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -23,25 +23,27 @@
 	o.deps.Log.WithFields(logrus.Fields{"wave": w.Number, "machines": len(w.Machines), "at_once": w.AtOnce}).Info("wave_known")
 }
 
-// runUpkeep is the duty that carries out waves of upkeep.
+// runUpkeep carries out the upkeep waves.
 func (o *Owner) runUpkeep(ctx context.Context) {
 	if o.deps.Machines == nil {
 		return
 	}
-	// Orders of two owners must not come in turns.
+	// The previous owner's orders are over by then, so that orders of two owners do not alternate.
 	clock.Sleep(ctx, o.deps.Bounds.MachineLease)
-	known := map[int64]bool{}
+	checked := map[int64]bool{}
 	clock.Every(ctx, upkeepEvery, func() {
 		o.mu.Lock()
 		active := o.upkeep.Active()
 		o.mu.Unlock()
 		if active {
-			o.upkeepOnce(ctx, known)
+			o.upkeepOnce(ctx, checked)
 		}
 	})
 }
 
-func (o *Owner) upkeepOnce(ctx context.Context, known map[int64]bool) {
+// advanceUpkeep lists the machines, orders the next upkeeps and writes the states of the waves. checked
+// holds the waves whose stored state has been read (writeWaveState).
+func (o *Owner) upkeepOnce(ctx context.Context, checked map[int64]bool) {
 	machines, err := o.deps.Machines.List(ctx)
 	if err != nil {
 		o.deps.Log.WithField("error", err).Warn("machines_not_listed")
@@ -50,21 +52,21 @@
 	o.mu.Lock()
 	o.upkeep.SetMachines(machines)
 	plan := o.upkeep.Plan(o.deps.Clock.Now())
-	closed := make(map[string]bool, len(plan.Close))
+	cordoned := make(map[string]bool, len(plan.Close))
 	for _, name := range plan.Close {
-		closed[name] = true
+		cordoned[name] = true
 	}
-	o.pool.Close(closed)
+	o.pool.Close(cordoned)
 	o.mu.Unlock()
 	for _, order := range plan.Orders {
 		o.sendUpkeep(ctx, order)
 	}
 	for _, s := range plan.Shows {
-		o.showWave(ctx, s, known)
+		o.showWave(ctx, s, checked)
 	}
 }
 
-// sendUpkeep sends a machine into upkeep once nothing runs there that has to be spared.
+// startUpkeep starts the upkeep of a machine once its worker has been vacated.
 func (o *Owner) sendUpkeep(ctx context.Context, order upkeep.Order) {
 	o.mu.Lock()
 	ready := o.pool.Empty(order.Machine.Worker, order.Force)
@@ -84,14 +86,15 @@
 	o.upkeep.Ordered(order, err == nil, o.deps.Clock.Now())
 }
 
-// showWave writes a wave's state, unless a former owner has shown it as completed.
-func (o *Owner) showWave(ctx context.Context, s upkeep.Show, known map[int64]bool) {
-	if !known[s.Wave] {
+// writeWaveState writes the state of a wave, unless a previous owner has written it as completed. Before
+// the first write to a wave it reads the stored state; checked holds the waves for which it has.
+func (o *Owner) showWave(ctx context.Context, s upkeep.Show, checked map[int64]bool) {
+	if !checked[s.Wave] {
 		item, err := o.deps.Store.Read(ctx, platform.WaveStatusKey(s.Wave))
 		if err != nil && !errors.Is(err, platform.ErrAbsent) {
 			return
 		}
-		known[s.Wave] = true
+		checked[s.Wave] = true
 		if platform.ParseWaveStatus(item.Value) == upkeep.Completed {
 			o.mu.Lock()
 			defer o.mu.Unlock()
