--- a/pkg/poolowner/commits.go
+++ b/pkg/poolowner/commits.go
@@ -16,25 +16,27 @@
 )
 
 const (
-	// commitEvery is the time between two commits.
+	// commitInterval is the time between two commits.
 	commitEvery = 40 * time.Millisecond
-	// namesPause is the least time between two commits when starts wait for names to be stored.
+	// minCommitPause is the least time between two commits while starts wait until the store records
+	// their workers.
 	namesPause = 10 * time.Millisecond
-	// dropEvery is the time between two removals of outcomes that have been kept long enough.
+	// outcomeRemovalInterval is the time between two removals of old outcomes.
 	dropEvery = 200 * time.Millisecond
-	// commitRetry is the pause before a commit that failed is tried again.
+	// commitRetryDelay is the pause before a failed commit is repeated.
 	commitRetry = 50 * time.Millisecond
-	// A write without an answer is given more time with each try, from firstPatience to mostWritePatience: one whose bytes still wait on the link
-	// would be followed by its own copies.
+	// A write that got no answer is repeated with a longer time limit each time: the first repetition
+	// has firstExtraTimeout more than usual, later ones up to maxExtraWriteTimeout. Otherwise, while its
+	// bytes still wait on a slow link, copies of the same write would queue up behind it.
 	firstPatience     = 400 * time.Millisecond
 	mostWritePatience = 3200 * time.Millisecond
-	// ownEntries is how many entries of a transaction each commit needs for itself.
+	// reservedEntries is the number of entries of a transaction that commit itself may need.
 	ownEntries = 2
 )
 
-// runCommits is the duty that writes what the pool has decided.
+// runCommits writes the decisions of the pool to the store.
 func (o *Owner) runCommits(ctx context.Context) {
-	dropped := o.deps.Clock.Now()
+	lastRemoval := o.deps.Clock.Now()
 	t := time.NewTicker(commitEvery)
 	defer t.Stop()
 	for ctx.Err() == nil {
@@ -44,8 +46,8 @@
 		case <-t.C:
 		case <-o.names:
 		}
-		if now := o.deps.Clock.Now(); now.Sub(dropped) >= dropEvery {
-			dropped = now
+		if now := o.deps.Clock.Now(); now.Sub(lastRemoval) >= dropEvery {
+			lastRemoval = now
 			o.dropOutcomes(ctx)
 		}
 		o.commitChanges(ctx)
@@ -53,7 +55,7 @@
 	}
 }
 
-// commitSoon has names be stored without waiting for the next commit.
+// requestCommit requests a commit without waiting for the commit interval.
 func (o *Owner) commitSoon() {
 	select {
 	case o.names <- struct{}{}:
@@ -82,8 +84,8 @@
 	}
 }
 
-// dropOutcomes removes outcomes from the store that have been kept long enough. It runs
-// between commits, in the same series.
+// removeOldOutcomes removes outcomes from the store whose retention time is over. It runs between
+// commits and uses the first commit lane.
 func (o *Owner) dropOutcomes(ctx context.Context) {
 	o.mu.Lock()
 	ids := o.pool.ExpiredOutcomes(o.deps.Bounds.KeepOutcomes, platform.MaxTxnEntries-ownEntries, o.deps.Clock.Now())
@@ -103,7 +105,8 @@
 	o.pool.ForgetOutcomes(ids)
 }
 
-// commitLane is one series of commits, each on condition of the one before it.
+// commitLane is a sequence of commits, each on condition of the one before it. Lanes are independent of
+// each other.
 type commitLane struct {
 	key      string
 	revision int64 // of the last commit
@@ -117,9 +120,10 @@
 	return lanes
 }
 
-// writeChanges puts changes into the store, whatever it takes; an error says that the owner
-// ends. What does not fit into one transaction is spread over the lanes, so that a slow store
-// gets several at once; they are of different jobs and may be done in any order.
+// writeChanges writes changes to the store and repeats failed writes; it returns an error only when this
+// owner ends. Changes that do not fit into one transaction are spread over the lanes, so that a slow
+// store gets several transactions at the same time. They are of different jobs and may be written in any
+// order.
 func (o *Owner) writeChanges(ctx context.Context, changes []dispatch.Change) error {
 	txns, err := packChanges(changes)
 	if err != nil {
@@ -143,25 +147,25 @@
 	return group.Wait()
 }
 
-// packChanges makes transactions of changes, as few as hold them.
+// packChanges packs changes into as few transactions as possible.
 func packChanges(changes []dispatch.Change) ([]platform.Txn, error) {
-	const most = platform.MaxTxnEntries - ownEntries
+	const maxEntries = platform.MaxTxnEntries - ownEntries
 	var txns []platform.Txn
-	var last platform.Txn
+	var current platform.Txn
 	for _, c := range changes {
 		entries, err := entriesOf(c)
 		if err != nil {
 			return nil, err
 		}
-		if size(last)+size(entries) > most {
-			txns = append(txns, last)
-			last = platform.Txn{}
+		if size(current)+size(entries) > maxEntries {
+			txns = append(txns, current)
+			current = platform.Txn{}
 		}
-		last.Put = append(last.Put, entries.Put...)
-		last.Remove = append(last.Remove, entries.Remove...)
+		current.Put = append(current.Put, entries.Put...)
+		current.Remove = append(current.Remove, entries.Remove...)
 	}
-	if size(last) > 0 {
-		txns = append(txns, last)
+	if size(current) > 0 {
+		txns = append(txns, current)
 	}
 	return txns, nil
 }
@@ -170,15 +174,15 @@
 	return len(t.Put) + len(t.Remove)
 }
 
-// entriesOf returns what one change writes and removes.
+// changeEntries returns what one change writes and removes.
 func entriesOf(c dispatch.Change) (t platform.Txn, err error) {
 	if c.Outcome == "" {
-		text, err := c.Progress.Encode()
-		t.Put = []platform.Put{{Key: jobstore.ProgressKey(c.Job), Value: text}}
+		data, err := c.Progress.Encode()
+		t.Put = []platform.Put{{Key: jobstore.ProgressKey(c.Job), Value: data}}
 		return t, err
 	}
-	text, err := job.Record{Outcome: c.Outcome, Customer: customer.Customer{Name: c.Customer}, Unended: c.Unended, LateStart: c.LateStart}.Encode()
-	t.Put = []platform.Put{{Key: jobstore.JobKey(c.Job), Value: text}}
+	data, err := job.Record{Outcome: c.Outcome, Customer: customer.Customer{Name: c.Customer}, Unended: c.Unended, LateStart: c.LateStart}.Encode()
+	t.Put = []platform.Put{{Key: jobstore.JobKey(c.Job), Value: data}}
 	if c.Stored {
 		t.Remove = append(t.Remove, jobstore.ProgressKey(c.Job))
 	}
@@ -188,22 +192,23 @@
 	return t, err
 }
 
-// morePatience is how much longer than usual the next try of a write may take, after one that failed.
+// nextExtraTimeout returns the extra time for the next attempt at a write, from that of the failed
+// attempt.
 func morePatience(p time.Duration, err error) time.Duration {
 	if !errors.Is(err, platform.ErrUnsettled) {
-		return p // it was refused, or nothing was sent
+		return p // the write was refused or was not sent
 	}
 	return min(max(2*p, firstPatience), mostWritePatience)
 }
 
-// commit carries out one transaction exactly once. All commits of a lane replace one key under
-// the condition that nobody else has, so a lost answer is settled by trying again: whichever
-// try comes second finds the key replaced.
+// commit writes one transaction exactly once, repeating it until the store answers. Each commit of a
+// lane replaces the lane's key on condition that nobody else has. So an attempt without an answer is
+// repeated safely: if it did take effect, the repetition finds its marker in the key.
 func (o *Owner) commit(ctx context.Context, lane *commitLane, t platform.Txn) error {
 	lane.number++
-	mark := fmt.Appendf(nil, "%d/%d", o.claim.Term, lane.number)
+	marker := fmt.Appendf(nil, "%d/%d", o.claim.Term, lane.number)
 	t.Conditions = []platform.Condition{{Key: lane.key, Revision: lane.revision}}
-	t.Put = append(t.Put, platform.Put{Key: lane.key, Value: mark})
+	t.Put = append(t.Put, platform.Put{Key: lane.key, Value: marker})
 	for ctx.Err() == nil {
 		revision, found, err := o.deps.Store.Commit(ctx, t)
 		if err == nil {
@@ -212,7 +217,7 @@
 			return nil
 		}
 		if errors.Is(err, platform.ErrConflict) {
-			if len(found) == 1 && string(found[0].Value) == string(mark) {
+			if len(found) == 1 && string(found[0].Value) == string(marker) {
 				lane.revision = found[0].Revision
 				return nil
 			}
--- a/pkg/poolowner/customer_limits.go
+++ b/pkg/poolowner/customer_limits.go
@@ -10,21 +10,24 @@
 	"github.com/sirupsen/logrus"
 )
 
-// limits are the customers of whom not all is taken in, as worked out at a time and as told to the hosts.
+// customerLimits are the customers whose jobs are accepted only in part, as computed last and as sent to
+// the hosts.
 type limits struct {
 	at   clock.Time
 	list []admission.Limit
 	told []*poolpb.Limit
 }
 
-// Limits lists the customers of whom not all is taken in for now, as this host's door asks it.
+// CustomerLimits returns the customers whose jobs are accepted only in part at present, for the job API
+// of this host.
 func (o *Owner) Limits() []*poolpb.Limit {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.limitsNow()
 }
 
-// limitsNow lists the customers of whom not all is taken in. It is worked out once a heartbeat, since it goes over all jobs. The caller holds o.mu.
+// currentLimits returns the customers whose jobs are accepted only in part. They are computed at most
+// once per heartbeat interval, since this goes over all jobs. The caller holds o.mu.
 func (o *Owner) limitsNow() []*poolpb.Limit {
 	now := o.deps.Clock.Now()
 	if o.limits.at != 0 && now.Sub(o.limits.at) < poolrpc.HeartbeatEvery {
@@ -36,22 +39,22 @@
 	return o.limits.told
 }
 
-// messagesOf are limits as hosts are told of them.
+// limitMessages returns the messages that tell hosts of limits.
 func messagesOf(list []admission.Limit) []*poolpb.Limit {
 	var out []*poolpb.Limit
 	for _, l := range list {
-		told := &poolpb.Limit{Customer: l.Customer}
+		message := &poolpb.Limit{Customer: l.Customer}
 		for _, q := range l.Queues {
 			queue := messageOf(q.Refusal)
 			queue.Share = q.Share
-			told.Queues = append(told.Queues, queue)
+			message.Queues = append(message.Queues, queue)
 		}
-		out = append(out, told)
+		out = append(out, message)
 	}
 	return out
 }
 
-// logLimits tells for which queues customers begin and cease to be limited, and why.
+// logLimits logs which customers' limits on which queues begin and end, and why they begin.
 func (o *Owner) logLimits(before, list []admission.Limit) {
 	for _, l := range before {
 		for _, q := range l.Queues {
--- a/pkg/poolowner/entry_writes.go
+++ b/pkg/poolowner/entry_writes.go
@@ -6,44 +6,46 @@
 	"foldarch.dev/foldarch/pkg/clock"
 )
 
-// freshBeats is how many heartbeats an entry that went may have missed at most for it to
-// have gone because its worker left: it goes of itself after three.
+// maxMissedHeartbeats limits the age of an entry at its removal, in heartbeats. The entry of a worker
+// that stops without removing it expires after three heartbeats; a younger one was removed because the
+// worker left.
 const freshBeats = 2.5
 
-// beats tells for each worker how long ago its entry was written at most. It trusts an
-// unbroken series of watches only.
+// entryWrites tracks when each worker's entry was last written, at the earliest. It relies only on an
+// unbroken series of successful watches.
 type beats struct {
 	heartbeat time.Duration
-	previous  clock.Time            // when the watch before the last answered; 0 when the series broke
+	previous  clock.Time            // when the watch before the last one answered; 0 when the series is broken
 	last      clock.Time            // when the last watch answered
-	writtenBy map[string]clock.Time // by the worker's name
+	writtenBy map[string]clock.Time // by worker name: the last write was later than this
 }
 
 func newBeats(heartbeat time.Duration) beats {
 	return beats{heartbeat: heartbeat, writtenBy: map[string]clock.Time{}}
 }
 
-// answered takes in that a watch has answered.
+// watchAnswered records that a watch has answered.
 func (b *beats) answered(now clock.Time) {
 	b.previous, b.last = b.last, now
 }
 
-// interrupted takes in that a watch failed: the store may have been down.
+// watchFailed records that a watch has failed. The store may have been down, so known times no longer
+// count.
 func (b *beats) interrupted() {
 	b.previous, b.last = 0, 0
 	clear(b.writtenBy)
 }
 
-// seen takes in that the last watch showed a write of a worker's entry. It was written
-// after the watch before.
+// recordWrite records that the last watch showed a write of a worker's entry. The write was later than
+// the answer of the watch before.
 func (b *beats) seen(name string) {
 	if b.previous != 0 {
 		b.writtenBy[name] = b.previous
 	}
 }
 
-// fresh says that the entry of a worker, gone by the last watch, was written so lately that
-// it has not gone for want of heartbeats.
+// takeRecentlyWritten returns whether a worker's entry, which the last watch showed as removed, was
+// written too recently to have expired. It forgets the entry.
 func (b *beats) fresh(name string, now clock.Time) bool {
 	after, ok := b.writtenBy[name]
 	delete(b.writtenBy, name)
--- a/pkg/poolowner/loading.go
+++ b/pkg/poolowner/loading.go
@@ -17,26 +17,26 @@
 )
 
 const (
-	// jobsEvery is the time between two looks for jobs of which no host has told.
+	// jobsWatchInterval is the time between two watches for jobs that no host has reported.
 	jobsEvery = 500 * time.Millisecond
-	// workersWait is how long a watch on the workers' entries waits.
+	// workersWatchWait is how long a watch on the workers' entries waits for changes.
 	workersWait = time.Second
-	// workersPause is the time between two watches: entries change with each heartbeat, and
-	// a change of state may come a little late.
+	// workersWatchPause is the time between two watches. Entries change with each heartbeat, and a
+	// change of a worker's state may be seen a little late.
 	workersPause = 300 * time.Millisecond
-	// manyChanges is how many changes in one answer tell that more may be there already: an
-	// answer holds about 500 at most, and thousands of workers write as many in a pause.
+	// fullAnswerChanges is the number of changes in one answer from which more may be waiting already.
+	// An answer holds at most about 500, and thousands of workers write as many during a pause.
 	manyChanges = 250
 	storeRetry  = 100 * time.Millisecond
 )
 
-// position is how far a duty has followed the store.
+// watchPosition is the revision up to which each prefix of the store has been read.
 type position struct {
 	jobs    int64
 	workers int64
 }
 
-// load reads the workers and the jobs, trying again until the store answers.
+// load reads the workers and the jobs, and repeats this until the store answers.
 func (o *Owner) load(ctx context.Context) error {
 	for ctx.Err() == nil {
 		err := o.loadOnce(ctx)
@@ -49,8 +49,8 @@
 	return ctx.Err()
 }
 
-// loadOnce reads workers and jobs at the same time, since the store may be slow. What runs
-// is held on as soon as the workers are known.
+// tryLoad reads workers and jobs at the same time, since the store may be slow. The leases of running
+// tasks are extended as soon as the workers are known.
 func (o *Owner) loadOnce(ctx context.Context) error {
 	var group errgroup.Group
 	group.Go(func() error {
@@ -61,7 +61,7 @@
 		return nil
 	})
 	group.Go(func() error { return o.listJobs(ctx) })
-	group.Go(func() error { return errors.Wrap(o.deps.ReadOperator(ctx), "operator's keys") })
+	group.Go(func() error { return errors.Wrap(o.deps.ReadOperator(ctx), "read operator's keys") })
 	if err := group.Wait(); err != nil {
 		return err
 	}
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// listJobs reads all jobs and their progress, which nobody else changes any more.
+// listJobs reads all jobs and their progress, which no previous owner can change any more.
 func (o *Owner) listJobs(ctx context.Context) error {
 	started := o.deps.Clock.Now()
 	var items []platform.Item
@@ -99,7 +99,7 @@
 	var group errgroup.Group
 	group.Go(func() (err error) {
 		items, at, err = o.deps.Store.List(ctx, jobstore.JobsPrefix)
-		return errors.Wrap(err, "jobs")
+		return errors.Wrap(err, "list jobs")
 	})
 	group.Go(func() (err error) {
 		progress, err = o.listProgress(ctx)
@@ -121,14 +121,14 @@
 func (o *Owner) listProgress(ctx context.Context) (map[job.ID]job.Progress, error) {
 	items, _, err := o.deps.Store.List(ctx, jobstore.ProgressPrefix)
 	if err != nil {
-		return nil, errors.Wrap(err, "progress of jobs")
+		return nil, errors.Wrap(err, "list progress of jobs")
 	}
 	progress := make(map[job.ID]job.Progress, len(items))
 	for _, i := range items {
 		id := job.ID(strings.TrimPrefix(i.Key, jobstore.ProgressPrefix))
 		p, err := job.DecodeProgress(i.Value)
 		if err != nil {
-			// What the job has done is not known, so it must not run on; the others do.
+			// The progress of this job is unknown, so it must not run; other jobs do.
 			o.deps.Log.WithFields(logrus.Fields{"job": id, "error": err}).Error("progress_unreadable")
 			o.mu.Lock()
 			o.unreadable[id] = true
@@ -140,14 +140,15 @@
 	return progress, nil
 }
 
-// takeJobs takes in items under JobsPrefix. The caller holds o.mu.
+// applyJobs applies items under JobsPrefix. The caller holds o.mu.
 func (o *Owner) takeJobs(items []platform.Item, progress map[job.ID]job.Progress) {
 	for _, i := range items {
 		id, cancel := jobstore.ParseJobKey(i.Key)
 		switch {
 		case i.Gone:
 		case o.pool.Running(id) && !cancel && !job.HasOutcome(i.Value):
-			// A host has told of it; reading all records once more took 5% of an owner's time.
+			// A host has reported it already; decoding all records again took 5% of an owner's processor
+			// time.
 		case cancel:
 			if !o.pool.Cancel(id) {
 				o.cancelled[id] = true
@@ -164,7 +165,7 @@
 	}
 }
 
-// watchJobs is the duty that looks for jobs of which no host has told the owner.
+// watchJobs watches the store for jobs that no host has reported to the owner.
 func (o *Owner) watchJobs(ctx context.Context) {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, jobsEvery)
@@ -174,9 +175,9 @@
 	}
 }
 
-// lookForJobs takes in the jobs that were written since the last look.
+// watchJobsOnce applies the jobs that were written since the last watch.
 func (o *Owner) lookForJobs(ctx context.Context) error {
-	asked := o.deps.Clock.Now()
+	askedAt := o.deps.Clock.Now()
 	items, at, err := o.deps.Store.Watch(ctx, jobstore.JobsPrefix, o.position.jobs, 0)
 	if errors.Is(err, platform.ErrHistoryIsGone) {
 		err = o.listJobs(ctx)
@@ -186,7 +187,7 @@
 	if err != nil {
 		return err
 	}
-	o.followsJobs.Known(asked)
+	o.followsJobs.Known(askedAt)
 	o.position.jobs = at
 	if len(items) == 0 {
 		return nil
@@ -198,11 +199,11 @@
 	return nil
 }
 
-// listWorkers reads all entries of workers.
+// listWorkers reads the entries of all workers.
 func (o *Owner) listWorkers(ctx context.Context) error {
 	items, at, err := o.deps.Store.List(ctx, platform.WorkersPrefix)
 	if err != nil {
-		return errors.Wrap(err, "workers")
+		return errors.Wrap(err, "list worker entries")
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -221,7 +222,7 @@
 	return nil
 }
 
-// watchWorkers is the duty that follows the workers' entries.
+// watchWorkers follows the workers' entries.
 func (o *Owner) watchWorkers(ctx context.Context) {
 	for ctx.Err() == nil {
 		items, at, err := o.deps.Store.Watch(ctx, platform.WorkersPrefix, o.position.workers, workersWait)
@@ -241,7 +242,8 @@
 	}
 }
 
-// loseWorkers takes in that the workers' entries could not be read, and waits a little.
+// handleWatchFailure records that the workers' entries could not be read, and waits before the next
+// attempt.
 func (o *Owner) loseWorkers(ctx context.Context, err error) {
 	o.beats.interrupted()
 	if ctx.Err() == nil {
@@ -250,8 +252,8 @@
 	clock.Sleep(ctx, storeRetry)
 }
 
-// pauseAfter is how long the next watch on the workers' entries is put off after an answer with
-// a number of changes. There is no pause until the owner has caught up.
+// pauseAfterWatch returns the pause after an answer with the given number of changes. There is none
+// until the owner has caught up.
 func pauseAfter(changes int) time.Duration {
 	if changes >= manyChanges {
 		return 0
@@ -281,7 +283,7 @@
 	}
 }
 
-// openSessions begins to talk with the workers that are new.
+// startSessions starts a session with each new worker.
 func (o *Owner) openSessions(ctx context.Context) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/pkg/poolowner/members.go
+++ b/pkg/poolowner/members.go
@@ -13,10 +13,10 @@
 	"github.com/sirupsen/logrus"
 )
 
-// writeTimeout bounds a write for a member.
+// writeTimeout is the maximum duration of a write on behalf of a member.
 const writeTimeout = 3 * time.Second
 
-// Handlers are what the owner does with what other hosts say.
+// Handlers returns the functions that handle the messages of other hosts.
 func (o *Owner) Handlers() poolrpc.OwnerHandlers {
 	return poolrpc.OwnerHandlers{
 		Joined: o.joined, Left: o.left, Results: o.results, Answer: o.Answer, Advice: o.adviceAnswered, Status: o.status, Done: o.done,
@@ -29,9 +29,9 @@
 func (o *Owner) joined(s *poolrpc.Session) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if former := o.members[s.Name]; former != nil {
-		former.cancel() // its stream has not been found broken yet
-		o.heardOf(former)
+	if previous := o.members[s.Name]; previous != nil {
+		previous.cancel() // its stream has not been detected as broken yet
+		o.heardOf(previous)
 	}
 	o.members[s.Name] = o.newMember(s)
 	st := s.Status()
@@ -56,15 +56,16 @@
 	o.deps.Log.WithField("member", s.Name).Info("member_left")
 }
 
-// fewMembers is up to how many members all have the usual heartbeat. Of 146, with four heartbeats a second both
-// ways each, they were the most frequent messages of an owner.
+// maxAllFastMembers is the number of members up to which all have the fast heartbeat. With 146 members
+// and four heartbeats a second in each direction, heartbeats were the most frequent messages of an
+// owner.
 const fewMembers = 48
 
-// nearMembers is how many strong members have the usual heartbeat however many there are: those of whom one
-// takes over soon when the owner is silent.
+// fastMemberCount is the number of strong members that have the fast heartbeat however many members
+// there are. One of them takes over soon when the owner falls silent.
 const nearMembers = 8
 
-// heartbeat is the time between two heartbeats of a member. The caller holds o.mu.
+// heartbeatInterval returns the time between two heartbeats of a member. The caller holds o.mu.
 func (o *Owner) heartbeat(m *member) time.Duration {
 	if len(o.members) <= fewMembers || o.near[m.Name] || o.relays.Serves(m.Name) {
 		return poolrpc.HeartbeatEvery
@@ -76,7 +77,7 @@
 	return poolrpc.SlowHeartbeat
 }
 
-// status is the owner's heartbeat for a member.
+// memberStatus returns the owner's heartbeat message for a member.
 func (o *Owner) status(s *poolrpc.Session) *poolpb.OwnerStatus {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -87,7 +88,8 @@
 	return o.statusEach(o.heartbeat(m))
 }
 
-// statusEach is the owner's heartbeat on a stream on which they follow each other in a time.
+// ownerStatus returns the owner's heartbeat message for a stream with the given heartbeat interval. The
+// caller holds o.mu.
 func (o *Owner) statusEach(heartbeat time.Duration) *poolpb.OwnerStatus {
 	owner := o.reach()
 	st := &poolpb.OwnerStatus{
@@ -100,68 +102,73 @@
 	return st
 }
 
-// yieldGain is by how much better a member must reach the store for an owner to yield that
-// does not stop. It covers the time between two calls and between two heartbeats.
+// minYieldGain is by how much more recently the store must have answered a member than this host for the
+// owner to yield to it for YieldStoreUnreached. It covers the time between two store calls and between
+// two heartbeats.
 const yieldGain = 800 * time.Millisecond
 
-// enough is the strength of a host that is large enough to own the pool.
+// sufficientStrength is the strength of a host that is large enough to own the pool.
 const enough = 100
 
-// Reason is why an owner has another host take over.
+// YieldReason is why an owner asks another host to take over.
 type Reason string
 
 // The reasons to yield.
 const (
-	// Stopping: the process is being stopped; any member will do.
+	// YieldStopping: this process is being stopped. Any member may take over.
 	Stopping Reason = "stopping"
-	// Unreached: the store does not answer this host; a member that reaches it clearly
-	// better will do. When the store is down for all, nothing is gained.
+	// YieldStoreUnreached: the store does not answer this host. A member that the store has answered
+	// clearly more recently may take over. When the store is down for all hosts, nothing would be
+	// gained.
 	Unreached Reason = "store_unreached"
-	// TooSmall: the host is too small to own the pool; one that is large enough will do.
+	// YieldHostTooSmall: this host is too small to own the pool. A member that is large enough may take
+	// over.
 	TooSmall Reason = "host_too_small"
 )
 
-// freshStore is how long ago the store may have answered a member that is to take over.
+// maxSuccessorStoreAge is the longest time since the store answered a member that may take over from a
+// host that is too small.
 const freshStore = 1500 * time.Millisecond
 
-// Yield asks a member to take over. It says whether there is one that will do.
-func (o *Owner) Yield(why Reason) bool {
+// Yield asks a member to take over. It returns whether there is one that may.
+func (o *Owner) Yield(reason Reason) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if old := o.yield.Load(); old != nil && o.willDo(*old, why) {
-		return true // it has been asked
+	if old := o.yield.Load(); old != nil && o.willDo(*old, reason) {
+		return true // it has been asked already
 	}
-	best := o.bestMember(why)
+	best := o.bestMember(reason)
 	if best == "" {
 		return false
 	}
 	if old := o.yield.Swap(&best); old == nil || *old != best {
-		o.deps.Log.WithFields(logrus.Fields{"to": best, "why": why}).Info("owner_yields")
+		o.deps.Log.WithFields(logrus.Fields{"to": best, "why": reason}).Info("owner_yields")
 	}
 	o.tellStatus()
 	return true
 }
 
-// TellStatus sends the owner's heartbeat to all members at once, since they should know of a change soon.
+// BroadcastStatus sends the owner's heartbeat to all members at once, so that they learn of a change
+// soon.
 func (o *Owner) TellStatus() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.tellStatus()
 }
 
-// tellStatus sends the owner's heartbeat to all members at once. The caller holds o.mu.
+// broadcastStatus is BroadcastStatus for callers that hold o.mu.
 func (o *Owner) tellStatus() {
 	for _, m := range o.members {
 		m.Send(&poolpb.OwnerMessage{Content: &poolpb.OwnerMessage_Status{Status: o.statusEach(o.heartbeat(m))}})
 	}
 }
 
-// bestMember names the strongest member that will do for a reason, among like ones the one
-// that reached the store last. The caller holds o.mu.
-func (o *Owner) bestMember(why Reason) string {
+// bestSuccessor returns the name of the strongest member that may take over for a reason; among equally
+// strong ones, the one that the store has answered most recently. The caller holds o.mu.
+func (o *Owner) bestMember(reason Reason) string {
 	best, bestStrength, bestAge := "", int64(-1), time.Duration(0)
 	for name, s := range o.members {
-		if !o.willDo(name, why) {
+		if !o.willDo(name, reason) {
 			continue
 		}
 		strength, age := s.Status().Strength, o.storeAge(s)
@@ -173,13 +180,13 @@
 	return best
 }
 
-// willDo says whether a member can take over for a reason. The caller holds o.mu.
-func (o *Owner) willDo(name string, why Reason) bool {
+// mayTakeOver returns whether a member may take over for a reason. The caller holds o.mu.
+func (o *Owner) willDo(name string, reason Reason) bool {
 	s, ok := o.members[name]
 	if !ok || s.Status().Stopping {
 		return false
 	}
-	switch why {
+	switch reason {
 	case Stopping:
 		return true
 	case Unreached:
@@ -188,40 +195,41 @@
 	return o.storeAge(s) < freshStore && s.Status().Strength >= enough
 }
 
-// reachesStoreBetter says that the store answered the member clearly later than this host.
+// reachesStoreBetter returns whether the store has answered a member clearly more recently than this
+// host.
 func (o *Owner) reachesStoreBetter(m *member) bool {
 	return o.storeAge(m) < o.deps.StoreAge()-yieldGain
 }
 
-// storeAge is how long ago the store has answered a member, at most.
+// storeAge returns the maximum time since the store answered a member.
 func (o *Owner) storeAge(m *member) time.Duration {
 	return time.Duration(m.Status().StoreAgeMs)*time.Millisecond + m.StatusAge(o.deps.Clock.Now())
 }
 
-// Strong says whether this host is large enough to own the pool.
+// IsStrongEnough returns whether this host is large enough to own the pool.
 func (o *Owner) Strong() bool {
 	return o.deps.Strength >= enough
 }
 
-// write puts a key into the store for a member.
+// writeKey writes a key to the store on behalf of a member.
 func (o *Owner) write(w *poolpb.Write) *poolpb.Answer {
-	limit := writeTimeout
+	timeout := writeTimeout
 	if w.LeftMs > 0 {
-		limit = min(limit, time.Duration(w.LeftMs)*time.Millisecond)
+		timeout = min(timeout, time.Duration(w.LeftMs)*time.Millisecond)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	a := o.deps.Write(ctx, w.Key, w.Value)
 	a.Number = w.Number
 	return a
 }
 
-// Stay takes back what Yield asked for.
+// CancelYield withdraws the request of Yield.
 func (o *Owner) Stay() {
 	o.yield.Store(nil)
 }
 
-// Answer tells the state of a job or the pending jobs of a queue.
+// AnswerQuestion returns the state of a job or the number of pending jobs of a queue.
 func (o *Owner) Answer(q *poolpb.Question) *poolpb.Answer {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -239,21 +247,21 @@
 	return a
 }
 
-// Explain tells what is known of a job; ok is false when nothing is.
+// Explain returns what is known about a job; ok is false when the job is unknown.
 func (o *Owner) Explain(id job.ID) (e dispatch.Explanation, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.pool.Explain(id, o.deps.Clock.Now())
 }
 
-// Customers lists the customers with what they have in the pool.
+// Customers returns the customers with their use of the pool.
 func (o *Owner) Customers() []dispatch.CustomerStatus {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.pool.Customers()
 }
 
-// ask has a call for advice made, by this host or by a member.
+// sendAdviceCall requests an advice call from a member or makes it from this host.
 func (o *Owner) ask(ctx context.Context, m *member, a dispatch.Ask) {
 	call := &poolpb.AdviceCall{
 		Number: a.Number, Job: string(a.Step.Job), Time: int64(a.Step.Time), Step: int64(a.Step.Step),
@@ -282,8 +290,8 @@
 	o.wake()
 }
 
-// Accepted takes in a job that a host has put into the store. Before all jobs are listed it
-// is left to the list, which may have it as ended.
+// JobAccepted adds a job that a host has written to the store. While the jobs are being loaded it does
+// nothing: the job will be in the loaded list, possibly with its outcome.
 func (o *Owner) Accepted(id job.ID, text []byte) {
 	if !o.loaded.Load() {
 		return
@@ -299,7 +307,8 @@
 	o.wake()
 }
 
-// addJob takes in a job's record, whatever it tells. The caller holds o.mu.
+// addJob adds a job or its outcome from the job's record. stored is whether progress is from the store.
+// The caller holds o.mu.
 func (o *Owner) addJob(id job.ID, record job.Record, progress job.Progress, stored bool) {
 	now := o.deps.Clock.Now()
 	if o.unreadable[id] {
@@ -310,7 +319,7 @@
 		return
 	}
 	if record.Term > o.claim.Term {
-		o.depose("a job of a later term")
+		o.depose("job of a later term")
 		return
 	}
 	o.pool.AddJob(record, progress, stored, max(o.age(record), 0), now)
@@ -320,16 +329,17 @@
 	}
 }
 
-// age is how long ago a job was accepted, as far as clocks of two hosts tell.
+// jobAge returns the time since a job was accepted, as far as the clocks of two hosts allow; at most a
+// minute.
 func (o *Owner) age(r job.Record) time.Duration {
-	const most = time.Minute
+	const maxAge = time.Minute
 	if r.AcceptedAt.IsZero() {
 		return 0
 	}
-	return min(o.deps.Clock.Wall().Sub(r.AcceptedAt), most)
+	return min(o.deps.Clock.Wall().Sub(r.AcceptedAt), maxAge)
 }
 
-// Cancelled takes in that a job was cancelled.
+// JobCancelled cancels a job. If the job itself is not known yet, it is cancelled when it is added.
 func (o *Owner) Cancelled(id job.ID) {
 	o.mu.Lock()
 	if !o.pool.Cancel(id) {
--- a/pkg/poolowner/order_queue.go
+++ b/pkg/poolowner/order_queue.go
@@ -6,30 +6,31 @@
 )
 
 const (
-	// ordersAtOnce is how many orders are on their way to a worker.
+	// maxConcurrentOrders is the maximum number of orders that are being sent to a worker at the same
+	// time.
 	ordersAtOnce = 2
-	// ordersPerQueue bounds the orders that wait for one worker.
+	// maxQueuedOrders is the maximum number of orders that wait for one worker.
 	ordersPerQueue = 512
 )
 
-// orderQueue sends the orders for one worker, a few at a time. It has goroutines only while it
-// has orders: most of thousands of workers have none.
+// orderQueue sends the orders for one worker, a few at a time. It has goroutines only while it has
+// orders, since most workers have none and there are thousands of workers.
 type orderQueue struct {
-	run func() // starts sender as a duty
+	run func() // starts a goroutine of send
 
 	mu      sync.Mutex
 	waiting []func(context.Context)
 	senders int
 }
 
-// newOrderQueue returns a queue that sends until ctx ends.
-func newOrderQueue(ctx context.Context, duties *sync.WaitGroup) *orderQueue {
+// newOrderQueue returns a queue that sends until ctx ends. Its goroutines are part of group.
+func newOrderQueue(ctx context.Context, group *sync.WaitGroup) *orderQueue {
 	q := &orderQueue{}
-	q.run = func() { duties.Go(func() { q.send(ctx) }) }
+	q.run = func() { group.Go(func() { q.send(ctx) }) }
 	return q
 }
 
-// put queues an order; it says whether there was room.
+// enqueue adds an order; it returns false when the queue is full.
 func (q *orderQueue) put(order func(context.Context)) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -44,8 +45,8 @@
 	return true
 }
 
-// send sends orders until none waits. When ctx has ended, those that wait are dropped: the
-// worker is gone, or another owner has taken over.
+// send sends orders until none waits. When ctx has ended it drops the waiting ones: the worker is
+// terminated or another owner has taken over.
 func (q *orderQueue) send(ctx context.Context) {
 	for {
 		order := q.take(ctx)
@@ -56,7 +57,7 @@
 	}
 }
 
-// take returns the next order; nil when there is none for this sender, which ends then.
+// next returns the next order; nil when there is none for this sender, which then ends.
 func (q *orderQueue) take(ctx context.Context) func(context.Context) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/pkg/poolowner/refused_queues.go
+++ b/pkg/poolowner/refused_queues.go
@@ -8,21 +8,22 @@
 	"github.com/sirupsen/logrus"
 )
 
-// refusals are the queues that take in no jobs, as worked out at a time and as told to the hosts.
+// refusedQueues are the queues that accept no jobs, as computed last and as sent to the hosts.
 type refusals struct {
 	at   clock.Time
 	list []admission.Refusal
 	told []*poolpb.Refusal
 }
 
-// Refusals lists the queues that take in no jobs for now, as this host's door asks it.
+// RefusedQueues returns the queues that accept no jobs at present, for the job API of this host.
 func (o *Owner) Refusals() []*poolpb.Refusal {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.refusalsNow()
 }
 
-// refusalsNow lists the queues that take in no jobs. It is worked out once a heartbeat, since it goes over all jobs. The caller holds o.mu.
+// currentRefusals returns the queues that accept no jobs. They are computed at most once per heartbeat
+// interval, since this goes over all jobs. The caller holds o.mu.
 func (o *Owner) refusalsNow() []*poolpb.Refusal {
 	now := o.deps.Clock.Now()
 	if o.refusals.at != 0 && now.Sub(o.refusals.at) < poolrpc.HeartbeatEvery {
@@ -39,7 +40,7 @@
 	return o.refusals.told
 }
 
-// logRefusals tells which queues take in no jobs from now on, and why.
+// logRefusals logs which queues accept no jobs from now on, and why.
 func (o *Owner) logRefusals(list []admission.Refusal) {
 	if len(list) == 0 {
 		o.deps.Log.Info("queues_take_in_again")
@@ -52,7 +53,7 @@
 	}
 }
 
-// messageOf is a refusal as hosts are told of it.
+// refusalMessage returns the message that tells hosts of a refusal.
 func messageOf(r admission.Refusal) *poolpb.Refusal {
 	return &poolpb.Refusal{Queue: r.Queue, WaitMs: r.Wait.Milliseconds(), RetryAfterMs: r.RetryAfter.Milliseconds()}
 }
--- a/pkg/poolowner/relays.go
+++ b/pkg/poolowner/relays.go
@@ -9,14 +9,14 @@
 	"github.com/sirupsen/logrus"
 )
 
-// member is another entry host with a stream to this one.
+// member is another entry host that has a stream to this one.
 type member struct {
 	*poolrpc.Session
-	calls  *relay.Client      // to workers, by that host
-	cancel context.CancelFunc // ends calls
+	calls  *relay.Client      // to workers, made by that host
+	cancel context.CancelFunc // ends workerCalls
 }
 
-// newMember takes in a host whose stream has begun; left ends its calls.
+// newMember returns the member of a stream that begins. memberLeft ends its calls.
 func (o *Owner) newMember(s *poolrpc.Session) *member {
 	ctx, cancel := context.WithCancel(context.Background())
 	m := &member{Session: s, calls: relay.NewClient(o.deps.WorkerTimeout), cancel: cancel}
@@ -24,13 +24,13 @@
 	return m
 }
 
-// stopping says that a member is about to end. The caller holds o.mu.
+// isStopping returns whether a member is about to stop. The caller holds o.mu.
 func (o *Owner) stopping(name string) bool {
 	m, ok := o.members[name]
 	return !ok || m.Status().Stopping
 }
 
-// results takes in how workers answered orders that a member made calls for.
+// handleResults passes on the workers' answers to orders that a member made the calls for.
 func (o *Owner) results(s *poolrpc.Session, r *poolpb.Results) {
 	o.mu.Lock()
 	m := o.members[s.Name]
@@ -40,9 +40,9 @@
 	}
 }
 
-// holdPath returns the member that makes the call of the session's next hold; nil for this host, which
-// settles lost answers itself (raise). When the calls before took another path, it sets raise, so that those
-// which are still on their way are void.
+// pollPath returns the member that makes the call of the session's next poll; nil for this host, which
+// makes the polls that fence a worker (raise) itself. When the calls before were made by another host,
+// it sets raise, so that those that are still in transit become invalid.
 func (s *workerSession) holdPath(raise *bool) *member {
 	if *raise {
 		return nil
@@ -58,8 +58,9 @@
 	return o.members[name]
 }
 
-// orderPath returns the member that makes the call of an order now; nil for this host. A member that reaches
-// the store clearly better than this host makes none: it knows what the store tells, and this host may not.
+// orderPath returns the member that makes the call of an order now; nil for this host. A member that the
+// store has answered clearly more recently makes none: it may know from the store of another owner while
+// this host does not.
 func (s *workerSession) orderPath() *member {
 	o := s.owner
 	o.mu.Lock()
@@ -71,7 +72,7 @@
 	return m
 }
 
-// relayAnswered takes in whether an order that a member made a call for had a result.
+// recordRelayResult records whether a member returned a result for an order.
 func (s *workerSession) relayAnswered(m *member, result bool) {
 	o := s.owner
 	o.mu.Lock()
@@ -81,7 +82,7 @@
 	}
 }
 
-// callsBy returns the calls to workers that a member makes, or without one those of this host.
+// callsThrough returns the calls to workers that member m makes, or those of this host when m is nil.
 func (o *Owner) callsBy(m *member) relay.Calls {
 	if m == nil {
 		return relay.DirectCalls(o.deps.Workers)
--- a/pkg/poolowner/roster.go
+++ b/pkg/poolowner/roster.go
@@ -16,38 +16,41 @@
 )
 
 const (
-	// rosterEvery is the time between two looks for workers that came or went.
+	// rosterInterval is the time between two checks for workers that joined or left.
 	rosterEvery = 20 * time.Millisecond
-	// rosterBatch is how many records one transaction writes: each takes a condition and a put, and the owner's record one more condition.
+	// maxRosterBatch is the maximum number of records that one transaction writes: each takes a
+	// condition and a put, and the owner's record takes one more condition.
 	rosterBatch = (platform.MaxTxnEntries - 1) / 2
-	// rosterWrites is how many of these transactions are on their way at once.
+	// maxConcurrentRosterWrites is the maximum number of these transactions that are written at the same
+	// time.
 	rosterWrites = 4
 )
 
-// rosterRecord is what the store tells a later owner of a worker.
+// rosterRecord is what the store tells a later owner about the incarnations of a worker name.
 type rosterRecord struct {
-	revision int64 // 0 when there is none
+	revision int64 // 0 when the store has no record
 	workers  []dispatch.WorkerInfo
 }
 
-// alikeForLater says that a record tells a later owner the same of two lives.
+// sameRosterEntry returns whether a and b tell a later owner the same about an incarnation.
 func alikeForLater(a, b dispatch.WorkerInfo) bool {
 	return a.ID == b.ID && a.Crashed == b.Crashed && a.Retired == b.Retired
 }
 
-// listRoster reads the workers that former owners have used, since the entry of one may be gone while it runs on.
+// readRoster reads the roster, which names the workers that previous owners have used. The entry of such
+// a worker may be gone while it still runs tasks.
 func (o *Owner) listRoster(ctx context.Context) ([]platform.Item, error) {
 	items, _, err := o.deps.Store.List(ctx, jobstore.RosterPrefix)
-	return items, errors.Wrap(err, "roster")
+	return items, errors.Wrap(err, "list roster")
 }
 
-// takeRoster takes in what listRoster has read. The workers' entries are known by then.
+// loadRoster applies what readRoster has read. The workers' entries have been applied before.
 func (o *Owner) takeRoster(items []platform.Item) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	known := map[dispatch.WorkerID]bool{}
+	hasEntry := map[dispatch.WorkerID]bool{}
 	for _, w := range o.pool.Workers() {
-		known[w.ID] = true
+		hasEntry[w.ID] = true
 	}
 	for _, i := range items {
 		name := jobstore.ParseRosterKey(i.Key)
@@ -58,31 +61,32 @@
 		}
 		o.roster[name] = r
 		for _, w := range r.workers {
-			o.takeRostered(w, known)
+			o.takeRostered(w, hasEntry)
 		}
 	}
 }
 
-// takeRostered takes in a life that the roster names. The caller holds o.mu.
-func (o *Owner) takeRostered(w dispatch.WorkerInfo, known map[dispatch.WorkerID]bool) {
+// loadRosterWorker applies one incarnation of the roster. hasEntry holds the workers that have an entry.
+// The caller holds o.mu.
+func (o *Owner) takeRostered(w dispatch.WorkerInfo, hasEntry map[dispatch.WorkerID]bool) {
 	if w.Crashed {
 		o.pool.MissCrash(w)
 		return
 	}
-	if !known[w.ID] {
+	if !hasEntry[w.ID] {
 		o.pool.PutWorker(w, false, o.deps.Clock.Now())
 	}
 	o.pool.Rostered([]dispatch.WorkerID{w.ID})
 	o.pool.TakeRetired(w)
 }
 
-// rosterChange is a record that differs from what the store has.
+// rosterChange is the new content of a record that differs from the stored one.
 type rosterChange struct {
 	name    string
 	workers []dispatch.WorkerInfo
 }
 
-// writeRoster writes the records of the workers that came or went since the last call.
+// writeRoster writes the records of the workers that joined or left since the last call.
 func (o *Owner) writeRoster(ctx context.Context) {
 	changes := o.rosterChanges()
 	if len(changes) == 0 {
@@ -93,20 +97,20 @@
 	for _, w := range o.rosterBatches(changes) {
 		group.Go(func() error {
 			o.takeWritten(w.changes, o.putRoster(ctx, w))
-			o.wake() // these workers may be used now
+			o.wake() // written workers may be used now
 			return nil
 		})
 	}
-	_ = group.Wait() // no write returns an error
+	_ = group.Wait() // no function of the group returns an error
 }
 
-// rosterWrite is a transaction of changes to records, with what the store has of them.
+// rosterUpdate is one transaction of changed records; stored are the records that it replaces.
 type rosterWrite struct {
 	changes []rosterChange
 	before  []rosterRecord
 }
 
-// rosterBatches spreads changes over transactions.
+// rosterBatches splits changes into transactions.
 func (o *Owner) rosterBatches(changes []rosterChange) []rosterWrite {
 	var out []rosterWrite
 	for batch := range slices.Chunk(changes, rosterBatch) {
@@ -119,7 +123,8 @@
 	return out
 }
 
-// rosterChanges lists the records that differ from what the store has. Lives on a record that is as it should be may be used at once.
+// rosterChanges returns the records that differ from the stored ones. Workers whose record is up to date
+// may be used at once.
 func (o *Owner) rosterChanges() []rosterChange {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -143,7 +148,8 @@
 	return ids
 }
 
-// takeWritten takes in the records that are written, so that their workers may be used; none when this owner ends.
+// applyWritten applies the records that were written, so that their workers may be used. There are none
+// when this owner has ended.
 func (o *Owner) takeWritten(changes []rosterChange, records []rosterRecord) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -157,36 +163,38 @@
 	}
 }
 
-// putRoster writes records, whatever it takes, and returns them; none when this owner ends. A write without an answer may be carried out after
-// later ones. So each record is on condition of what it replaces: otherwise lives that came since would be off it.
+// commitRoster writes records until the store accepts them, and returns them; it returns none when this
+// owner ends. A write that got no answer may take effect after later writes. So each record is written
+// on condition that it replaces the stored one: otherwise the late write would drop workers that were
+// added since.
 func (o *Owner) putRoster(ctx context.Context, w rosterWrite) []rosterRecord {
-	patience := time.Duration(0)
+	extraTimeout := time.Duration(0)
 	for ctx.Err() == nil {
 		t, err := o.rosterTxn(w)
 		if err != nil {
 			o.deps.Log.WithField("error", err).Error("roster_not_written")
 			return nil
 		}
-		t.Patience = patience
+		t.Patience = extraTimeout
 		revision, found, err := o.deps.Store.Commit(ctx, t)
 		switch {
 		case err == nil:
 			o.rosterFailures.succeeded()
 			return writtenAt(w.changes, revision)
 		case errors.Is(err, platform.ErrConflict) && o.rosterReplaced(w, found):
-			continue // by a try of this owner that got no answer
+			continue // an earlier attempt of this owner that got no answer took effect
 		case errors.Is(err, platform.ErrConflict):
 			o.depose("roster")
 			return nil
 		}
 		o.rosterFailures.failed(err)
-		patience = morePatience(patience, err)
+		extraTimeout = morePatience(extraTimeout, err)
 		clock.Sleep(ctx, storeRetry)
 	}
 	return nil
 }
 
-// rosterTxn is the transaction that makes changes to records.
+// rosterTxn returns the transaction that writes an update.
 func (o *Owner) rosterTxn(w rosterWrite) (platform.Txn, error) {
 	t := platform.Txn{Conditions: []platform.Condition{{Key: jobstore.HolderKey, Revision: o.claim.Revision}}}
 	for n, c := range w.changes {
@@ -198,16 +206,16 @@
 			}
 			continue
 		}
-		text, err := json.Marshal(c.workers)
+		data, err := json.Marshal(c.workers)
 		if err != nil {
 			return t, errors.Wrapf(err, "roster of worker %s", c.name)
 		}
-		t.Put = append(t.Put, platform.Put{Key: key, Value: text})
+		t.Put = append(t.Put, platform.Put{Key: key, Value: data})
 	}
 	return t, nil
 }
 
-// writtenAt are the records after changes that were written at a revision.
+// recordsAt returns the records that changes have written at a revision.
 func writtenAt(changes []rosterChange, revision int64) []rosterRecord {
 	out := make([]rosterRecord, len(changes))
 	for n, c := range changes {
@@ -218,7 +226,8 @@
 	return out
 }
 
-// rosterReplaced says that a conflict is only about earlier writes of the records, and takes in what they are by now.
+// refreshReplaced handles a conflict: it updates w to the stored revisions of its records. It returns
+// whether the conflict was only due to earlier writes of these records, so that w can be tried again.
 func (o *Owner) rosterReplaced(w rosterWrite, found []platform.Item) bool {
 	revisions := map[string]int64{}
 	for _, i := range found {
@@ -226,9 +235,9 @@
 	}
 	replaced := false
 	for n, c := range w.changes {
-		now := revisions[jobstore.RosterKey(c.name)]
-		replaced = replaced || now != w.before[n].revision
-		w.before[n].revision = now
+		current := revisions[jobstore.RosterKey(c.name)]
+		replaced = replaced || current != w.before[n].revision
+		w.before[n].revision = current
 	}
 	return replaced && revisions[jobstore.HolderKey] == o.claim.Revision
 }
--- a/pkg/poolowner/store_failures.go
+++ b/pkg/poolowner/store_failures.go
@@ -8,18 +8,18 @@
 	"github.com/sirupsen/logrus"
 )
 
-// storeFailures logs one line when calls to the store for one purpose begin to fail and one when they succeed again, however many tries fail
-// in between. It is safe for concurrent use.
+// storeFailures logs when store calls for one purpose begin to fail and when they succeed again, one
+// line each however many attempts fail in between. It is safe for concurrent use.
 type storeFailures struct {
-	what string // the calls are for, such as "roster"
+	what string // what the calls are for, such as "roster"
 	clk  clock.Clock
 	log  *logrus.Entry
 
 	mu    sync.Mutex
-	since clock.Time // of the first failure; 0 when the last call succeeded
+	since clock.Time // time of the first failure; 0 when the last call succeeded
 }
 
-// failed takes in a call that has to be tried again.
+// recordFailure records that a call failed and will be repeated.
 func (f *storeFailures) failed(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -30,7 +30,7 @@
 	f.log.WithFields(logrus.Fields{"what": f.what, "error": err}).Error("store_call_fails")
 }
 
-// succeeded takes in a call that was answered.
+// recordSuccess records that a call succeeded.
 func (f *storeFailures) succeeded() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/pkg/poolowner/upkeep.go
+++ b/pkg/poolowner/upkeep.go
@@ -15,7 +15,7 @@
 // upkeepInterval is the time between two checks of the machines while there is a wave.
 const upkeepEvery = 500 * time.Millisecond
 
-// AddWave adds an upkeep wave that the operator has requested.
+// PutWave adds an upkeep wave that the operator has requested.
 func (o *Owner) PutWave(w upkeep.Wave) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/pkg/poolowner/worker_entries.go
+++ b/pkg/poolowner/worker_entries.go
@@ -8,20 +8,22 @@
 	"github.com/sirupsen/logrus"
 )
 
-// mostUnusable bounds the entries that are remembered for naming no worker. Others are counted only (pool.entries_unusable).
+// maxInvalidEntries is the maximum number of invalid entries that are remembered. Further ones are only
+// counted (pool.entries_unusable).
 const mostUnusable = 1000
 
-// unusableEntry is an entry that names no worker to use.
+// invalidEntry is an entry in the store that names no usable worker.
 type unusableEntry struct {
-	info   dispatch.WorkerInfo // without an ID when it can't be read
+	info   dispatch.WorkerInfo // without an ID when the entry can't be decoded
 	reason string
 }
 
-// putEntry takes in an entry that stands in the store; ok is false when it names no worker. The caller holds o.mu.
+// applyEntry applies an entry of the store; ok is false when it names no usable worker. The caller holds
+// o.mu.
 func (o *Owner) putEntry(i platform.Item) (id dispatch.WorkerID, ok bool) {
 	info, err := platform.ParseWorker(i)
 	if err == nil && !o.pool.Configured(info.Pool) {
-		err = errors.Newf("entry of worker %s: %s: its pool is not configured", info.ID, info.Pool)
+		err = errors.Newf("entry of worker %s: pool %s is not configured", info.ID, info.Pool)
 	}
 	if err != nil {
 		o.leaveOut(platform.WorkerName(i), unusableEntry{info, err.Error()})
@@ -31,7 +33,7 @@
 	return info.ID, true
 }
 
-// putWorker takes in a worker whose entry is usable. The caller holds o.mu.
+// upsertWorker adds or updates a worker that has a valid entry. The caller holds o.mu.
 func (o *Owner) putWorker(info dispatch.WorkerInfo) {
 	delete(o.unusable, info.ID.Name())
 	if o.pool.PutWorker(info, true, o.deps.Clock.Now()) {
@@ -39,21 +41,23 @@
 	}
 }
 
-// leaveOut takes in that an entry names no worker. It is told once, since it is written again with each heartbeat of who wrote it.
+// markEntryInvalid records that an entry names no usable worker. The reason is logged only when it
+// changes, since the process that wrote the entry rewrites it with each heartbeat.
 func (o *Owner) leaveOut(name string, e unusableEntry) {
 	o.pool.EntryUnusable(name)
 	metrics.GetOrRegisterCounter("pool.entries_unusable", o.deps.Figures).Inc(1)
-	former, known := o.unusable[name]
+	previous, known := o.unusable[name]
 	if !known && len(o.unusable) >= mostUnusable {
 		return
 	}
 	o.unusable[name] = e
-	if former.reason != e.reason {
+	if previous.reason != e.reason {
 		o.deps.Log.WithFields(logrus.Fields{"worker": name, "error": e.reason}).Warn("entry_unusable")
 	}
 }
 
-// putConfigured takes in entries that were left out for a pool that is configured now. The caller holds o.mu.
+// applyConfiguredEntries applies entries that were invalid because their pool was not configured, and
+// now is. The caller holds o.mu.
 func (o *Owner) putConfigured() {
 	for _, e := range o.unusable {
 		if e.info.ID != "" && o.pool.Configured(e.info.Pool) {
