--- a/pkg/poolowner/call_limiter_test.go
+++ b/pkg/poolowner/call_limiter_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// heldTimers collects what a gate wants called later.
+// fakeTimers records the functions that a limiter schedules, without calling them.
 type heldTimers struct {
 	calls     []func()
 	durations []time.Duration
@@ -27,19 +27,19 @@
 	return g, h
 }
 
-// enterLater enters a gate in a goroutine and returns a channel that tells its name when it
-// has passed.
-func enterLater(g *callGate, class callClass, passed chan<- callClass) {
-	before := g.waitingCalls(class)
+// acquireInBackground acquires a slot in a goroutine, which sends the class to passed when it has it. It
+// returns when the call waits.
+func enterLater(g *callGate, class callClass, admitted chan<- callClass) {
+	waiting := g.waitingCalls(class)
 	go func() {
 		if _, ok := g.enter(context.Background(), class, time.Second); ok {
-			passed <- class
+			admitted <- class
 		}
 	}()
-	Eventually(func() int { return g.waitingCalls(class) }).Should(Equal(before + 1))
+	Eventually(func() int { return g.waitingCalls(class) }).Should(Equal(waiting + 1))
 }
 
-// waitingCalls counts the calls of a class that wait.
+// waitingInClass returns the number of waiting calls of a class.
 func (g *callGate) waitingCalls(class callClass) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -49,84 +49,84 @@
 func TestGateLetsThroughNoMoreCallsThanItHolds(t *testing.T) {
 	RegisterTestingT(t)
 	g, _ := gateForTest(2)
-	leave, ok := g.enter(context.Background(), callHold, time.Second)
+	done, ok := g.enter(context.Background(), callHold, time.Second)
 	Expect(ok).To(BeTrue())
 	_, ok = g.enter(context.Background(), callHold, time.Second)
 	Expect(ok).To(BeTrue())
-	passed := make(chan callClass, 1)
-	enterLater(g, callHold, passed)
-	Consistently(passed, 30*time.Millisecond).ShouldNot(Receive())
-	leave()
-	leave() // a call that is over gives its place back once
-	Eventually(passed).Should(Receive())
+	admitted := make(chan callClass, 1)
+	enterLater(g, callHold, admitted)
+	Consistently(admitted, 30*time.Millisecond).ShouldNot(Receive())
+	done()
+	done() // a call releases its slot only once
+	Eventually(admitted).Should(Receive())
 	Expect(g.free).To(Equal(0))
 }
 
 func TestGateLetsOrdersThroughBeforeHoldsOfSilentWorkers(t *testing.T) {
 	RegisterTestingT(t)
 	g, _ := gateForTest(1)
-	leave, _ := g.enter(context.Background(), callHold, time.Second)
-	passed := make(chan callClass, 3)
-	enterLater(g, callSilent, passed)
-	enterLater(g, callHold, passed)
-	enterLater(g, callOrder, passed)
+	done, _ := g.enter(context.Background(), callHold, time.Second)
+	admitted := make(chan callClass, 3)
+	enterLater(g, callSilent, admitted)
+	enterLater(g, callHold, admitted)
+	enterLater(g, callOrder, admitted)
 	g.turn = len(turns) - 1 // so that the turn is that of orders
-	leave()
-	Eventually(passed).Should(Receive(Equal(callOrder)))
+	done()
+	Eventually(admitted).Should(Receive(Equal(callOrder)))
 	g.release()
-	Eventually(passed).Should(Receive(Equal(callHold)))
+	Eventually(admitted).Should(Receive(Equal(callHold)))
 	g.release()
-	Eventually(passed).Should(Receive(Equal(callSilent)))
+	Eventually(admitted).Should(Receive(Equal(callSilent)))
 }
 
 func TestFloodOfOrdersLeavesTurnsToHolds(t *testing.T) {
 	RegisterTestingT(t)
 	g, _ := gateForTest(1)
 	_, _ = g.enter(context.Background(), callOrder, time.Second)
-	passed := make(chan callClass, 40)
+	admitted := make(chan callClass, 40)
 	for range 12 {
-		enterLater(g, callOrder, passed)
+		enterLater(g, callOrder, admitted)
 	}
 	for class := callHold; class < callClasses; class++ {
-		enterLater(g, class, passed)
+		enterLater(g, class, admitted)
 	}
-	let := map[callClass]int{}
+	counts := map[callClass]int{}
 	for range len(turns) {
 		g.release()
 		var class callClass
-		Eventually(passed).Should(Receive(&class))
-		let[class]++
+		Eventually(admitted).Should(Receive(&class))
+		counts[class]++
 	}
-	Expect(let[callHold]).To(Equal(1))
-	Expect(let[callFirst]).To(Equal(1))
-	Expect(let[callSilent]).To(Equal(1))
-	Expect(let[callOrder]).To(Equal(len(turns) - 3))
+	Expect(counts[callHold]).To(Equal(1))
+	Expect(counts[callFirst]).To(Equal(1))
+	Expect(counts[callSilent]).To(Equal(1))
+	Expect(counts[callOrder]).To(Equal(len(turns) - 3))
 }
 
 func TestCallToASilentWorkerCountsForAWhileOnly(t *testing.T) {
 	RegisterTestingT(t)
 	g, timers := gateForTest(1)
-	leave, _ := g.enter(context.Background(), callOrder, callCounts)
+	done, _ := g.enter(context.Background(), callOrder, callCounts)
 	Expect(timers.durations).To(Equal([]time.Duration{callCounts}))
 	timers.calls[0]()
 	Expect(g.free).To(Equal(1))
-	leave()
+	done()
 	Expect(g.free).To(Equal(1))
 }
 
 func TestCallThatIsGivenUpWhileItWaitsTakesNoPlace(t *testing.T) {
 	RegisterTestingT(t)
 	g, _ := gateForTest(1)
-	leave, _ := g.enter(context.Background(), callHold, time.Second)
+	done, _ := g.enter(context.Background(), callHold, time.Second)
 	ctx, cancel := context.WithCancel(context.Background())
-	gaveUp := make(chan bool, 1)
+	cancelled := make(chan bool, 1)
 	go func() {
 		_, ok := g.enter(ctx, callHold, time.Second)
-		gaveUp <- !ok
+		cancelled <- !ok
 	}()
 	Eventually(func() int { return g.waitingCalls(callHold) }).Should(Equal(1))
 	cancel()
-	Eventually(gaveUp).Should(Receive(BeTrue()))
-	leave()
+	Eventually(cancelled).Should(Receive(BeTrue()))
+	done()
 	Expect(g.free).To(Equal(1))
 }
--- a/pkg/poolowner/commits_test.go
+++ b/pkg/poolowner/commits_test.go
@@ -20,7 +20,7 @@
 	return out
 }
 
-// A slow store takes a tenth of a second a transaction: few must do.
+// A slow store takes a tenth of a second per transaction, so changes must be packed into few.
 func TestChangesArePackedIntoFewTransactions(t *testing.T) {
 	g := NewWithT(t)
 	none, err := packChanges(nil)
@@ -49,7 +49,8 @@
 	}
 }
 
-// Guards against a later owner that notes ends of an ended job while a late start of it may come.
+// Guards against a later owner that acknowledges run ends of an ended job while a late start of the job
+// may still arrive: the owner learns from the outcome until when.
 func TestOutcomeTellsOfTheLastStartWithoutAnAnswer(t *testing.T) {
 	g := NewWithT(t)
 	at := time.Date(2020, 1, 2, 3, 4, 5, 6_000_000, time.UTC)
@@ -60,17 +61,18 @@
 	g.Expect(record.LateStart).To(Equal(at))
 }
 
-// A write whose bytes wait on the link is not followed by its own copies at the usual rate.
+// Guards against repeating a write at the usual interval while its bytes still wait on a slow link,
+// which would queue up copies of it.
 func TestWritesWithoutAnAnswerAreGivenMoreTime(t *testing.T) {
 	g := NewWithT(t)
-	var tries []time.Duration
-	p := time.Duration(0)
+	var timeouts []time.Duration
+	extraTimeout := time.Duration(0)
 	for range 6 {
-		p = morePatience(p, platform.ErrUnsettled)
-		tries = append(tries, p)
+		extraTimeout = morePatience(extraTimeout, platform.ErrUnsettled)
+		timeouts = append(timeouts, extraTimeout)
 	}
-	g.Expect(tries).To(Equal([]time.Duration{
+	g.Expect(timeouts).To(Equal([]time.Duration{
 		firstPatience, 2 * firstPatience, 4 * firstPatience, mostWritePatience, mostWritePatience, mostWritePatience,
 	}))
-	g.Expect(morePatience(firstPatience, platform.ErrRefused)).To(Equal(firstPatience), "nothing was sent")
+	g.Expect(morePatience(firstPatience, platform.ErrRefused)).To(Equal(firstPatience), "no extra time for a write that was not sent")
 }
--- a/pkg/poolowner/customer_limits_test.go
+++ b/pkg/poolowner/customer_limits_test.go
@@ -9,7 +9,7 @@
 	logtest "github.com/sirupsen/logrus/hooks/test"
 )
 
-// Hosts are told of a limit with the heartbeat, and the log when it begins and ends.
+// Hosts receive a limit with the heartbeat. Its begin and end are logged.
 func TestHostsAreToldOfLimits(t *testing.T) {
 	g := NewWithT(t)
 	o, now := ownerOf(t, 1, enough)
@@ -26,9 +26,9 @@
 	g.Expect(told[0].Customer).To(Equal("hot"))
 	g.Expect(told[0].Queues[0].RetryAfterMs).To(BeEquivalentTo(2000))
 	g.Expect(told[0].Queues[0].Share).To(Equal(0.25))
-	g.Expect(o.Limits()).To(Equal(told), "the owner's own door")
+	g.Expect(o.Limits()).To(Equal(told), "for the owner's own job API")
 	hook.Reset()
 	*now = now.Add(time.Second)
-	g.Expect(o.Limits()).To(BeEmpty(), "the pool has nothing")
+	g.Expect(o.Limits()).To(BeEmpty(), "the pool has no jobs")
 	g.Expect(hook.LastEntry().Message).To(Equal("customer_limit_ends"))
 }
--- a/pkg/poolowner/doc.go
+++ b/pkg/poolowner/doc.go
@@ -1,21 +1,22 @@
-// Package poolowner drives the decisions of package dispatch on the host that owns a pool.
+// Package poolowner runs the pool of package dispatch on the host that owns it.
 //
-// An Owner joins these duties:
+// An Owner runs these parts concurrently:
 //
-//	plan      carries out what the pool decides: starts, stops, calls for advice
-//	sessions  one a worker: a waiting hold that renews leases and reports ends
-//	commits   writes outcomes and progress into the store, before workers forget ends
-//	jobs      follows the accepted and cancelled jobs in the store
-//	workers   follows the workers' entries in the store
-//	roster    writes which workers are in use into the store, before they get tasks
-//	members   talks with the other entry hosts (package poolrpc)
+//	plan      carries out the decisions of the pool: starts, stops, pace changes, advice calls
+//	sessions  one per worker incarnation: polls that extend leases and bring reports
+//	commits   write outcomes and progress to the store before workers may forget run ends
+//	jobs      watches the store for accepted and cancelled jobs
+//	workers   watches the workers' entries in the store
+//	roster    writes the workers to the store before they get tasks
+//	upkeep    carries out upkeep waves of machines
+//	members   communicates with the other entry hosts (package poolrpc)
 //
 // # Authority
 //
-// The owner was put on record by a transaction of the store, whose revision makes its
-// fencing token. It goes on while it renews its lease or while most workers accept its
-// token, so that an outage of the store does not stop it. A worker that has seen a higher
-// token ends it, and so does a commit that finds another owner's.
+// A transaction of the store records the owner; its revision determines the owner's fencing tokens.
+// The owner continues while it renews its lease in the store, or while most workers accept its token.
+// So an outage of the store does not stop it. It ends when a worker has seen a higher token, or when
+// the store names another owner.
 //
 // # Usage
 //
--- a/pkg/poolowner/entry_writes_test.go
+++ b/pkg/poolowner/entry_writes_test.go
@@ -15,14 +15,14 @@
 	b.seen("w")
 	b.answered(3000)
 	g.Expect(b.fresh("w", 3000)).To(BeTrue())
-	g.Expect(b.fresh("w", 3000)).To(BeFalse(), "it is gone")
+	g.Expect(b.fresh("w", 3000)).To(BeFalse(), "it is forgotten after the first call")
 }
 
 func TestEntryThatWentLateOrUnseenWasNotFresh(t *testing.T) {
 	g := NewWithT(t)
 	b := newBeats(1500 * time.Millisecond)
 	b.answered(1000)
-	b.seen("first") // written at an unknown time before
+	b.seen("first") // written at an unknown time
 	b.answered(2000)
 	b.seen("w")
 	b.answered(6000)
--- a/pkg/poolowner/host_suspension_test.go
+++ b/pkg/poolowner/host_suspension_test.go
@@ -18,8 +18,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// A host may be suspended for seconds between a decision and the call that carries it out. Timers of the runtime stand still meanwhile, so that none
-// of them ends the call; only the clock of the leases goes on. Another owner may have taken over by then.
+// Guards against orders that are sent after another owner may have taken over. A host may be suspended
+// for seconds between a decision and the call that carries it out. The timers of the Go runtime stop
+// meanwhile, so none of them ends the call; only the lease clock goes on.
 func TestOrderThatWaitedWhileTheHostWasSuspendedIsNotSent(t *testing.T) {
 	g := NewWithT(t)
 	var calls atomic.Int64
--- a/pkg/poolowner/loading_test.go
+++ b/pkg/poolowner/loading_test.go
@@ -16,8 +16,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// ownerOfEmulated returns an owner on record in an emulated platform's store, and its pool's
-// only worker.
+// newOwnerOnEmulator returns an owner that is recorded in the store of an emulated platform, and the
+// only worker of its pool.
 func ownerOfEmulated(t *testing.T) (*Owner, *emulator.Platform, dispatch.WorkerInfo) {
 	g := NewWithT(t)
 	p, err := emulator.Start(emulator.Options{Workers: 1})
@@ -42,8 +42,9 @@
 	return o, p, info
 }
 
-// Found by the sweep to 300 hosts: 3,000 workers write 2,000 times a second, an answer holds 500
-// changes, and the owner paused after each. It heard 5 s late that workers were leaving.
+// Guards against a pause after each answer of the watch, also after full ones. With 3,000 workers, which
+// write 2,000 times a second, and 500 changes in an answer, the owner saw 5 s late that workers were
+// leaving.
 func TestOwnerHearsOfALeavingWorkerBehindThousandsOfHeartbeats(t *testing.T) {
 	g := NewWithT(t)
 	o, p, info := ownerOfEmulated(t)
@@ -53,7 +54,7 @@
 		p.Store.Put(key, entry)
 	}
 	p.Workers[0].Drain(time.Minute)
-	reading := timeToRead(t, o)
+	readTime := timeToRead(t, o)
 	ctx, cancel := context.WithCancel(t.Context())
 	o.duties.Go(func() { o.watchWorkers(ctx) })
 	defer o.duties.Wait()
@@ -64,22 +65,22 @@
 		workers := o.pool.Workers()
 		return len(workers) == 1 && workers[0].Draining
 	}
-	// The platform's limit, beside the time that reading takes on this machine. With the pauses after
-	// each answer it would be 5 s more.
-	limit := o.deps.Bounds.Drain + reading
-	g.Eventually(draining, limit, 10*time.Millisecond).Should(BeTrue(), "the platform gives %s, reading takes %s", o.deps.Bounds.Drain, reading)
+	// The platform's limit plus the time that reading takes on this machine. Pauses after each answer
+	// would add 5 s.
+	limit := o.deps.Bounds.Drain + readTime
+	g.Eventually(draining, limit, 10*time.Millisecond).Should(BeTrue(), "the platform allows %s, reading takes %s", o.deps.Bounds.Drain, readTime)
 }
 
-// timeToRead is how long it takes on this machine to read all changes of the workers' entries, one answer
+// timeToRead returns how long this machine takes to read all changes of the workers' entries, one answer
 // after the other.
 func timeToRead(t *testing.T, o *Owner) time.Duration {
 	t.Helper()
-	began := time.Now()
+	startedAt := time.Now()
 	for after := int64(0); ; {
 		items, at, err := o.deps.Store.Watch(t.Context(), platform.WorkersPrefix, after, 0)
 		NewWithT(t).Expect(err).NotTo(HaveOccurred())
 		if len(items) == 0 {
-			return time.Since(began)
+			return time.Since(startedAt)
 		}
 		after = at
 	}
--- a/pkg/poolowner/members_test.go
+++ b/pkg/poolowner/members_test.go
@@ -15,7 +15,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// ownerOf returns an owner with members of a strength, at a time that stands still.
+// newOwnerWithMembers returns an owner with members of the given strength, and its clock, which the test
+// sets.
 func ownerOf(t *testing.T, members int, strength int64) (*Owner, *clock.Time) {
 	now := clock.Time(100_000)
 	log := logrus.New()
@@ -39,7 +40,7 @@
 	return s
 }
 
-// manyWorkers are as many as relays are used for.
+// relayedWorkerCount is the number of workers from which relays are used.
 const manyWorkers = 400
 
 func workerName(n int) dispatch.WorkerID {
@@ -52,7 +53,7 @@
 	}
 }
 
-// usual counts the members with the usual heartbeat.
+// countFastMembers returns the number of members that have the fast heartbeat.
 func usual(o *Owner) int {
 	n := 0
 	for _, m := range o.members {
@@ -79,7 +80,7 @@
 		strong.left(strong.members[name].Session)
 		break
 	}
-	g.Expect(usual(strong)).To(Equal(nearMembers), "another one takes its place")
+	g.Expect(usual(strong)).To(Equal(nearMembers), "another member takes its place")
 	join(strong, "stops", &poolpb.MemberStatus{Strength: enough, Stopping: true}, *now)
 	g.Expect(strong.near).NotTo(HaveKey("stops"))
 }
@@ -92,7 +93,7 @@
 		o.relays.Assign(workerName(n), *now)
 	}
 	g.Expect(o.Relayed()).To(Equal(manyWorkers))
-	g.Expect(usual(o)).To(Equal(5), "96 workers each")
+	g.Expect(usual(o)).To(Equal(5), "each relay serves 96 workers")
 }
 
 func TestStoreAgeOfAMemberCountsTheTimeSinceItSaidSo(t *testing.T) {
@@ -119,38 +120,39 @@
 	o.deps.StoreAge = func() time.Duration { return yieldGain + time.Millisecond }
 	g.Expect(s.orderPath()).To(BeNil())
 	*now = now.Add(2 * time.Millisecond)
-	g.Expect(s.orderPath()).To(Equal(o.members["m000"]), "the member may have reached the store as long ago")
+	g.Expect(s.orderPath()).To(Equal(o.members["m000"]), "with its status this old, the member is not clearly ahead")
 	raise = true
-	g.Expect(s.holdPath(&raise)).To(BeNil(), "this host settles lost answers")
+	g.Expect(s.holdPath(&raise)).To(BeNil(), "this host fences workers itself")
 }
 
-// Guards the two signs by which a hall that is cut off with the owner is told from a store that is unavailable to all.
+// Guards the two conditions that tell a cut-off of the owner's hall from a store outage for all: which
+// halls are heard, and whether contact with the others ended when the store stopped answering.
 func TestOwnerTellsWhichHallsItHears(t *testing.T) {
 	g := NewWithT(t)
 	o, now := ownerOf(t, 2, enough)
 	storeAge := time.Duration(0)
 	o.deps.Hall, o.deps.StoreAge = "h", func() time.Duration { return storeAge }
 	own := o.members["m000"].Session
-	tell := func() *poolpb.OwnerStatus {
+	reported := func() *poolpb.OwnerStatus {
 		own.PutStatus(own.Status(), *now)
 		return o.status(own)
 	}
-	g.Expect(tell().OtherHalls).To(BeZero())
-	g.Expect(tell().HallsLost).To(BeFalse(), "it never had another hall")
+	g.Expect(reported().OtherHalls).To(BeZero())
+	g.Expect(reported().HallsLost).To(BeFalse(), "it never had contact with another hall")
 	other := join(o, "x", &poolpb.MemberStatus{Hall: "i"}, *now)
 	join(o, "y", &poolpb.MemberStatus{}, *now)
 	*now = now.Add(hallsEvery)
-	g.Expect(tell().OtherHalls).To(Equal(int32(1)), "a member that does not tell its hall does not count")
+	g.Expect(reported().OtherHalls).To(Equal(int32(1)), "a member without a hall does not count")
 	storeAge = 900 * time.Millisecond
 	*now = now.Add(storeAge)
-	g.Expect(tell()).To(And(HaveField("OtherHalls", BeZero()), HaveField("HallsLost", false)), "its messages may wait to be read")
+	g.Expect(reported()).To(And(HaveField("OtherHalls", BeZero()), HaveField("HallsLost", false)), "its messages may not have been read yet")
 	storeAge += 200 * time.Millisecond
 	*now = now.Add(200 * time.Millisecond)
-	g.Expect(tell()).To(And(HaveField("OtherHalls", BeZero()), HaveField("HallsLost", true), HaveField("StoreAgeMs", int64(1100))), "it fell silent with the store")
+	g.Expect(reported()).To(And(HaveField("OtherHalls", BeZero()), HaveField("HallsLost", true), HaveField("StoreAgeMs", int64(1100))), "it fell silent together with the store")
 	o.left(other)
 	storeAge += time.Minute
 	*now = now.Add(time.Minute)
-	g.Expect(tell().HallsLost).To(BeTrue(), "its stream is gone, and the store is still silent")
+	g.Expect(reported().HallsLost).To(BeTrue(), "its stream has ended, and the store still does not answer")
 	storeAge = 0
-	g.Expect(tell().HallsLost).To(BeFalse(), "the store answers without the other hall")
+	g.Expect(reported().HallsLost).To(BeFalse(), "the store answers although the other hall is lost")
 }
--- a/pkg/poolowner/order_queue_test.go
+++ b/pkg/poolowner/order_queue_test.go
@@ -32,7 +32,7 @@
 	duties.Wait()
 	g.Expect(sent).To(Equal(20))
 	g.Expect(most).To(BeNumerically("<=", ordersAtOnce))
-	g.Expect(q.senders).To(BeZero(), "no goroutine is kept")
+	g.Expect(q.senders).To(BeZero(), "no goroutine is left")
 }
 
 func TestOrderQueueIsBoundedAndDropsOrdersAtItsEnd(t *testing.T) {
--- a/pkg/poolowner/recorded_workers_test.go
+++ b/pkg/poolowner/recorded_workers_test.go
@@ -10,7 +10,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// Each start that needs a new name would wait for the next commit, 40 ms at most.
+// Guards against starts that wait for the next commit, up to 40 ms, when the store does not record their
+// worker yet.
 func TestCommitStartsEarlyWhenNamesWait(t *testing.T) {
 	g := NewWithT(t)
 	o, _, info := ownerOfEmulated(t)
@@ -19,9 +20,9 @@
 	o.pool.SetLoaded()
 	o.pool.PutWorker(info, true, now)
 	o.pool.Rostered([]dispatch.WorkerID{info.ID})
-	h, ok := o.pool.HoldFor(info.ID, false, true, now)
+	poll, ok := o.pool.HoldFor(info.ID, false, true, now)
 	g.Expect(ok).To(BeTrue())
-	o.pool.HoldAnswered(h, dispatch.Answer{Verdict: dispatch.VerdictDone, Clock: 1000}, dispatch.Report{Born: info.ID.Born()}, now)
+	o.pool.HoldAnswered(poll, dispatch.Answer{Verdict: dispatch.VerdictDone, Clock: 1000}, dispatch.Report{Born: info.ID.Born()}, now)
 	o.carryOut(t.Context())
 	g.Expect(o.names).To(BeEmpty())
 	step := job.Step{Count: 1, Resources: cell.Resources{CPUMillis: 1}}
--- a/pkg/poolowner/roster_test.go
+++ b/pkg/poolowner/roster_test.go
@@ -20,13 +20,14 @@
 	. "github.com/onsi/gomega"
 )
 
-// lateStore is a store in front of an emulated one that leaves the first transaction without an answer and can carry it out later.
+// lateStore is a proxy of an emulated store. It leaves the first transaction without an answer and can
+// execute it later.
 type lateStore struct {
 	*httptest.Server
 	store *emulator.Store
 
 	mu   sync.Mutex
-	late []byte // the body of the first transaction
+	late []byte // body of the first transaction
 }
 
 func newLateStore(t *testing.T, s *emulator.Store) *lateStore {
@@ -58,16 +59,18 @@
 	l.store.ServeHTTP(w, r)
 }
 
-// carryOut carries out the first transaction now, if its conditions hold.
+// executeFirstTxn executes the first transaction now, if its conditions hold.
 func (l *lateStore) carryOut() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.store.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, "/kv-txn", bytes.NewReader(l.late)))
 }
 
-// A write of the roster got no answer and was tried again; a later one named one more worker, which got tasks from then on. Seconds later the store
-// carried out the first write, since the owner was still the same, and the roster named the new worker no more. A new owner that finds its entry gone,
-// as entries are while the store is away, does not ask that worker and starts again what it runs. Found by a review, without a play of it.
+// Guards against a late roster write that drops a worker. The first write gets no answer and is
+// repeated; a later write adds a second worker, which then gets tasks. Seconds later the store executes
+// the first write after all. Without a condition on the replaced record, the roster would lack the
+// second worker. A new owner that finds the worker's entry gone too, as during store outages, would not
+// poll it and would start its tasks again elsewhere.
 func TestLateWriteOfTheRosterDoesNotTakeAWorkerOffIt(t *testing.T) {
 	g := NewWithT(t)
 	o, p, info := ownerOfEmulated(t)
@@ -81,10 +84,10 @@
 	o.writeRoster(t.Context())
 	g.Expect(rosterOf(t, o)).To(ConsistOf(info.ID, other.ID))
 	l.carryOut()
-	g.Expect(rosterOf(t, o)).To(ConsistOf(info.ID, other.ID), "both may run tasks")
+	g.Expect(rosterOf(t, o)).To(ConsistOf(info.ID, other.ID), "both workers may run tasks")
 }
 
-// rosterOf lists the workers of which a new owner would learn from the roster.
+// nextOwnerRoster returns the workers that a new owner learns from the roster.
 func rosterOf(t *testing.T, o *Owner) []dispatch.WorkerID {
 	g := NewWithT(t)
 	next := New(Deps{
@@ -94,14 +97,15 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(items).NotTo(BeEmpty())
 	next.takeRoster(items)
-	var ids []dispatch.WorkerID
+	var workers []dispatch.WorkerID
 	for _, w := range next.pool.Workers() {
-		ids = append(ids, w.ID)
+		workers = append(workers, w.ID)
 	}
-	return ids
+	return workers
 }
 
-// A new owner of 6,000 workers would write for seconds before it could use any.
+// Guards against rewriting the whole roster at a takeover: a new owner of 6,000 workers would write for
+// seconds before it could use any.
 func TestNewOwnerWritesNothingForWorkersThatAreOnTheRoster(t *testing.T) {
 	g := NewWithT(t)
 	o, _, info := ownerOfEmulated(t)
@@ -116,7 +120,7 @@
 	g.Expect(next.rosterChanges()).To(ConsistOf(rosterChange{"i-other", []dispatch.WorkerInfo{other}}))
 }
 
-// A worker that has left is taken off, so that no later owner waits for it.
+// A terminated worker is removed, so that no later owner waits for it.
 func TestWorkerThatIsGoneIsTakenOffTheRoster(t *testing.T) {
 	g := NewWithT(t)
 	o, p, info := ownerOfEmulated(t)
@@ -134,7 +138,8 @@
 	g.Expect(p.Store.Values(jobstore.RosterPrefix)).To(BeEmpty())
 }
 
-// What such a worker runs can't be asked, so it has to lapse before jobs of the former owner start again.
+// The worker of an unreadable record can't be polled, so its leases must expire before jobs of the
+// previous owner start again.
 func TestRecordOfTheRosterThatCannotBeRead(t *testing.T) {
 	g := NewWithT(t)
 	o, p, _ := ownerOfEmulated(t)
@@ -148,18 +153,19 @@
 	g.Expect(next.roster).To(HaveKey("i-unreadable"))
 }
 
-// A later owner that forgets which jobs may run on a silent worker frees them for the one after it.
+// Guards against a later owner that loses which jobs may run on a silent worker: the owner after it
+// would unblock them.
 func TestRetiredWorkerOfAFormerOwnerStaysSoOnTheRoster(t *testing.T) {
 	g := NewWithT(t)
 	o, p, info := ownerOfEmulated(t)
 	info.Retired, info.Jobs = true, []job.ID{"a"}
-	text, err := json.Marshal([]dispatch.WorkerInfo{info})
+	data, err := json.Marshal([]dispatch.WorkerInfo{info})
 	g.Expect(err).NotTo(HaveOccurred())
-	p.Store.Put(jobstore.RosterKey(info.ID.Name()), text)
+	p.Store.Put(jobstore.RosterKey(info.ID.Name()), data)
 	for term := int64(2); term <= 3; term++ {
 		next := New(o.deps, Claim{Term: term, Revision: o.claim.Revision})
 		g.Expect(next.loadWorkers(t.Context())).To(Succeed())
-		g.Expect(next.rosterChanges()).To(BeEmpty(), "the record is as it should be")
+		g.Expect(next.rosterChanges()).To(BeEmpty(), "the record is up to date")
 		g.Expect(next.pool.RosterOf(info.ID.Name())).To(ConsistOf(And(HaveField("Retired", true), HaveField("Jobs", []job.ID{"a"}))))
 	}
 }
--- a/pkg/poolowner/store_failures_test.go
+++ b/pkg/poolowner/store_failures_test.go
@@ -10,7 +10,7 @@
 	logtest "github.com/sirupsen/logrus/hooks/test"
 )
 
-// While the store was away a line for each failed read of a job came to 80 lines a second.
+// Guards against a log line for each failed read, which came to 80 lines a second during a store outage.
 func TestFailuresOfTheStoreAreLoggedOnce(t *testing.T) {
 	g := NewWithT(t)
 	log, hook := logtest.NewNullLogger()
--- a/pkg/poolowner/unknown_jobs_test.go
+++ b/pkg/poolowner/unknown_jobs_test.go
@@ -12,10 +12,10 @@
 	. "github.com/onsi/gomega"
 )
 
-// lateJob is a job that a host has accepted for the former owner.
+// unknownJob is a job that a host has accepted and reported only to the previous owner.
 const lateJob = job.ID("00000000000000a1")
 
-// putJob puts the record of a job into the store.
+// putJob writes the record of a job to the store.
 func putJob(t *testing.T, p *emulator.Platform, id job.ID) {
 	t.Helper()
 	text, err := job.Record{Job: job.Job{ID: id, Spec: "s", Steps: []job.Step{{Count: 1}}}}.Encode()
@@ -23,7 +23,7 @@
 	p.Store.Put(jobstore.JobKey(id), text)
 }
 
-// listsLateJob has the pool's worker list a run of a job of which nobody has told the owner, and the duty run that reads such jobs.
+// reportUnknownJob makes the pool's worker report a run of unknownJob, and runs readUnknownJobs.
 func listsLateJob(t *testing.T, o *Owner, info dispatch.WorkerInfo) {
 	g := NewWithT(t)
 	o.mu.Lock()
@@ -31,10 +31,10 @@
 	now := o.deps.Clock.Now()
 	o.pool.SetLoaded()
 	o.pool.PutWorker(info, true, now)
-	h, ok := o.pool.HoldFor(info.ID, false, true, now)
+	poll, ok := o.pool.HoldFor(info.ID, false, true, now)
 	g.Expect(ok).To(BeTrue())
 	run := dispatch.Active{Task: job.TaskID{StepID: job.StepID{Job: lateJob}}, Run: 1}
-	o.pool.HoldAnswered(h, dispatch.Answer{Verdict: dispatch.VerdictDone, Clock: 1}, dispatch.Report{Born: info.ID.Born(), Active: []dispatch.Active{run}}, now)
+	o.pool.HoldAnswered(poll, dispatch.Answer{Verdict: dispatch.VerdictDone, Clock: 1}, dispatch.Report{Born: info.ID.Born(), Active: []dispatch.Active{run}}, now)
 	o.tellUnknownJobs()
 	ctx, cancel := context.WithCancel(t.Context())
 	o.duties.Go(func() { o.readUnknownJobs(ctx) })
@@ -44,8 +44,9 @@
 	})
 }
 
-// A worker that lists a job which is not known gets no tasks and keeps its ends. The look for such jobs comes every half a second, and finds
-// none while the watch is silent; the record itself tells at once.
+// A worker that lists an unknown job gets no tasks, and its run ends are not acknowledged. Guards
+// against waiting for the watch of the jobs, which comes every 0.5 s only and finds nothing while
+// watches get no answer.
 func TestJobThatAWorkerListsIsReadAtOnce(t *testing.T) {
 	o, p, info := ownerOfEmulated(t)
 	putJob(t, p, lateJob)
@@ -57,7 +58,8 @@
 	NewWithT(t).Eventually(known, 10*time.Second, time.Millisecond).Should(BeTrue())
 }
 
-// Whether a job is known any more can't be told while the store is away: it is neither noted nor stopped for as long.
+// During a store outage nobody can tell whether a job still exists, so its runs are neither acknowledged
+// nor stopped.
 func TestJobThatAWorkerListsIsNotGivenUpWhileTheStoreIsAway(t *testing.T) {
 	g := NewWithT(t)
 	o, p, info := ownerOfEmulated(t)
@@ -66,7 +68,7 @@
 	unknown := func() []job.ID { return o.jobsToRead() }
 	g.Consistently(unknown, 4*storeRetry, storeRetry/4).Should(Equal([]job.ID{lateJob}))
 	p.Store.SetMode(emulator.StoreUp)
-	g.Eventually(unknown, 10*time.Second, time.Millisecond).Should(BeEmpty(), "the store has no record of it")
+	g.Eventually(unknown, 10*time.Second, time.Millisecond).Should(BeEmpty(), "the store has no record of the job")
 	_, ok := o.Explain(lateJob)
 	g.Expect(ok).To(BeFalse())
 }
--- a/pkg/poolowner/unreadable_progress_test.go
+++ b/pkg/poolowner/unreadable_progress_test.go
@@ -8,7 +8,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// One value that can't be read kept a new owner from serving anything: it read all progress again and again.
+// Guards against one unreadable value that keeps a new owner from loading anything, as it repeats
+// reading all progress.
 func TestProgressThatIsUnreadableHoldsUpItsJobOnly(t *testing.T) {
 	g := NewWithT(t)
 	o, p, _ := ownerOfEmulated(t)
@@ -21,6 +22,6 @@
 		_, ok := o.Explain(id)
 		return ok
 	}
-	g.Expect(explained("00000000000000a1")).To(BeFalse(), "what it has done is not known")
+	g.Expect(explained("00000000000000a1")).To(BeFalse(), "its progress is unknown")
 	g.Expect(explained("00000000000000a2")).To(BeTrue())
 }
--- a/pkg/poolowner/upkeep_refused_test.go
+++ b/pkg/poolowner/upkeep_refused_test.go
@@ -13,9 +13,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// The service of machines takes so many orders a second and answers 429 to more. An order that it refused so counted as one that it may have carried out;
-// when the machine was still up 3 s later, it counted as one that had had its upkeep, and the wave was shown as completed. Found by a review, without a
-// play of it.
+// The platform's machine service accepts a limited number of orders per second and answers 429 to more.
+// Guards against counting such a refusal as an order that may have taken effect: a machine that was
+// still up 3 s later then counted as done, and the wave was written as completed.
 func TestMachineWhoseUpkeepWasRefusedIsNotDone(t *testing.T) {
 	g := NewWithT(t)
 	o, p, _ := ownerOfEmulated(t)
@@ -31,11 +31,11 @@
 	t.Cleanup(s.Close)
 	o.deps.Machines = platform.NewMachines(netip.MustParseAddrPort(s.Listener.Addr().String()))
 	o.PutWave(upkeep.Wave{Number: 1, Machines: []upkeep.MachineID{"m1"}, Duration: time.Minute, AtOnce: 1})
-	known := map[int64]bool{}
+	checked := map[int64]bool{}
 	state := func() string {
-		o.upkeepOnce(t.Context(), known)
+		o.upkeepOnce(t.Context(), checked)
 		return platform.ParseWaveStatus(p.Store.Value(platform.WaveStatusKey(1)))
 	}
-	g.Consistently(state, 4*time.Second, 200*time.Millisecond).Should(Equal(upkeep.Running), "all orders were refused")
-	g.Expect(orders.Load()).To(BeNumerically(">", 1), "it is asked for again")
+	g.Consistently(state, 4*time.Second, 200*time.Millisecond).Should(Equal(upkeep.Running), "all orders are refused")
+	g.Expect(orders.Load()).To(BeNumerically(">", 1), "the order is repeated")
 }
--- a/pkg/poolowner/worker_entries_test.go
+++ b/pkg/poolowner/worker_entries_test.go
@@ -15,7 +15,7 @@
 	logtest "github.com/sirupsen/logrus/hooks/test"
 )
 
-// followedEntries is an owner that follows the entries of an emulated platform, with the lines of its log.
+// ownerWatchingEntries returns an owner that watches the entries of an emulated platform, and its log.
 func followedEntries(t *testing.T) (*Owner, *emulator.Platform, dispatch.WorkerInfo, *logtest.Hook) {
 	o, p, info := ownerOfEmulated(t)
 	o.deps.Log.Logger.SetLevel(logrus.InfoLevel)
@@ -37,7 +37,7 @@
 	return out
 }
 
-// linesOf counts the lines of an event that name a worker.
+// countLogLines returns the number of log lines of an event that name a worker.
 func linesOf(hook *logtest.Hook, event, worker string) int {
 	n := 0
 	for _, e := range hook.AllEntries() {
@@ -48,7 +48,8 @@
 	return n
 }
 
-// An entry that another writer has made is written again with each of its heartbeats. It was told in the log each time.
+// An invalid entry of another writer is rewritten with each of its heartbeats. Guards against logging it
+// each time.
 func TestEntryThatNamesNoWorkerIsToldOnce(t *testing.T) {
 	g := NewWithT(t)
 	o, p, info, hook := followedEntries(t)
@@ -57,12 +58,12 @@
 		time.Sleep(400 * time.Millisecond)
 	}
 	g.Expect(linesOf(hook, "entry_unusable", "other")).To(Equal(1))
-	g.Expect(o.workerNames()).To(ConsistOf(info.ID), "the others are left alone")
+	g.Expect(o.workerNames()).To(ConsistOf(info.ID), "the other worker is unaffected")
 	p.Store.Put("servers/other", []byte("?"))
-	g.Eventually(func() int { return linesOf(hook, "entry_unusable", "other") }, "3s", "20ms").Should(Equal(2), "another reason")
+	g.Eventually(func() int { return linesOf(hook, "entry_unusable", "other") }, "3s", "20ms").Should(Equal(2), "a new reason is logged")
 }
 
-// Such an entry is asked by nobody, and no takeover waits for it: each would wait for 8 s.
+// Such an entry must not be polled, and no takeover may wait for it, which would take 8 s each.
 func TestEntryOfAnUnknownPoolNamesNoWorkerUntilItIsConfigured(t *testing.T) {
 	g := NewWithT(t)
 	o, p, info, hook := followedEntries(t)
@@ -75,17 +76,18 @@
 	g.Eventually(o.workerNames, "3s", "20ms").Should(ConsistOf(info.ID, dispatch.WorkerID("other")))
 }
 
-// What runs on a worker goes on when another writer replaces its entry, and it gets no more until the entry is good again.
+// When another writer replaces the entry of a worker, its runs go on, but it gets no new tasks until its
+// entry is valid again.
 func TestGoodEntryThatABadOneReplaces(t *testing.T) {
 	g := NewWithT(t)
 	o, p, info, hook := followedEntries(t)
 	key := platform.WorkersPrefix + info.ID.Name()
-	good := p.Store.Value(key)
+	valid := p.Store.Value(key)
 	p.Store.Put(key, []byte(`{"service":7}`))
 	g.Eventually(func() int { return linesOf(hook, "entry_unusable", info.ID.Name()) }, "3s", "20ms").Should(Equal(1))
-	g.Expect(o.workerNames()).To(ConsistOf(info.ID), "it is asked on")
+	g.Expect(o.workerNames()).To(ConsistOf(info.ID), "it is still polled")
 	g.Expect(o.listed(info.ID)).To(BeFalse())
-	p.Store.Put(key, good)
+	p.Store.Put(key, valid)
 	g.Eventually(func() bool { return o.listed(info.ID) }, "3s", "20ms").Should(BeTrue())
 }
 
