--- a/pkg/poolrpc/member.go
+++ b/pkg/poolrpc/member.go
@@ -14,32 +14,34 @@
 )
 
 const (
-	// HeartbeatEvery is the usual time between two heartbeats of either side.
+	// HeartbeatInterval is the usual time between two heartbeats of each side.
 	HeartbeatEvery = 250 * time.Millisecond
-	// SlowHeartbeat is the time between two on streams on which silence may be found out later.
+	// SlowHeartbeatInterval is the time between two heartbeats on streams whose silence may be detected
+	// later.
 	SlowHeartbeat = time.Second
-	// A side gives a stream up that has been silent for silenceBeats heartbeats and silenceSlack.
+	// A side gives up a stream on which it has received nothing for maxMissedHeartbeats intervals and
+	// silenceSlack.
 	silenceBeats = 3
 	silenceSlack = 150 * time.Millisecond
-	// outboxSize bounds the messages that wait to be sent.
+	// outboxSize is the maximum number of messages that wait to be sent.
 	outboxSize = 1024
 )
 
-// ErrNoLink says that there is no stream to the owner, or that it broke.
+// ErrNoStream is returned when there is no stream to the owner, or when it broke.
 var ErrNoLink = errors.New("no link to the owner")
 
-// ErrNotSent says that a message was not even put on its way.
+// ErrNotSent is returned when a message was certainly not sent.
 var ErrNotSent = errors.New("not sent to the owner")
 
-// MemberHandlers are what a member does.
+// MemberHandlers are the functions with which a member handles messages of the owner.
 type MemberHandlers struct {
-	// Status describes this host.
+	// Status returns the status of this host.
 	Status func() *poolpb.MemberStatus
-	// OwnerStatus takes in a heartbeat of the owner.
+	// OwnerStatus handles a heartbeat of the owner.
 	OwnerStatus func(*poolpb.OwnerStatus)
-	// Advise makes a call for advice; it is called in a goroutine of its own.
+	// Advise makes an advice call. Each call of it has its own goroutine.
 	Advise func(context.Context, *poolpb.AdviceCall) *poolpb.AdviceResult
-	// Orders makes calls to workers for the owner; it must not block.
+	// Orders makes calls to workers for the owner. It must not block.
 	Orders func(context.Context, *poolpb.Orders)
 }
 
@@ -49,7 +51,7 @@
 	clk      clock.Clock
 	outbox   chan *poolpb.MemberMessage
 	heardAt  atomic.Int64
-	beatMs   atomic.Int64 // between two heartbeats, as the owner told
+	beatMs   atomic.Int64 // between two heartbeats, as set by the owner
 	number   atomic.Int64
 
 	mu      sync.Mutex
@@ -57,7 +59,7 @@
 	closed  bool
 }
 
-// NewMember returns the side of a member before it has a connection.
+// NewMember returns a Member that has no connection yet.
 func NewMember(h MemberHandlers, clk clock.Clock) *Member {
 	m := &Member{
 		handlers: h, clk: clk, outbox: make(chan *poolpb.MemberMessage, outboxSize),
@@ -67,12 +69,13 @@
 	return m
 }
 
-// Heartbeat is the time between two heartbeats on the stream, as the owner told.
+// HeartbeatInterval returns the time between two heartbeats on the stream, as set by the owner.
 func (m *Member) Heartbeat() time.Duration {
 	return heartbeatOf(m.beatMs.Load())
 }
 
-// heartbeatOf reads the time between two heartbeats from a message, in milliseconds.
+// heartbeatInterval returns the interval that a message gives in milliseconds; 0 stands for the usual
+// one.
 func heartbeatOf(ms int64) time.Duration {
 	if ms <= 0 {
 		return HeartbeatEvery
@@ -80,17 +83,18 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// silenceLimit is how long a side waits for a heartbeat that should come each so often.
+// silenceLimit returns how long a side waits for the other side's next message, given the heartbeat
+// interval.
 func silenceLimit(heartbeat time.Duration) time.Duration {
 	return silenceBeats*heartbeat + silenceSlack
 }
 
-// HeardAt is when the owner was heard last.
+// LastHeardAt returns when the last message of the owner arrived.
 func (m *Member) HeardAt() clock.Time {
 	return clock.Time(m.heardAt.Load())
 }
 
-// Run keeps the stream over a connection until it ends or the owner falls silent.
+// Run operates the stream over a connection until it ends or the owner falls silent.
 func (m *Member) Run(ctx context.Context, conn net.Conn) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -101,14 +105,14 @@
 	if err != nil {
 		return errors.Mark(err, ErrNoLink)
 	}
-	var duties sync.WaitGroup
-	defer duties.Wait()
+	var group sync.WaitGroup
+	defer group.Wait()
 	defer cancel()
-	duties.Go(func() {
+	group.Go(func() {
 		defer cancel()
 		sendAll(ctx, m.outbox, stream.Send)
 	})
-	duties.Go(func() { m.beat(ctx, cancel) })
+	group.Go(func() { m.beat(ctx, cancel) })
 	m.sendStatus()
 	for {
 		msg, err := stream.Recv()
@@ -120,7 +124,7 @@
 	}
 }
 
-// sendAll sends what comes out of a ring until ctx ends or the stream breaks.
+// sendAll sends the messages of an outbox until ctx ends or the stream breaks.
 func sendAll[M any](ctx context.Context, outbox <-chan M, send func(M) error) {
 	for {
 		select {
@@ -134,7 +138,7 @@
 	}
 }
 
-// beat is the duty that sends heartbeats and gives up a silent stream.
+// runHeartbeats sends heartbeats, and cancels the stream when the owner has been silent for too long.
 func (m *Member) beat(ctx context.Context, cancel context.CancelFunc) {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, m.Heartbeat())
@@ -175,7 +179,7 @@
 	}
 }
 
-// Send puts a message into the outbox; it says whether there was room.
+// Send adds a message to the outbox; it returns false when the outbox is full.
 func (m *Member) Send(msg *poolpb.MemberMessage) bool {
 	select {
 	case m.outbox <- msg:
@@ -185,17 +189,17 @@
 	}
 }
 
-// Accepted tells the owner of an accepted job. It may get lost.
+// ReportAccepted reports an accepted job to the owner. The message may be lost.
 func (m *Member) Accepted(id string, record []byte) {
 	m.Send(&poolpb.MemberMessage{Content: &poolpb.MemberMessage_Accepted{Accepted: &poolpb.Accepted{Id: id, Record: record}}})
 }
 
-// Cancelled tells the owner of a cancelled job. It may get lost.
+// ReportCancelled reports a cancelled job to the owner. The message may be lost.
 func (m *Member) Cancelled(id string) {
 	m.Send(&poolpb.MemberMessage{Content: &poolpb.MemberMessage_Cancelled{Cancelled: &poolpb.Cancelled{Id: id}}})
 }
 
-// Ask asks the owner and waits for its answer.
+// Ask sends a question to the owner and waits for the answer.
 func (m *Member) Ask(ctx context.Context, q *poolpb.Question) (*poolpb.Answer, error) {
 	return m.exchange(ctx, func(number int64) *poolpb.MemberMessage {
 		q.Number = number
@@ -203,8 +207,8 @@
 	})
 }
 
-// Write has the owner put a key into the store and waits for its answer. After an error it
-// is not known whether the key was written, unless the error is ErrNotSent.
+// Write asks the owner to write a key to the store and waits for the answer. After an error other than
+// ErrNotSent the key may have been written.
 func (m *Member) Write(ctx context.Context, key string, value []byte, left time.Duration) (*poolpb.Answer, error) {
 	return m.exchange(ctx, func(number int64) *poolpb.MemberMessage {
 		return &poolpb.MemberMessage{Content: &poolpb.MemberMessage_Write{
@@ -213,16 +217,16 @@
 	})
 }
 
-// exchange sends a message with a number of its own and waits for the answer to it.
+// exchange sends a message with a new number and waits for the answer to that number.
 func (m *Member) exchange(ctx context.Context, message func(number int64) *poolpb.MemberMessage) (*poolpb.Answer, error) {
 	number := m.number.Add(1)
-	ch := make(chan *poolpb.Answer, 1)
+	answer := make(chan *poolpb.Answer, 1)
 	m.mu.Lock()
 	if m.closed {
 		m.mu.Unlock()
 		return nil, ErrNotSent
 	}
-	m.waiting[number] = ch
+	m.waiting[number] = answer
 	m.mu.Unlock()
 	defer func() {
 		m.mu.Lock()
@@ -233,7 +237,7 @@
 		return nil, ErrNotSent
 	}
 	select {
-	case a, ok := <-ch:
+	case a, ok := <-answer:
 		if !ok {
 			return nil, ErrNoLink
 		}
@@ -243,7 +247,7 @@
 	}
 }
 
-// close lets all that wait for an answer know that there will be none.
+// close tells all callers that wait for an answer that there will be none.
 func (m *Member) close() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pkg/poolrpc/owner.go
+++ b/pkg/poolrpc/owner.go
@@ -14,22 +14,22 @@
 	"storj.io/drpc/drpcserver"
 )
 
-// OwnerHandlers are what the owner does with what members say.
+// OwnerHandlers are the functions with which the owner handles messages of members.
 type OwnerHandlers struct {
-	// Joined is told of a member's first status, Left of the end of its stream.
+	// Joined is called at a member's first status, and Left at the end of its stream.
 	Joined    func(*Session)
 	Left      func(*Session)
 	Accepted  func(*poolpb.Accepted)
 	Cancelled func(*poolpb.Cancelled)
 	Answer    func(*poolpb.Question) *poolpb.Answer
 	Advice    func(*poolpb.AdviceResult)
-	// Results takes in how workers answered orders that the member made calls for.
+	// Results handles the workers' answers to orders that the member made the calls for.
 	Results func(*Session, *poolpb.Results)
-	// Write puts a key into the store; it is called in a goroutine of its own.
+	// Write writes a key to the store. Each call has its own goroutine.
 	Write func(*poolpb.Write) *poolpb.Answer
-	// Status returns the owner's heartbeat for a member.
+	// Status returns the owner's heartbeat message for a member.
 	Status func(*Session) *poolpb.OwnerStatus
-	// Done ends with the ownership.
+	// Done is closed when the ownership ends.
 	Done <-chan struct{}
 }
 
@@ -39,7 +39,7 @@
 	status  atomic.Pointer[poolpb.MemberStatus]
 	outbox  chan *poolpb.OwnerMessage
 	heardAt atomic.Int64
-	toldAt  atomic.Int64 // when the member told its status last
+	toldAt  atomic.Int64 // when the member last sent its status
 }
 
 // NewSession returns the owner's side of a stream that begins.
@@ -49,33 +49,33 @@
 	return s
 }
 
-// PutStatus takes in what the member says of itself.
+// SetStatus records a status that the member has sent.
 func (s *Session) PutStatus(status *poolpb.MemberStatus, now clock.Time) {
 	s.status.Store(status)
 	s.toldAt.Store(int64(now))
 }
 
-// StatusAge is how long ago the member told its status.
+// StatusAge returns the time since the member last sent its status.
 func (s *Session) StatusAge(now clock.Time) time.Duration {
 	return now.Sub(s.StatusAt())
 }
 
-// StatusAt is when the member told its status.
+// StatusAt returns when the member last sent its status.
 func (s *Session) StatusAt() clock.Time {
 	return clock.Time(s.toldAt.Load())
 }
 
-// Heartbeat is the time between two heartbeats of the member, as it said last.
+// HeartbeatInterval returns the time between two heartbeats of the member, according to its last status.
 func (s *Session) Heartbeat() time.Duration {
 	return heartbeatOf(s.Status().GetHeartbeatMs())
 }
 
-// Status is what the member said of itself last.
+// Status returns the last status of the member.
 func (s *Session) Status() *poolpb.MemberStatus {
 	return s.status.Load()
 }
 
-// Send puts a message into the session's outbox; it says whether there was room.
+// Send adds a message to the session's outbox; it returns false when the outbox is full.
 func (s *Session) Send(msg *poolpb.OwnerMessage) bool {
 	select {
 	case s.outbox <- msg:
@@ -85,12 +85,12 @@
 	}
 }
 
-// Serve answers other hosts until ctx ends. owner returns what the owner does, or false when
-// this host is not the owner.
+// Serve serves the streams of members on l until ctx ends. owner returns the owner's handlers, or false
+// when this host is not the owner.
 func Serve(ctx context.Context, l net.Listener, owner func() (OwnerHandlers, bool), clk clock.Clock) error {
 	mux := drpcmux.New()
 	if err := poolpb.DRPCRegisterPool(mux, &server{owner, clk}); err != nil {
-		return errors.Wrap(err, "pool server")
+		return errors.Wrap(err, "register pool service")
 	}
 	return drpcserver.New(mux).Serve(ctx, l)
 }
@@ -109,14 +109,14 @@
 	ctx, cancel := context.WithCancel(stream.Context())
 	defer cancel()
 	session := NewSession(s.clk.Now())
-	var duties sync.WaitGroup
-	defer duties.Wait()
+	var group sync.WaitGroup
+	defer group.Wait()
 	defer cancel()
-	duties.Go(func() {
+	group.Go(func() {
 		sendAll(ctx, session.outbox, stream.Send)
 		_ = stream.Close()
 	})
-	duties.Go(func() { s.beat(ctx, cancel, session, h) })
+	group.Go(func() { s.beat(ctx, cancel, session, h) })
 	defer func() {
 		if session.Name != "" {
 			h.Left(session)
@@ -125,7 +125,7 @@
 	for {
 		msg, err := stream.Recv()
 		if err != nil {
-			return errors.Wrap(err, "member's stream")
+			return errors.Wrap(err, "receive from member")
 		}
 		now := s.clk.Now()
 		session.heardAt.Store(int64(now))
@@ -133,7 +133,8 @@
 	}
 }
 
-// beat is the duty that sends heartbeats and gives up a silent stream, or all when the ownership ends.
+// runHeartbeats sends heartbeats. It cancels the stream when the member has been silent for too long, or
+// when the ownership ends.
 func (s *server) beat(ctx context.Context, cancel context.CancelFunc, session *Session, h OwnerHandlers) {
 	for ctx.Err() == nil {
 		status := h.Status(session)
