--- a/pkg/poolowner/call_limiter.go
+++ b/pkg/poolowner/call_limiter.go
@@ -69,13 +69,13 @@
 
 // acquire waits for a slot for a call. The call occupies the slot until done is called, but no longer
 // than slotTime. ok is false when ctx has ended; done is nil then.
-func (g *callGate) enter(ctx context.Context, class callClass, slotTime time.Duration) (done func(), ok bool) {
-	if !g.pass(ctx, class) {
+func (l *callGate) enter(ctx context.Context, class callClass, slotTime time.Duration) (done func(), ok bool) {
+	if !l.pass(ctx, class) {
 		return nil, false
 	}
 	var once sync.Once
-	releaseOnce := func() { once.Do(g.release) }
-	cancel := g.after(slotTime, releaseOnce)
+	releaseOnce := func() { once.Do(l.release) }
+	cancel := l.after(slotTime, releaseOnce)
 	return func() {
 		cancel()
 		releaseOnce()
@@ -83,34 +83,34 @@
 }
 
 // takeSlot takes a free slot, or waits for one. It returns false when ctx has ended.
-func (g *callGate) pass(ctx context.Context, class callClass) bool {
-	g.mu.Lock()
-	if g.free > 0 {
-		g.free--
-		g.mu.Unlock()
+func (l *callGate) pass(ctx context.Context, class callClass) bool {
+	l.mu.Lock()
+	if l.free > 0 {
+		l.free--
+		l.mu.Unlock()
 		return true
 	}
 	turn := make(chan struct{})
-	g.waiting[class] = append(g.waiting[class], turn)
-	g.mu.Unlock()
+	l.waiting[class] = append(l.waiting[class], turn)
+	l.mu.Unlock()
 	select {
 	case <-turn:
 		return true
 	case <-ctx.Done():
 	}
-	if !g.withdraw(class, turn) {
-		g.release() // the slot was given at the same moment
+	if !l.withdraw(class, turn) {
+		l.release() // the slot was given at the same moment
 	}
 	return false
 }
 
 // removeWaiter removes a waiting call; it returns false when the call has been admitted already.
-func (g *callGate) withdraw(class callClass, turn chan struct{}) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for i, t := range g.waiting[class] {
+func (l *callGate) withdraw(class callClass, turn chan struct{}) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for i, t := range l.waiting[class] {
 		if t == turn {
-			g.waiting[class] = append(g.waiting[class][:i], g.waiting[class][i+1:]...)
+			l.waiting[class] = append(l.waiting[class][:i], l.waiting[class][i+1:]...)
 			return true
 		}
 	}
@@ -118,40 +118,40 @@
 }
 
 // waitingCount returns the number of waiting calls.
-func (g *callGate) queued() int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (l *callGate) queued() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	n := 0
-	for _, waiting := range g.waiting {
+	for _, waiting := range l.waiting {
 		n += len(waiting)
 	}
 	return n
 }
 
 // release gives the slot of a call to a waiting one, or frees it.
-func (g *callGate) release() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.turn = (g.turn + 1) % len(turns)
-	if g.admit(turns[g.turn]) {
+func (l *callGate) release() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.turn = (l.turn + 1) % len(turns)
+	if l.admit(turns[l.turn]) {
 		return
 	}
 	for class := range callClasses {
-		if g.admit(class) {
+		if l.admit(class) {
 			return
 		}
 	}
-	g.free++
+	l.free++
 }
 
 // admit admits the first waiting call of a class; it returns whether there was one. The caller holds
-// g.mu.
-func (g *callGate) admit(class callClass) bool {
-	waiting := g.waiting[class]
+// l.mu.
+func (l *callGate) admit(class callClass) bool {
+	waiting := l.waiting[class]
 	if len(waiting) == 0 {
 		return false
 	}
-	g.waiting[class] = waiting[1:]
+	l.waiting[class] = waiting[1:]
 	close(waiting[0])
 	return true
 }
--- a/pkg/poolowner/entry_writes.go
+++ b/pkg/poolowner/entry_writes.go
@@ -25,29 +25,29 @@
 }
 
 // watchAnswered records that a watch has answered.
-func (b *beats) answered(now clock.Time) {
-	b.previous, b.last = b.last, now
+func (w *beats) answered(now clock.Time) {
+	w.previous, w.last = w.last, now
 }
 
 // watchFailed records that a watch has failed. The store may have been down, so known times no longer
 // count.
-func (b *beats) interrupted() {
-	b.previous, b.last = 0, 0
-	clear(b.writtenBy)
+func (w *beats) interrupted() {
+	w.previous, w.last = 0, 0
+	clear(w.writtenBy)
 }
 
 // recordWrite records that the last watch showed a write of a worker's entry. The write was later than
 // the answer of the watch before.
-func (b *beats) seen(name string) {
-	if b.previous != 0 {
-		b.writtenBy[name] = b.previous
+func (w *beats) seen(name string) {
+	if w.previous != 0 {
+		w.writtenBy[name] = w.previous
 	}
 }
 
 // takeRecentlyWritten returns whether a worker's entry, which the last watch showed as removed, was
 // written too recently to have expired. It forgets the entry.
-func (b *beats) fresh(name string, now clock.Time) bool {
-	after, ok := b.writtenBy[name]
-	delete(b.writtenBy, name)
-	return ok && now.Sub(after) < time.Duration(freshBeats*float64(b.heartbeat))
+func (w *beats) fresh(name string, now clock.Time) bool {
+	after, ok := w.writtenBy[name]
+	delete(w.writtenBy, name)
+	return ok && now.Sub(after) < time.Duration(freshBeats*float64(w.heartbeat))
 }
--- a/pkg/poolowner/entry_writes_test.go
+++ b/pkg/poolowner/entry_writes_test.go
@@ -9,34 +9,34 @@
 
 func TestEntryThatWentSoonAfterAWriteWasFresh(t *testing.T) {
 	g := NewWithT(t)
-	b := newBeats(1500 * time.Millisecond)
-	b.answered(1000)
-	b.answered(2000)
-	b.seen("w")
-	b.answered(3000)
-	g.Expect(b.fresh("w", 3000)).To(BeTrue())
-	g.Expect(b.fresh("w", 3000)).To(BeFalse(), "it is forgotten after the first call")
+	w := newBeats(1500 * time.Millisecond)
+	w.answered(1000)
+	w.answered(2000)
+	w.seen("w")
+	w.answered(3000)
+	g.Expect(w.fresh("w", 3000)).To(BeTrue())
+	g.Expect(w.fresh("w", 3000)).To(BeFalse(), "it is forgotten after the first call")
 }
 
 func TestEntryThatWentLateOrUnseenWasNotFresh(t *testing.T) {
 	g := NewWithT(t)
-	b := newBeats(1500 * time.Millisecond)
-	b.answered(1000)
-	b.seen("first") // written at an unknown time
-	b.answered(2000)
-	b.seen("w")
-	b.answered(6000)
-	g.Expect(b.fresh("w", 6000)).To(BeFalse())
-	g.Expect(b.fresh("first", 6000)).To(BeFalse())
+	w := newBeats(1500 * time.Millisecond)
+	w.answered(1000)
+	w.seen("first") // written at an unknown time
+	w.answered(2000)
+	w.seen("w")
+	w.answered(6000)
+	g.Expect(w.fresh("w", 6000)).To(BeFalse())
+	g.Expect(w.fresh("first", 6000)).To(BeFalse())
 }
 
 func TestEntryThatWentInAnOutageWasNotFresh(t *testing.T) {
 	g := NewWithT(t)
-	b := newBeats(1500 * time.Millisecond)
-	b.answered(1000)
-	b.answered(2000)
-	b.seen("w")
-	b.interrupted()
-	b.answered(2500)
-	g.Expect(b.fresh("w", 2500)).To(BeFalse())
+	w := newBeats(1500 * time.Millisecond)
+	w.answered(1000)
+	w.answered(2000)
+	w.seen("w")
+	w.interrupted()
+	w.answered(2500)
+	g.Expect(w.fresh("w", 2500)).To(BeFalse())
 }
--- a/pkg/poolowner/members.go
+++ b/pkg/poolowner/members.go
@@ -65,7 +65,8 @@
 // there are. One of them takes over soon when the owner falls silent.
 const nearMembers = 8
 
-// heartbeatInterval returns the time between two heartbeats of a member. The caller holds o.mu.
+// heartbeatInterval returns the time between two heartbeats on a member's stream: that of the fast heartbeat
+// (poolrpc.HeartbeatInterval) or of the slow one (poolrpc.SlowHeartbeatInterval). The caller holds o.mu.
 func (o *Owner) heartbeat(m *member) time.Duration {
 	if len(o.members) <= fewMembers || o.near[m.Name] || o.relays.Serves(m.Name) {
 		return poolrpc.HeartbeatEvery
--- a/pkg/poolowner/order_queue_test.go
+++ b/pkg/poolowner/order_queue_test.go
@@ -10,36 +10,36 @@
 
 func TestOrderQueueSendsAllAFewAtATime(t *testing.T) {
 	g := NewWithT(t)
-	var duties sync.WaitGroup
-	q := newOrderQueue(context.Background(), &duties)
+	var group sync.WaitGroup
+	q := newOrderQueue(context.Background(), &group)
 	var mu sync.Mutex
-	sent, now, most := 0, 0, 0
+	sent, running, maxRunning := 0, 0, 0
 	release := make(chan struct{})
 	for range 20 {
 		g.Expect(q.put(func(context.Context) {
 			mu.Lock()
-			now++
-			most = max(most, now)
+			running++
+			maxRunning = max(maxRunning, running)
 			mu.Unlock()
 			<-release
 			mu.Lock()
-			now--
+			running--
 			sent++
 			mu.Unlock()
 		})).To(BeTrue())
 	}
 	close(release)
-	duties.Wait()
+	group.Wait()
 	g.Expect(sent).To(Equal(20))
-	g.Expect(most).To(BeNumerically("<=", ordersAtOnce))
+	g.Expect(maxRunning).To(BeNumerically("<=", ordersAtOnce))
 	g.Expect(q.senders).To(BeZero(), "no goroutine is left")
 }
 
 func TestOrderQueueIsBoundedAndDropsOrdersAtItsEnd(t *testing.T) {
 	g := NewWithT(t)
-	var duties sync.WaitGroup
+	var group sync.WaitGroup
 	ctx, cancel := context.WithCancel(context.Background())
-	q := newOrderQueue(ctx, &duties)
+	q := newOrderQueue(ctx, &group)
 	var mu sync.Mutex
 	sent := 0
 	order := func(ctx context.Context) {
@@ -54,6 +54,6 @@
 	}
 	g.Expect(accepted).To(BeNumerically(">=", ordersPerQueue))
 	cancel()
-	duties.Wait()
+	group.Wait()
 	g.Expect(sent).To(BeNumerically("<=", ordersAtOnce))
 }
--- a/pkg/poolowner/owner.go
+++ b/pkg/poolowner/owner.go
@@ -39,7 +39,7 @@
 	leaseMargin = 300 * time.Millisecond
 	planEvery   = 50 * time.Millisecond
 	planPause   = 3 * time.Millisecond
-	// planPauseFactor is the least pause before the next plan, as a multiple of the time that the last
+	// planPauseFactor is the least pause before a requested plan, as a multiple of the time that the last
 	// plan took. It leaves processor time for the calls to workers when many steps wait.
 	planRest     = 2
 	inspectEvery = 250 * time.Millisecond
@@ -57,7 +57,8 @@
 	First bool
 	// PreviousOwnerEnded is true when the previous owner's process has certainly ended.
 	FormerEnded bool
-	// RecordWorkersFromTerm is the field of the same purpose of the owner's record (jobstore.Holder).
+	// RecordWorkersFromTerm is the first term from which on every owner records the workers of a job in
+	// the store before it starts the job there; 0 when this owner does not (jobstore.Holder).
 	NamedFrom int64
 }
 
@@ -98,7 +99,7 @@
 	Without dispatch.Without
 }
 
-// Owner owns a pool. It starts with New and runs until Run returns.
+// Owner owns a pool while Run runs.
 type Owner struct {
 	deps  Deps
 	claim Claim
@@ -257,7 +258,10 @@
 	}
 }
 
-// hasAuthority returns whether this owner may give orders. The caller holds o.mu.
+// hasAuthority returns whether this owner may give orders. It deposes the owner when a worker has seen a
+// higher token. When most workers accept this owner's token for the first time, it restarts the takeover
+// timers of the pool, since orders of the previous owner may have taken effect until then. The caller
+// holds o.mu.
 func (o *Owner) authority(now clock.Time) bool {
 	if o.deposed.Load() {
 		return false
@@ -266,12 +270,12 @@
 		o.depose("fenced")
 		return false
 	}
-	most := o.mostAnswer(now)
-	if !o.fenced && most {
+	majority := o.mostAnswer(now)
+	if !o.fenced && majority {
 		o.fenced = true
 		o.pool.Fencing(now)
 	}
-	return most || o.deps.Leased(now)
+	return majority || o.deps.Leased(now)
 }
 
 // majorityCheckInterval is the maximum age of a majority check. The check is needed for each call to a
@@ -314,11 +318,11 @@
 }
 
 // pauseAfterPlan returns the least pause after a plan that took the given time.
-func (o *Owner) restAfter(took time.Duration) time.Duration {
+func (o *Owner) restAfter(planTime time.Duration) time.Duration {
 	if o.deps.Without.Has(dispatch.PlanRests) {
 		return planPause
 	}
-	return max(planPause, planRest*took)
+	return max(planPause, planRest*planTime)
 }
 
 func (o *Owner) inspect() {
--- a/pkg/poolowner/roster.go
+++ b/pkg/poolowner/roster.go
@@ -208,7 +208,7 @@
 		}
 		data, err := json.Marshal(c.workers)
 		if err != nil {
-			return t, errors.Wrapf(err, "roster of worker %s", c.name)
+			return t, errors.Wrapf(err, "encode roster of worker %s", c.name)
 		}
 		t.Put = append(t.Put, platform.Put{Key: key, Value: data})
 	}
--- a/pkg/poolowner/store_failures.go
+++ b/pkg/poolowner/store_failures.go
@@ -37,7 +37,7 @@
 	if f.since == 0 {
 		return
 	}
-	took := f.clk.Now().Sub(f.since)
+	duration := f.clk.Now().Sub(f.since)
 	f.since = 0
-	f.log.WithFields(logrus.Fields{"what": f.what, "after_ms": int64(took / time.Millisecond)}).Info("store_call_succeeds_again")
+	f.log.WithFields(logrus.Fields{"what": f.what, "after_ms": int64(duration / time.Millisecond)}).Info("store_call_succeeds_again")
 }
--- a/pkg/poolowner/unknown_jobs.go
+++ b/pkg/poolowner/unknown_jobs.go
@@ -14,8 +14,8 @@
 // maxConcurrentReads is the maximum number of job records that are read at the same time.
 const readsAtOnce = 8
 
-// readUnknownJobs reads the records of jobs that workers list but that no host has reported. Until a job
-// is read, the workers that list it get no tasks and keep its run ends.
+// readUnknownJobs reads the records of jobs that workers list but that no host has reported. Until a job is
+// read, the workers that list it get no tasks, and their run ends of the job are not acknowledged.
 func (o *Owner) readUnknownJobs(ctx context.Context) {
 	for {
 		select {
@@ -53,7 +53,7 @@
 		o.takeUnknownJob(id, item, err == nil)
 		return
 	}
-	o.readFailures.failed(errors.Wrapf(err, "job %s", id))
+	o.readFailures.failed(errors.Wrapf(err, "read job %s", id))
 	clock.Sleep(ctx, storeRetry)
 }
 
--- a/pkg/poolowner/upkeep.go
+++ b/pkg/poolowner/upkeep.go
@@ -28,7 +28,7 @@
 	if o.deps.Machines == nil {
 		return
 	}
-	// The previous owner's orders are over by then, so that orders of two owners do not alternate.
+	// Orders of two owners for one machine must be at least MachineLease apart.
 	clock.Sleep(ctx, o.deps.Bounds.MachineLease)
 	checked := map[int64]bool{}
 	clock.Every(ctx, upkeepEvery, func() {
