--- a/pkg/jobhost/access.go
+++ b/pkg/jobhost/access.go
@@ -9,7 +9,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// admit decides whether a call may go on (package customer), and logs each that may not.
+// admit decides whether a call may proceed (package customer), and logs each denial.
 func (h *Host) admit(cfg *queue.Config, c platform.Call) (customer.Caller, error) {
 	bounds := h.cfg.Load().Bounds
 	call := customer.Call{
@@ -22,24 +22,24 @@
 	var holder *customer.Customer
 	holder, call.Key = keyOf(cfg.Customers, c)
 	caller := customer.NewCaller(holder, call, c.Operator || cfg.Customers == nil)
-	ruling := customer.Decide(call)
-	if ruling.Verdict != customer.Admitted {
-		h.figures.denied(ruling.Verdict)
+	decision := customer.Decide(call)
+	if decision.Verdict != customer.Admitted {
+		h.figures.denied(decision.Verdict)
 		event := "call_denied"
 		if c.Queue == nil {
 			event = "queue_unknown"
 		}
 		h.log.WithFields(logrus.Fields{
-			"asked": c.Asked, "reason": ruling.Reason, "customer": caller.Name(), "config": cfg.Version, "config_age_ms": call.Age.Milliseconds(),
+			"asked": c.Asked, "reason": decision.Reason, "customer": caller.Name(), "config": cfg.Version, "config_age_ms": call.Age.Milliseconds(),
 		}).Info(event)
 	}
-	return caller, errorOf(ruling)
+	return caller, errorOf(decision)
 }
 
-// keyOf says what the keys of a call are, and whose.
-func keyOf(d *customer.Directory, call platform.Call) (*customer.Customer, customer.Key) {
+// classifyKey classifies the keys of a call, and returns the customer that a known key belongs to.
+func keyOf(customers *customer.Directory, call platform.Call) (*customer.Customer, customer.Key) {
 	switch keys := call.Keys; {
-	case d == nil:
+	case customers == nil:
 		return nil, customer.KeyNotNeeded
 	case len(keys) == 0 && call.Operator:
 		return nil, customer.KeyOfOperator
@@ -48,39 +48,41 @@
 	case len(keys) > 1 || keys[0] == "":
 		return nil, customer.KeyUnclear
 	}
-	c, known := d.ByKey(call.Keys[0])
+	c, known := customers.ByKey(call.Keys[0])
 	if !known {
 		return nil, customer.KeyUnknown
 	}
 	return c, customer.KeyKnown
 }
 
-// errorOf returns what a ruling means for a call; nil when it is admitted.
-func errorOf(r customer.Ruling) error {
-	switch r.Verdict {
+// decisionError returns the error that a decision means for a call; nil if the call is admitted.
+func errorOf(d customer.Ruling) error {
+	switch d.Verdict {
 	case customer.Admitted:
 		return nil
 	case customer.UnknownQueue:
-		return errors.Wrap(platform.ErrNoQueue, r.Reason)
+		return errors.Wrap(platform.ErrNoQueue, d.Reason)
 	case customer.Unauthenticated:
-		return errors.Wrap(platform.ErrUnauthenticated, r.Reason)
+		return errors.Wrap(platform.ErrUnauthenticated, d.Reason)
 	case customer.Forbidden:
-		return errors.Wrap(platform.ErrForbidden, r.Reason)
+		return errors.Wrap(platform.ErrForbidden, d.Reason)
 	}
-	return errors.Wrap(platform.ErrRefused, r.Reason)
+	return errors.Wrap(platform.ErrRefused, d.Reason)
 }
 
-// about decides whether a caller's call may be about a job of the customer of a name, and logs one that may not.
+// checkJobAccess returns an error unless a caller may access a job of the customer with the given name,
+// and logs each denial.
 func (h *Host) about(c customer.Caller, id job.ID, owner string) error {
-	ruling := c.About(owner)
-	if ruling.Verdict != customer.Admitted {
-		h.figures.denied(ruling.Verdict)
-		h.log.WithFields(logrus.Fields{"job": id, "reason": ruling.Reason, "customer": c.Name(), "holder": owner}).Info("call_denied")
+	decision := c.About(owner)
+	if decision.Verdict != customer.Admitted {
+		h.figures.denied(decision.Verdict)
+		h.log.WithFields(logrus.Fields{"job": id, "reason": decision.Reason, "customer": c.Name(), "holder": owner}).Info("call_denied")
 	}
-	return errorOf(ruling)
+	return errorOf(decision)
 }
 
-// tooWide tells of a step that can't run within the customer's quota, whatever else runs; nil when there is none.
+// checkStepQuota returns an error if a step can never run within the customer's quota, even if nothing
+// else runs.
 func tooWide(c customer.Caller, j job.Job) error {
 	if c.Customer == nil {
 		return nil
--- a/pkg/jobhost/intake.go
+++ b/pkg/jobhost/batch_writer.go
@@ -13,60 +13,65 @@
 )
 
 const (
-	// intakeAtOnce is how many transactions may be on their way.
+	// maxConcurrentTxns bounds the transactions in flight.
 	intakeAtOnce = 4
-	// entriesPerWrite is how many entries of a transaction a write needs at most.
+	// entriesPerWrite is how many entries of a transaction a write needs at most: a condition and a put.
 	entriesPerWrite = 2
-	// holderEntries is how many a transaction needs for the owner's record.
+	// ownerRecordEntries is how many entries of a transaction the condition on the owner's record needs.
 	holderEntries = 1
-	// intakeLinger is how long a write waits for others while a transaction is on its way.
+	// batchWait is how long the writer collects further writes while a transaction is in flight.
 	intakeLinger = 8 * time.Millisecond
-	// settleFor bounds the tries to settle a write whose answer was lost, and settleBack those while the store has just come back.
+	// resolveTime bounds the retries that find out whether a write with a lost answer took effect.
+	// resolveTimeAfterOutage applies shortly after the store has recovered.
 	settleFor   = 900 * time.Millisecond
 	settleBack  = 2 * settleFor
 	settlePause = 30 * time.Millisecond
-	// distrustAfter is how long the store must not have answered anything for writes to be
-	// refused at once after one has failed.
+	// maxStoreSilence is how long the store may have answered nothing after a failed transaction until
+	// further writes are refused at once.
 	distrustAfter = 500 * time.Millisecond
-	// orderedFor is for how long after the store's return writes go in order of their callers' deadlines: what waited and what comes back meets there.
+	// deadlineOrderTime is for how long after the store has recovered writes are ordered by their
+	// callers' deadlines: the writes that have waited then compete with those of returning callers.
 	orderedFor = time.Second
 )
 
-// errOwnerChanged says that a key was certainly not written, since another owner is on record than the one that the write is for.
+// errOwnerChanged means that a key was certainly not written, because the recorded owner is not the one
+// that the write was meant for.
 var errOwnerChanged = errors.New("another owner is on record")
 
-// putResult is the outcome of a write. created says that the key holds the value of this
-// write; otherwise an earlier one was there.
+// writeResult is the outcome of a write. created is true if the key holds the value of this write, and
+// false if it already held an earlier one.
 type putResult struct {
 	created bool
 	err     error
 }
 
-// intake writes keys into the store, many with one transaction. Each is on condition of the owner's record: a new owner lists the jobs after it is on
-// record, so that none is written for the former one that the new one does not list.
+// batchWriter writes keys into the store, many in one transaction. Each transaction requires that the
+// owner's record is unchanged. A new owner lists the jobs after it has written its record, so that every
+// job was either listed by it or written under its record.
 type intake struct {
 	store *platform.Store
 	clk   clock.Clock
-	// sawHolder takes in a record of the owner that a write has found.
+	// ownerRecordFound is called with an owner's record that a transaction has found in the store.
 	sawHolder func(platform.Item)
 	queue     *writeQueue
 	slots     chan struct{}
-	failedAt  atomic.Int64 // when a transaction got no answer last
-	backAt    atomic.Int64 // when the store came back last
+	failedAt  atomic.Int64 // when a transaction last got no answer
+	backAt    atomic.Int64 // when the store last recovered
 }
 
 func newIntake(store *platform.Store, clk clock.Clock, sawHolder func(platform.Item)) *intake {
 	return &intake{store: store, clk: clk, sawHolder: sawHolder, queue: newWriteQueue(), slots: make(chan struct{}, intakeAtOnce)}
 }
 
-// put writes a key that nobody changes, under an owner's record; it is no error when it is there already, but
-// created is false then. Errors: platform.ErrRefused when it was certainly not written and
-// never will be, platform.ErrUnsettled, errOwnerChanged.
-func (t *intake) put(ctx context.Context, key string, value []byte, holder int64) (created bool, err error) {
+// writeOnce writes a key that is never changed afterwards, on condition that the owner's record has the
+// given revision. If the key already exists, that is no error, and created is false unless it holds the
+// same value. Errors: platform.ErrRefused if the key was certainly not written and never will be,
+// platform.ErrOutcomeUnknown, errOwnerChanged.
+func (t *intake) put(ctx context.Context, key string, value []byte, ownerRevision int64) (created bool, err error) {
 	if t.distrusts() {
 		return false, errors.Wrap(platform.ErrRefused, "the store does not answer")
 	}
-	w := &write{ctx: ctx, key: key, value: value, holder: holder, done: make(chan putResult, 1)}
+	w := &write{ctx: ctx, key: key, value: value, holder: ownerRevision, done: make(chan putResult, 1)}
 	if !t.queue.put(w) {
 		return false, errors.Wrap(platform.ErrRefused, "too many writes wait")
 	}
@@ -81,29 +86,29 @@
 	}
 }
 
-// distrusts says that the store does not answer at present: a transaction failed, and nothing was answered since.
+// isStoreUnresponsive reports whether a transaction has failed and the store has answered nothing since.
 func (t *intake) distrusts() bool {
 	return t.store.SilentSince(clock.Time(t.failedAt.Load())) && t.clk.Now().Sub(t.store.LastAnswer()) > distrustAfter
 }
 
-// failed takes in that a transaction got no answer.
+// recordFailure records that a transaction got no answer.
 func (t *intake) failed() {
 	t.failedAt.Store(int64(t.clk.Now()))
 	t.store.Doubt()
 }
 
-// storeBack takes in that the store answers again after a gap.
+// recordRecovery records that the store answers again after an outage.
 func (t *intake) storeBack() {
 	t.backAt.Store(int64(t.clk.Now()))
 }
 
-// backSince says that the store came back no longer ago than a time.
+// recoveredWithin reports whether the store has recovered less than d ago.
 func (t *intake) backSince(d time.Duration) bool {
 	at := t.backAt.Load()
 	return at != 0 && t.clk.Now().Sub(clock.Time(at)) < d
 }
 
-// run is the duty that groups writes.
+// run collects writes into transactions until ctx ends.
 func (t *intake) run(ctx context.Context) {
 	for {
 		select {
@@ -127,14 +132,15 @@
 	}
 }
 
-// commit writes a group. Writes whose key is there already are answered, and the others
-// tried again; a lost answer is settled by trying again, too, since a key is written once.
+// commit writes a group in one transaction. After a conflict it answers the writes whose keys exist
+// already and repeats the others. If an answer was lost it repeats the transaction, which is safe because
+// each key is written only once.
 func (t *intake) commit(ctx context.Context, group []*write) {
 	started := t.clk.Now()
-	unsettled := false
-	group, holder := underLatest(group)
+	outcomeUnknown := false
+	group, ownerRevision := underLatest(group)
 	for len(group) > 0 {
-		_, found, err := t.store.Commit(ctx, txnOf(group, holder))
+		_, found, err := t.store.Commit(ctx, txnOf(group, ownerRevision))
 		switch {
 		case err == nil:
 			answerAll(group, putResult{created: true})
@@ -142,21 +148,21 @@
 		case errors.Is(err, platform.ErrConflict):
 			rest := answerPresent(group, found)
 			switch {
-			case t.ownerChanged(found, holder):
+			case t.ownerChanged(found, ownerRevision):
 				answerAll(rest, putResult{err: errOwnerChanged})
 				return
 			case len(rest) == len(group):
-				// Nothing was found although there is a conflict: a key came and went.
+				// The conflict names no key: a key was written and removed meanwhile.
 				answerAll(rest, putResult{err: errors.Mark(errors.New("conflict without a key"), platform.ErrUnsettled)})
 				return
 			}
 			group = rest
 			continue
 		case errors.Is(err, platform.ErrUnsettled):
-			unsettled = true
+			outcomeUnknown = true
 		}
 		t.failed()
-		if !unsettled {
+		if !outcomeUnknown {
 			answerAll(group, putResult{err: errors.Mark(err, platform.ErrRefused)})
 			return
 		}
@@ -168,7 +174,7 @@
 	}
 }
 
-// settleLimit bounds the tries to settle a write.
+// resolveTimeout returns for how long commit repeats a transaction with a lost answer.
 func (t *intake) settleLimit() time.Duration {
 	if t.backSince(orderedFor) {
 		return settleBack
@@ -176,25 +182,27 @@
 	return settleFor
 }
 
-// underLatest returns the writes of a group that are under the latest record of an owner, and that record's revision. It answers the others.
-func underLatest(group []*write) (latest []*write, holder int64) {
+// selectLatestOwner returns the writes of a group that are meant for the latest owner among them, and the
+// revision of that owner's record. It answers the other writes.
+func underLatest(group []*write) (latest []*write, ownerRevision int64) {
 	for _, w := range group {
-		holder = max(holder, w.holder)
+		ownerRevision = max(ownerRevision, w.holder)
 	}
 	for _, w := range group {
-		if w.holder < holder {
+		if w.holder < ownerRevision {
 			w.done <- putResult{err: errOwnerChanged}
 		} else {
 			latest = append(latest, w)
 		}
 	}
-	return latest, holder
+	return latest, ownerRevision
 }
 
-// ownerChanged says that a conflict has found another record of the owner, and takes it in.
-func (t *intake) ownerChanged(found []platform.Item, holder int64) bool {
+// detectOwnerChange reports whether a conflict has revealed another owner's record, and passes that
+// record on.
+func (t *intake) ownerChanged(found []platform.Item, ownerRevision int64) bool {
 	for _, i := range found {
-		if i.Key == jobstore.HolderKey && i.Revision != holder {
+		if i.Key == jobstore.HolderKey && i.Revision != ownerRevision {
 			t.sawHolder(i)
 			return true
 		}
@@ -202,8 +210,8 @@
 	return false
 }
 
-func txnOf(group []*write, holder int64) platform.Txn {
-	t := platform.Txn{Conditions: []platform.Condition{{Key: jobstore.HolderKey, Revision: holder}}}
+func txnOf(group []*write, ownerRevision int64) platform.Txn {
+	t := platform.Txn{Conditions: []platform.Condition{{Key: jobstore.HolderKey, Revision: ownerRevision}}}
 	for _, w := range group {
 		t.Conditions = append(t.Conditions, platform.Condition{Key: w.key})
 		t.Put = append(t.Put, platform.Put{Key: w.key, Value: w.value})
@@ -217,7 +225,7 @@
 	}
 }
 
-// answerPresent answers the writes whose keys were found, and returns the others.
+// completePresent answers the writes whose keys were found, and returns the others.
 func answerPresent(group []*write, found []platform.Item) []*write {
 	present := make(map[string][]byte, len(found))
 	for _, i := range found {
--- a/pkg/jobhost/config.go
+++ b/pkg/jobhost/config.go
@@ -10,21 +10,24 @@
 )
 
 const (
-	// configWait is how long a watch on the operator's keys waits where they have to be in force soon. Together with the 0.4 s after which it
-	// is given up and a read, it keeps to the shortest known bound, 2 s.
+	// configWatchWait is how long a watch on the operator's keys waits if changes must be applied soon.
+	// Together with the 0.4 s after which a watch times out, and one read, it stays within the shortest
+	// known limit of 2 s.
 	configWait = time.Second
-	// longConfigWait is the longest wait: each host of hundreds asks the store that often though nothing changes.
+	// maxConfigWatchWait is the longest wait of a watch. It bounds the load on the store: each of
+	// hundreds of hosts calls the store once per wait even if nothing changes.
 	longConfigWait = 2 * time.Second
-	// configSlack is left of the bound for giving up a silent watch and for two reads.
+	// configWatchMargin is the part of the limit that is left for a watch that times out and for two
+	// reads.
 	configSlack = 3 * time.Second
 )
 
-// newConfigFollower follows what the operator writes.
+// newOperatorWatcher returns a watcher of the keys that the operator writes.
 func (h *Host) newConfigFollower() *follower {
 	return h.newFollower(platform.OperatorPrefix, func() time.Duration { return operatorWait(h.cfg.Load().Bounds) }, h.takeOperatorList, h.takeOperatorItems)
 }
 
-// operatorWait is how long a watch on the operator's keys waits.
+// operatorWatchWait returns how long a watch on the operator's keys waits.
 func operatorWait(b platform.Bounds) time.Duration {
 	bound := b.ConfigApply
 	if b.StrictKeys && b.Revoke > 0 {
@@ -33,13 +36,14 @@
 	return max(min(configWait, bound/2), min(bound-configSlack, longConfigWait))
 }
 
+// applyOperatorItems applies keys that the operator has written.
 func (h *Host) takeOperatorItems(items []platform.Item) {
 	for _, i := range items {
 		h.takeOperatorItem(i)
 	}
 }
 
-// takeOperatorItem takes in a key that the operator has written.
+// applyOperatorItem applies one key that the operator has written.
 func (h *Host) takeOperatorItem(i platform.Item) {
 	if i.Key == platform.ConfigKey && !i.Gone {
 		h.takeConfig(i)
@@ -65,7 +69,7 @@
 	}
 }
 
-// tellWaves tells a new owner the waves that are known.
+// sendWaves passes the known waves to a new owner.
 func (h *Host) tellWaves(o *poolowner.Owner) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -74,7 +78,7 @@
 	}
 }
 
-// takeConfig puts a configuration in force if it is newer than the present one.
+// applyConfig puts a configuration in force if its version is higher than the current one's.
 func (h *Host) takeConfig(item platform.Item) {
 	cfg, err := platform.ParseConfig(item.Value)
 	if err != nil {
@@ -95,6 +99,7 @@
 	}
 }
 
+// replaceConfig stores a configuration and returns true if its version is higher than the current one's.
 func (h *Host) raiseConfig(cfg *queue.Config) bool {
 	for {
 		old := h.config.Load()
--- a/pkg/jobhost/follower_test.go
+++ b/pkg/jobhost/config_test.go
@@ -15,7 +15,7 @@
 	logtest "github.com/sirupsen/logrus/hooks/test"
 )
 
-// newTestHost returns a host that reaches an emulated store and does nothing yet, with its log.
+// newTestHost returns a host that uses an emulated store and does not run yet, with its log.
 func newTestHost(t *testing.T, p *emulator.Platform) (*Host, *logtest.Hook) {
 	t.Helper()
 	log, hook := logtest.NewNullLogger()
@@ -36,7 +36,7 @@
 	return p
 }
 
-// follow runs a follower until the test ends.
+// runWatcher runs a watcher until the test ends.
 func follow(t *testing.T, f *follower) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -51,7 +51,7 @@
 	})
 }
 
-// newFollowingHost returns a host that has a configuration in force and follows it, with its log.
+// newConfiguredHost returns a host that has a configuration in force and watches it, with its log.
 func newFollowingHost(t *testing.T, p *emulator.Platform) (*Host, *logtest.Hook) {
 	t.Helper()
 	p.PutConfig(1)
@@ -61,7 +61,7 @@
 	return h, hook
 }
 
-// lines are the log lines of a message.
+// logLines returns the log entries with the given message.
 func lines(hook *logtest.Hook, message string) []*logrus.Entry {
 	var found []*logrus.Entry
 	for _, e := range hook.AllEntries() {
@@ -81,7 +81,7 @@
 
 	p.Store.SetMode(emulator.StoreBusy)
 	g.Eventually(h.operatorKeys.Age, "4s", "10ms").Should(BeNumerically(">", 1500*time.Millisecond))
-	g.Expect(lines(hook, "keys_lost")).To(HaveLen(1), "one line, however many tries fail")
+	g.Expect(lines(hook, "keys_lost")).To(HaveLen(1), "one line, however many attempts fail")
 	g.Expect(lines(hook, "keys_regained")).To(BeEmpty())
 
 	p.Store.SetMode(emulator.StoreUp)
@@ -101,8 +101,9 @@
 	g.Expect(h.config.Load()).To(BeNil())
 }
 
-// Symptom: a caller is told that a queue does not exist, which the operator has added. Sequence: the host loses the store, the operator
-// adds the queue, the caller asks this host. Cause: the host took its configuration for the newest, however long ago it was read.
+// Guards against a caller that is told that an existing queue does not exist. The host loses the store,
+// the operator adds the queue, and the caller asks this host. A host whose configuration may be outdated
+// must answer 503 instead of 404.
 func TestHostThatMayMissChangesDeniesNoQueue(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
--- a/pkg/jobhost/limits.go
+++ b/pkg/jobhost/customer_limits.go
@@ -12,12 +12,14 @@
 	"foldarch.dev/foldarch/platform"
 )
 
-// customerLimits are the customers of whom not all is taken in, as the owner told last.
+// customerLimits are the customers of which only a share of the jobs is accepted, as the owner last
+// reported them.
 type customerLimits struct {
 	told[*poolpb.Limit]
 }
 
-// limitOf returns why a job is not among those of its customer that are taken in; nil when it is.
+// findLimit returns the refusal that applies to a job because it is not in the accepted share of its
+// customer's jobs; nil if it is.
 func limitOf(list []*poolpb.Limit, r job.Record) *poolpb.Refusal {
 	for _, l := range list {
 		if l.Customer != r.Customer.Name {
@@ -30,17 +32,18 @@
 	return nil
 }
 
-// placeBits is how many bits of a hash make a job's place: a float64 holds as many.
+// hashFractionBits is the number of hash bits used by hashFraction: the precision of a float64.
 const placeBits = 53
 
-// place is a number from 0 to below 1 that is the same for a job at all hosts: each decides alike on a job that is sent again.
+// hashFraction maps a job's id to a number in [0, 1). All hosts compute the same number, so that each
+// makes the same decision about a job that is sent again.
 func place(id job.ID) float64 {
 	sum := sha256.Sum256([]byte(id))
 	return float64(binary.BigEndian.Uint64(sum[:])>>(64-placeBits)) / (1 << placeBits)
 }
 
-// refuseBeyondWeight refuses a job beyond its customer's weight that would wait too long, unless it was handed in before: that one stays
-// accepted. Errors: *platform.RefusedError.
+// refuseOverShare refuses a job of a customer that sends more than its weight if the job would wait too
+// long, unless the job was already accepted. Errors: *platform.RefusedError.
 func (h *Host) refuseBeyondWeight(ctx context.Context, r job.Record) error {
 	if r.Customer.Name == "" {
 		return nil
@@ -56,7 +59,7 @@
 	}
 }
 
-// limitsNow lists the customers of whom not all is taken in.
+// currentLimits lists the customers of which only a share of the jobs is accepted.
 func (h *Host) limitsNow() []*poolpb.Limit {
 	if o := h.owner.Load(); o != nil {
 		return o.Limits()
--- a/pkg/jobhost/limits_test.go
+++ b/pkg/jobhost/customer_limits_test.go
@@ -18,12 +18,13 @@
 	. "github.com/onsi/gomega"
 )
 
-// hotLimit has hosts take in a share of a customer's jobs.
+// newLimit returns a list from the owner that accepts only a share of the jobs of customer "hot" in a
+// queue.
 func hotLimit(share float64, queueName string) []*poolpb.Limit {
 	return []*poolpb.Limit{{Customer: "hot", Queues: []*poolpb.Refusal{{Queue: queueName, WaitMs: 13_200, RetryAfterMs: 4200, Share: share}}}}
 }
 
-// handInAs hands a job in with a key.
+// postJobWithKey submits a job with a customer's key and returns the answer.
 func handInAs(t *testing.T, h *Host, key, id string) *httptest.ResponseRecorder {
 	t.Helper()
 	r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+emulator.QueueHost+emulator.Prefix+id, strings.NewReader(`{"spec":"x","steps":[{"count":1}]}`))
@@ -49,8 +50,8 @@
 	return h, p
 }
 
-// A customer's jobs that are not among those taken in are refused with the time when to come back, and not kept; others' are taken in, and one that
-// was handed in before stays accepted.
+// A job outside the accepted share of its customer's jobs is refused with a time to retry, and not
+// stored. Jobs of other customers are accepted, and a job that was accepted earlier stays accepted.
 func TestCustomerBeyondItsWeightIsRefused(t *testing.T) {
 	g := NewWithT(t)
 	h, p := newCustomersHost(t)
@@ -67,7 +68,8 @@
 	g.Expect(h.figures.unserved.Count()).To(BeZero())
 }
 
-// While the store can't tell whether a job was handed in before, it is not refused for its customer's weight.
+// While the store can't tell whether a job was accepted earlier, the job is not refused for its
+// customer's share.
 func TestNothingIsRefusedForItsWeightThatMayBeKept(t *testing.T) {
 	g := NewWithT(t)
 	h, p := newCustomersHost(t)
@@ -79,26 +81,27 @@
 	g.Expect(h.figures.beyondWeight.Count()).To(BeZero())
 }
 
-// Whatever host a job is sent to, and however often, the decision is the same, and of many jobs the share is taken in that the owner tells.
+// The decision on a job must be the same at all hosts and for each attempt, and the accepted part of many
+// jobs must be the share that the owner has sent.
 func TestShareIsTakenInByTheJobsID(t *testing.T) {
 	g := NewWithT(t)
 	const jobs, share = 4000, 0.25
-	taken := 0
+	accepted := 0
 	for n := range jobs {
 		r := job.Record{Job: job.Job{ID: job.ID(fmt.Sprintf("%016x", n))}, Queue: queue.Queue{Name: "sheets"}, Customer: customer.Customer{Name: "hot"}}
 		refused := limitOf(hotLimit(share, "sheets"), r) != nil
 		if !refused {
-			taken++
-			g.Expect(limitOf(hotLimit(share+0.1, "sheets"), r)).To(BeNil(), "what is taken in stays so when more is")
+			accepted++
+			g.Expect(limitOf(hotLimit(share+0.1, "sheets"), r)).To(BeNil(), "a job stays accepted when the share grows")
 		}
 		g.Expect(limitOf(hotLimit(share, "ticks"), r)).To(BeNil(), "of another queue")
 		r.Customer.Name = "other"
 		g.Expect(limitOf(hotLimit(share, "sheets"), r)).To(BeNil())
 	}
-	g.Expect(float64(taken) / jobs).To(BeNumerically("~", share, 0.03))
+	g.Expect(float64(accepted) / jobs).To(BeNumerically("~", share, 0.03))
 }
 
-// What an owner told that is not heard any more limits nobody.
+// A list from an owner that is no longer heard limits no customer.
 func TestLimitsHoldAsLongAsTheOwnerIsHeard(t *testing.T) {
 	g := NewWithT(t)
 	var c customerLimits
--- a/pkg/jobhost/customers.go
+++ b/pkg/jobhost/customers.go
@@ -7,10 +7,12 @@
 	"foldarch.dev/foldarch/pkg/dispatch"
 )
 
-// mostCustomers is how many customers have figures of their own: the rest are summed up, so that the number of figures is bounded.
+// maxCustomersWithMetrics is how many customers have their own metrics. All others are summed up, so that
+// the number of metrics is bounded.
 const mostCustomers = 16
 
-// serveCustomers lists the customers with what they have running and waiting. A host that is not the owner answers 421 with the owner's record.
+// serveCustomers lists the customers with their running and waiting work. A host that is not the owner
+// answers 421 with the owner's record.
 func (h *Host) serveCustomers(w http.ResponseWriter, _ *http.Request) {
 	o := h.owner.Load()
 	if o == nil {
@@ -20,7 +22,8 @@
 	writeAnswer(w, o.Customers())
 }
 
-// redirectToOwner answers a question that only the owner can answer with the owner's record.
+// redirectToOwner answers a request that only the owner can serve: with status 421 and the owner's
+// record.
 func (h *Host) redirectToOwner(w http.ResponseWriter) {
 	h.election.mu.Lock()
 	defer h.election.mu.Unlock()
@@ -28,7 +31,8 @@
 	writeAnswer(w, h.election.holder)
 }
 
-// writeCustomers writes the figures of the customers that have most running, and of all others together.
+// writeCustomers writes the metrics of the first maxCustomersWithMetrics rows, which are those with most
+// running, and the sums of all others.
 func writeCustomers(w io.Writer, rows []dispatch.CustomerStatus) {
 	others := dispatch.CustomerStatus{Name: "others"}
 	for n, r := range rows {
--- a/pkg/jobhost/doc.go
+++ b/pkg/jobhost/doc.go
@@ -1,19 +1,21 @@
-// Package jobhost is the process on an entry host of the users' platform: it takes in jobs
-// from callers, and one of the hosts, the owner, has the pool's workers run them.
+// Package jobhost is the process that runs on each entry host of the users' platform. Every host accepts
+// jobs from callers and keeps them in the store; one of the hosts, the owner, runs them on the workers of
+// the pool.
 //
-// A Host joins these duties, each a goroutine:
+// A Host consists of these parts, each of which runs in its own goroutine:
 //
-//	callers   answers callers (platform.Door)
+//	callers   answers callers' requests (platform.JobHandler)
 //	ready     answers the platform's health check
-//	config    follows the operator's configuration in the store
-//	intake    puts accepted jobs into the store, many with one transaction
-//	election  follows the owner's record, and takes over when the owner is gone
+//	config    watches the operator's keys in the store: the configuration, waves and evacuations
+//	writer    writes accepted jobs into the store, many in one transaction
+//	election  watches the owner's record, and takes over when the owner has failed
+//	store     probes the store when it may be unreachable
 //	lease     renews the owner's lease in the store, while this host owns the pool
-//	member    keeps the link to the owner, while another host owns the pool
-//	peers     answers the links of other hosts, while this host owns the pool
+//	member    maintains the link to the owner, while another host owns the pool
+//	peers     serves the links of other hosts, while this host owns the pool
 //
 // # Usage
 //
 //	h, err := jobhost.New(settings, log)
-//	err = h.Run(ctx) // until ctx ends, then a planned stop
+//	err = h.Run(ctx, path, metricsPort) // until ctx ends, then a planned stop
 package jobhost
--- a/pkg/jobhost/election.go
+++ b/pkg/jobhost/election.go
@@ -21,48 +21,50 @@
 )
 
 const (
-	// ownerWait is how long a watch on the owner's record waits, and longOwnerWait how long that of a host does whom the owner tells that it
-	// lives only now and then, since others take over before it.
+	// ownerWatchWait is how long a watch on the owner's record waits. longOwnerWatchWait applies to hosts
+	// to which the owner sends slow heartbeats, since other hosts take over before them.
 	ownerWait     = time.Second
 	longOwnerWait = 3 * time.Second
 
 	linkRetry   = 60 * time.Millisecond
 	linkTimeout = 400 * time.Millisecond
-	// leaseTerm is how long the owner's lease in the store lasts without a renewal. It is the least that the platform allows, since nobody takes over
-	// before it has gone, and leaves room for two renewals that are lost.
+	// leaseDuration is how long the owner's lease in the store lasts without a renewal. It is the
+	// shortest that the platform allows, since no host takes over before it has expired, and leaves room
+	// for two lost renewals.
 	leaseTerm  = time.Second
 	leaseEvery = 300 * time.Millisecond
-	// campaignEvery is the time between two looks at whether to take over.
+	// campaignInterval is the time between two checks whether to take over.
 	campaignEvery = 50 * time.Millisecond
-	// silentBeats is for how many heartbeats the owner must not have been heard before a takeover, 0.7 s with
-	// the usual ones.
+	// takeoverHeartbeats is for how many heartbeat intervals nothing may have come from the owner before
+	// a takeover: 0.7 s with the usual interval.
 	silentBeats = 2.8
-	// campaignSpread spreads the campaigns of several hosts.
+	// campaignJitter bounds the random delay by which the takeovers of several hosts are spread.
 	campaignSpread = 60 * time.Millisecond
-	// yieldAfter is how long an owner goes on whose store does not answer.
+	// yieldStoreAge is how long the store may not have answered an owner before the owner asks another
+	// host to take over.
 	yieldAfter = 1200 * time.Millisecond
 )
 
-// election is what a host knows of the owner.
+// election is what a host knows about the owner.
 type election struct {
 	mu      sync.Mutex
-	known   bool // the record, or that there is none, was read
+	known   bool // the record, or its absence, was read
 	holder  jobstore.Holder
-	record  int64 // revision of the holder's record; 0 for none
-	alive   bool  // the holder's lease stands
-	yielded bool  // the holder has asked this host to take over
+	record  int64 // of the owner's record; 0 for none
+	alive   bool  // the owner's lease has not expired
+	yielded bool  // the owner has asked this host to take over
 	heardAt clock.Time
-	// heartbeat is the time between two of the owner's heartbeats, as it told last.
+	// heartbeatInterval is the time between two of the owner's heartbeats, as the owner last reported it.
 	heartbeat time.Duration
-	changed   chan struct{} // of size 1: the holder has changed
+	changed   chan struct{} // of capacity 1: signals that the owner has changed
 }
 
-// newOwnerFollower follows the owner's record.
+// newOwnerWatcher returns a watcher of the owner's record.
 func (h *Host) newOwnerFollower() *follower {
 	return h.newFollower(jobstore.OwnerPrefix, h.ownerWait, h.takeOwnerList, h.takeOwnerItems)
 }
 
-// ownerWait is how long the next watch on the owner's record waits.
+// nextOwnerWatchWait returns how long the next watch on the owner's record waits.
 func (h *Host) ownerWait() time.Duration {
 	if h.member.Load() == nil {
 		return ownerWait
@@ -75,7 +77,7 @@
 	return ownerWait
 }
 
-// takeOwnerList takes in all keys; one that is not among them is gone.
+// applyOwnerList applies a complete list of the owner's keys; a key that is not on it has been removed.
 func (h *Host) takeOwnerList(items []platform.Item, _ int64) {
 	present := map[string]bool{}
 	for _, i := range items {
@@ -104,22 +106,22 @@
 	}
 }
 
-// takeHolder takes in the owner's record. The caller holds the election's lock.
+// applyOwnerRecord applies the owner's record. The caller holds the election's lock.
 func (h *Host) takeHolder(i platform.Item) {
 	e := &h.election
 	if i.Gone || i.Revision <= e.record {
 		return
 	}
-	holder, err := jobstore.DecodeHolder(i.Value)
+	owner, err := jobstore.DecodeHolder(i.Value)
 	if err != nil {
 		h.log.WithField("error", err).Error("holder_unreadable")
 		return
 	}
-	e.holder, e.record, e.yielded, e.heardAt = holder, i.Revision, false, h.clk.Now()
+	e.holder, e.record, e.yielded, e.heardAt = owner, i.Revision, false, h.clk.Now()
 	e.heartbeat = poolrpc.HeartbeatEvery
 	h.toldReach.Store(nil)
-	h.log.WithFields(logrus.Fields{"owner": holder.Name, "term": holder.Term, "revision": i.Revision}).Info("owner_known")
-	if o := h.owner.Load(); o != nil && holder.Life != h.life {
+	h.log.WithFields(logrus.Fields{"owner": owner.Name, "term": owner.Term, "revision": i.Revision}).Info("owner_known")
+	if o := h.owner.Load(); o != nil && owner.Life != h.life {
 		o.Depose()
 	}
 	select {
@@ -128,96 +130,100 @@
 	}
 }
 
-// mayTakeOver says whether the owner's record should be replaced by this host now. Unless the
-// owner has asked for it, or was a former process of this host, that is only when the owner's
-// lease is gone.
-func (h *Host) mayTakeOver() (may, asked bool, record int64, term int64) {
+// mayTakeOver reports whether this host should replace the owner's record now. This requires that the
+// owner's lease has expired, unless the owner has asked this host to take over or was a previous process
+// of this host; in these cases asked is true.
+func (h *Host) mayTakeOver() (may, asked bool, revision int64, term int64) {
 	e := &h.election
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	record, term = e.record, e.holder.Term
+	revision, term = e.record, e.holder.Term
 	switch {
 	case !e.known || h.config.Load() == nil || h.stopping.Load() || h.owner.Load() != nil:
-		return false, false, record, term
+		return false, false, revision, term
 	case e.record == 0:
-		return true, false, record, term
+		return true, false, revision, term
 	case e.holder.Name == h.cfg.Load().Name && e.holder.Life != h.life, e.yielded && h.storeAnswers():
-		return true, true, record, term
+		return true, true, revision, term
 	case e.holder.Life == h.life:
-		return !e.alive, false, record, term // deposed without a successor
+		return !e.alive, false, revision, term // this host was deposed, but has no successor
 	}
 	silent := h.clk.Now().Sub(e.heardAt) > time.Duration(silentBeats*float64(e.heartbeat))
-	return silent && !e.alive, false, record, term
+	return silent && !e.alive, false, revision, term
 }
 
-// formerLife says that the owner on record is a former process of this host.
+// isOwnerPreviousIncarnation reports whether the recorded owner is a previous process of this host.
 func (h *Host) formerLife() bool {
 	h.election.mu.Lock()
 	defer h.election.mu.Unlock()
 	return h.election.holder.Name == h.cfg.Load().Name && h.election.holder.Life != h.life
 }
 
-// campaign is the duty that takes over when the owner is gone.
+// campaign takes over when the owner has failed. It runs until ctx ends.
 func (h *Host) campaign(ctx context.Context) {
-	since := clock.Time(0) // since when this host may take over
+	allowedSince := clock.Time(0) // when this host became allowed to take over
 	clock.Every(ctx, campaignEvery, func() {
 		may, asked, _, _ := h.mayTakeOver()
 		if !may {
-			since = 0
+			allowedSince = 0
 			return
 		}
 		now := h.clk.Now()
-		if since == 0 {
-			since = now
+		if allowedSince == 0 {
+			allowedSince = now
 		}
-		if !asked && now.Sub(since) < takeoverDelay(strengthOf(*h.cfg.Load())) {
+		if !asked && now.Sub(allowedSince) < takeoverDelay(strengthOf(*h.cfg.Load())) {
 			return
 		}
 		clock.Sleep(ctx, rand.N(campaignSpread))
-		may, asked, record, term := h.mayTakeOver()
+		may, asked, revision, term := h.mayTakeOver()
 		if !may {
 			return
 		}
-		h.tryTakeOver(ctx, !asked, record, term)
-		since = 0
+		h.tryTakeOver(ctx, !asked, revision, term)
+		allowedSince = 0
 	})
 }
 
-// tryTakeOver puts this host on record as the owner and owns the pool until deposed. The
-// lease follows (leaseKeeper): until then the owner's links keep others from taking over.
-func (h *Host) tryTakeOver(ctx context.Context, ifNotAlive bool, record, term int64) {
+// tryTakeOver writes the owner's record with this host as the owner and owns the pool until deposed. The
+// lease is opened afterwards (leaseKeeper); until then the owner's links to the other hosts keep them
+// from taking over.
+func (h *Host) tryTakeOver(ctx context.Context, ifLeaseExpired bool, recordRevision, term int64) {
 	began := h.clk.Now()
-	formerEnded := h.formerLife()
-	holder := jobstore.Holder{Name: h.cfg.Load().Name, Life: h.life, Address: h.cfg.Load().Peers, Term: term + 1, NamedFrom: h.namedFrom(term + 1)}
-	text, err := holder.Encode()
+	previousEnded := h.formerLife()
+	owner := jobstore.Holder{Name: h.cfg.Load().Name, Life: h.life, Address: h.cfg.Load().Peers, Term: term + 1, NamedFrom: h.namedFrom(term + 1)}
+	text, err := owner.Encode()
 	if err != nil {
 		return
 	}
 	t := platform.Txn{
-		Conditions: []platform.Condition{{Key: jobstore.HolderKey, Revision: record}},
+		Conditions: []platform.Condition{{Key: jobstore.HolderKey, Revision: recordRevision}},
 		Put:        []platform.Put{{Key: jobstore.HolderKey, Value: text}},
 	}
-	for lane := range jobstore.CommitLanes {
-		t.Put = append(t.Put, platform.Put{Key: jobstore.CommitKey(lane), Value: fmt.Appendf(nil, "%d/0", holder.Term)})
+	for n := range jobstore.CommitLanes {
+		t.Put = append(t.Put, platform.Put{Key: jobstore.CommitKey(n), Value: fmt.Appendf(nil, "%d/0", owner.Term)})
 	}
-	if ifNotAlive {
+	if ifLeaseExpired {
 		t.Conditions = append(t.Conditions, platform.Condition{Key: jobstore.AliveKey})
 	}
 	revision, ok := h.claim(ctx, t, string(text))
 	if !ok {
 		return
 	}
-	h.log.WithFields(logrus.Fields{"term": holder.Term, "revision": revision, "took": h.clk.Now().Sub(began)}).Info("owner_elected")
+	h.log.WithFields(logrus.Fields{"term": owner.Term, "revision": revision, "took": h.clk.Now().Sub(began)}).Info("owner_elected")
 	h.takeOwnerItems([]platform.Item{{Key: jobstore.HolderKey, Value: text, Revision: revision}})
 	h.own(ctx, poolowner.Claim{
-		Term: holder.Term, Revision: revision, First: record == 0, FormerEnded: formerEnded, NamedFrom: holder.NamedFrom,
+		Term: owner.Term, Revision: revision, First: recordRevision == 0, FormerEnded: previousEnded, NamedFrom: owner.NamedFrom,
 	}, began)
 }
 
-// namingWrites is the rate of writes at which a store takes the names of workers beside all else: at 140 jobs a second they are up to four entries a job.
+// minWritesToRecordWorkers is the number of writes a second at which a store has room for the records of
+// the workers of each job, beside all other writes: at 140 jobs a second these are up to four entries a
+// job.
 const namingWrites = 1000
 
-// namedFrom is the first term from which on all owners name the workers of jobs, if this host owns the pool in a term; 0 when it does not name them.
+// recordWorkersFromTerm returns the first term from which on all owners record the workers of jobs
+// without a gap, if this host owns the pool in the given term. It is 0 if this host does not record them.
 func (h *Host) namedFrom(term int64) int64 {
 	if h.cfg.Load().Store.WritesPerSecond < namingWrites {
 		return 0
@@ -227,11 +233,11 @@
 	return cmp.Or(h.election.holder.NamedFrom, term)
 }
 
-// claim carries out the transaction that makes this host the owner, and settles a lost
-// answer by trying again.
+// commitTakeover commits the transaction that makes this host the owner. If the answer is lost it repeats
+// the transaction, and recognizes its own record by the value.
 func (h *Host) claim(ctx context.Context, t platform.Txn, value string) (revision int64, ok bool) {
-	const tries = 5
-	for range tries {
+	const attempts = 5
+	for range attempts {
 		revision, found, err := h.store.Commit(ctx, t)
 		switch {
 		case err == nil:
@@ -251,7 +257,7 @@
 	return 0, false
 }
 
-// own owns the pool until another host has taken over, or ctx ends.
+// runOwner owns the pool until another host has taken over, or ctx ends.
 func (h *Host) own(ctx context.Context, claim poolowner.Claim, confirmedAt clock.Time) {
 	k := &leaseKeeper{host: h, record: claim.Revision}
 	k.renewedAt.Store(int64(confirmedAt))
@@ -266,7 +272,7 @@
 	}, claim)
 	o.SetConfig(h.config.Load())
 	h.owner.Store(o)
-	o.SetConfig(h.config.Load()) // one that came in between, and that takeConfig told nobody
+	o.SetConfig(h.config.Load()) // a configuration that arrived in between: applyConfig had no owner to pass it to
 	h.tellWaves(o)
 	h.tellEvacuations()
 	ctx, cancel := context.WithCancel(ctx)
@@ -277,26 +283,26 @@
 	h.log.WithFields(logrus.Fields{"term": claim.Term, "error": err}).Info("owner_ended")
 }
 
-// keepLink is the duty that keeps a link to the owner.
+// maintainLink maintains a link to the owner while another host is the owner. It runs until ctx ends.
 func (h *Host) keepLink(ctx context.Context) {
 	for ctx.Err() == nil {
 		e := &h.election
 		e.mu.Lock()
-		holder, record := e.holder, e.record
+		owner, revision := e.holder, e.record
 		e.mu.Unlock()
-		if record == 0 || holder.Life == h.life || holder.Name == h.cfg.Load().Name {
+		if revision == 0 || owner.Life == h.life || owner.Name == h.cfg.Load().Name {
 			clock.Sleep(ctx, linkRetry)
 			continue
 		}
-		h.link(ctx, holder)
+		h.link(ctx, owner)
 		clock.Sleep(ctx, linkRetry)
 	}
 }
 
-// link keeps one link to a holder until it breaks or another host is on record.
-func (h *Host) link(ctx context.Context, holder jobstore.Holder) {
+// runLink runs one link to an owner until it breaks or another host is recorded as the owner.
+func (h *Host) link(ctx context.Context, owner jobstore.Holder) {
 	d := net.Dialer{Timeout: linkTimeout}
-	conn, err := d.DialContext(ctx, "tcp", holder.Address.String())
+	conn, err := d.DialContext(ctx, "tcp", owner.Address.String())
 	if err != nil {
 		return
 	}
@@ -305,7 +311,7 @@
 	calls := relay.NewServer(relay.DirectCalls(h.worker))
 	m := poolrpc.NewMember(poolrpc.MemberHandlers{
 		Status: h.memberStatus, Advise: h.advise, Orders: calls.Take,
-		OwnerStatus: func(s *poolpb.OwnerStatus) { h.ownerHeard(holder, s) },
+		OwnerStatus: func(s *poolpb.OwnerStatus) { h.ownerHeard(owner, s) },
 	}, h.clk)
 	go calls.Run(ctx, m.Send)
 	h.member.Store(m)
@@ -317,7 +323,7 @@
 			case <-ctx.Done():
 				return
 			case <-h.election.changed:
-				if h.holderLife() != holder.Life {
+				if h.holderLife() != owner.Life {
 					return
 				}
 			}
@@ -326,21 +332,22 @@
 	_ = m.Run(ctx, h.peerBytes.Conn(conn))
 }
 
-// knownOwner is the revision of the latest record of an owner that this host knows of, and that owner's term; 0 for none.
-func (h *Host) knownOwner() (record, term int64) {
+// knownOwner returns the revision of the latest owner's record that this host knows, and the term of that
+// owner; 0 for none.
+func (h *Host) knownOwner() (revision, term int64) {
 	h.election.mu.Lock()
 	defer h.election.mu.Unlock()
 	return h.election.record, h.election.holder.Term
 }
 
-// sawHolder takes in the owner's record as a write has found it.
+// handleFoundOwnerRecord applies an owner's record that a write has found in the store.
 func (h *Host) sawHolder(i platform.Item) {
 	h.election.mu.Lock()
 	defer h.election.mu.Unlock()
 	h.takeHolder(i)
 }
 
-// knownTerm is the highest term of an owner that this host knows of.
+// knownTerm returns the highest term of an owner that this host knows.
 func (h *Host) knownTerm() int64 {
 	_, term := h.knownOwner()
 	return term
@@ -358,12 +365,12 @@
 		MostWorkers: int64(min(relay.WorkersOnLink(h.cfg.Load().LinkMbps), relay.WorkersPerHost))}
 }
 
-// ownerHeard takes in a heartbeat of the owner.
-func (h *Host) ownerHeard(holder jobstore.Holder, s *poolpb.OwnerStatus) {
+// handleOwnerStatus applies a heartbeat of the owner.
+func (h *Host) ownerHeard(owner jobstore.Holder, s *poolpb.OwnerStatus) {
 	e := &h.election
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.holder.Life != holder.Life || e.holder.Term != s.Term {
+	if e.holder.Life != owner.Life || e.holder.Term != s.Term {
 		return
 	}
 	e.heardAt = h.clk.Now()
--- a/pkg/jobhost/evacuations.go
+++ b/pkg/jobhost/evacuations.go
@@ -8,7 +8,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// takeOperatorList takes in all keys of the operator as they stood at a revision.
+// applyOperatorList applies a complete list of the operator's keys as of a revision.
 func (h *Host) takeOperatorList(items []platform.Item, at int64) {
 	evacuated := map[string]int64{}
 	for _, i := range items {
@@ -25,7 +25,7 @@
 	}
 }
 
-// takeEvacuation takes in that an evacuation was asked for or withdrawn.
+// applyEvacuation applies that an evacuation was requested or withdrawn.
 func (h *Host) takeEvacuation(hall string, i platform.Item) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -38,7 +38,8 @@
 	}
 }
 
-// evacuationsChanged tells the owner, if it is here, which halls are being evacuated. The caller holds h.mu.
+// publishEvacuations passes the evacuated halls to the owner if it runs on this host. The caller holds
+// h.mu.
 func (h *Host) evacuationsChanged() {
 	halls := h.evacuated.Names()
 	h.log.WithFields(logrus.Fields{"halls": strings.Join(halls, ","), "keys_age_ms": h.operatorKeys.Age().Milliseconds()}).Info("evacuations")
@@ -47,7 +48,7 @@
 	}
 }
 
-// tellEvacuations tells a new owner which halls are being evacuated.
+// sendEvacuations passes the evacuated halls to a new owner.
 func (h *Host) tellEvacuations() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -56,7 +57,8 @@
 	}
 }
 
-// readOperatorKeys reads what the operator has written once more, so that a new owner doesn't start with what this host read long ago.
+// readOperatorKeys lists the operator's keys again, so that a new owner does not start with values that
+// this host may have read long ago.
 func (h *Host) readOperatorKeys(ctx context.Context) error {
 	_, err := h.operatorKeys.list(ctx)
 	return err
--- a/pkg/jobhost/evacuations_test.go
+++ b/pkg/jobhost/evacuations_test.go
@@ -24,7 +24,8 @@
 	g.Eventually(h.evacuatedHalls, "2s", "5ms").Should(Equal([]string{"hall-b"}))
 }
 
-// The watch is cut, and by the time of the next list one evacuation was withdrawn and another one asked for.
+// The watch fails because the store has compacted its history. Before the next list one evacuation is
+// withdrawn and another one requested: the host must apply both.
 func TestEvacuationsThatChangeWhileTheStoreForgets(t *testing.T) {
 	g := NewWithT(t)
 	p := startPlatform(t)
@@ -38,6 +39,6 @@
 	p.Store.Compact()
 	follow(t, h.operatorKeys)
 	g.Eventually(h.evacuatedHalls, "2s", "5ms").Should(Equal([]string{"hall-b"}))
-	h.takeOperatorList(items, at) // an answer that was long on its way
+	h.takeOperatorList(items, at) // an answer that was delayed
 	g.Consistently(h.evacuatedHalls, 100*time.Millisecond).Should(Equal([]string{"hall-b"}))
 }
--- a/pkg/jobhost/host.go
+++ b/pkg/jobhost/host.go
@@ -29,25 +29,26 @@
 const (
 	storeTimeout  = 400 * time.Millisecond
 	workerTimeout = 160 * time.Millisecond
-	// stallShare is the part of the time to put a configuration in force that a read of it may stall: one that an
-	// outage has swallowed is tried again with half of the time left.
+	// readStallShare is the share of the configuration's time limit for which a read of it may stall. A
+	// read that is lost in an outage is repeated with half of that time left.
 	stallShare = 0.5
-	// storeShare is the part of the store's rate that one host may use.
+	// storeRateShare is the share of the store's rate limits that one host may use.
 	storeShare = 0.25
-	// storeFresh is how long ago the store may have answered to count as up.
+	// storeAnswerMaxAge is how old the store's last answer may be for the store to count as reachable.
 	storeFresh = 1500 * time.Millisecond
-	// memoryShare is the part of the memory limit at which the collector works harder.
+	// memoryLimitShare is the share of the host's memory limit that is set as Go's soft memory limit.
 	memoryShare = 0.8
 	gcPercent   = 200
-	// stopMargin is left of the time for a planned stop.
+	// stopMargin is the part of the platform's grace period that is kept in reserve for the end of a
+	// planned stop.
 	stopMargin = 1500 * time.Millisecond
-	// stopPause is how long a stopping host goes on taking in requests, so that callers
-	// and the platform's balancer can go elsewhere.
+	// stopAcceptTime is how long a stopping host still accepts requests, so that callers and the
+	// platform's balancer have time to switch to other hosts.
 	stopPause     = 2500 * time.Millisecond
 	headerTimeout = 10 * time.Second
 )
 
-// Host is one entry host at work.
+// Host is the process of one entry host.
 type Host struct {
 	cfg    atomic.Pointer[platform.Settings]
 	life   string
@@ -55,12 +56,12 @@
 	clk    clock.Clock
 	store  *platform.Store
 	worker *platform.Workers
-	advice atomic.Pointer[platform.Adviser] // nil when there is no advice service
+	advice atomic.Pointer[platform.Adviser] // nil without an advice service
 
 	config       atomic.Pointer[queue.Config]
-	operatorKeys *follower // the configuration and waves
+	operatorKeys *follower // the configuration, waves and evacuations
 	intake       *intake
-	stateReads   *stateReads // for callers
+	stateReads   *stateReads // limits lookups for callers
 	figures      *figures
 	election     election
 	member       atomic.Pointer[poolrpc.Member]
@@ -68,42 +69,44 @@
 	refusals     queueRefusals
 	limits       customerLimits
 	stopping     atomic.Bool
-	// probeFailedAt is when a probe of the store got no answer last, and probedAt when the last one began (of the duty watchReach).
+	// probeFailedAt is when a probe of the store last failed, and lastProbeAt when the last probe was
+	// started. Only watchStore uses lastProbeAt.
 	probeFailedAt atomic.Int64
 	probedAt      clock.Time
-	hosts         atomic.Int64 // as the owner told; 0 when not
-	// ownerStoreBack is of size 1: the owner told that the store answers it again.
+	hosts         atomic.Int64 // the number of hosts as reported by the owner; 0 if unknown
+	// ownerStoreRecovered, of capacity 1, signals that the owner has reported that it reaches the store
+	// again.
 	ownerStoreBack chan struct{}
 	gate           gate
-	toldReach      atomic.Pointer[reach.Owner] // by the owner; nil before its first heartbeat
+	toldReach      atomic.Pointer[reach.Owner] // from the owner's last heartbeat; nil before the first one
 
-	// bytes of the connections to other hosts, of callers and for advice
+	// bytes on the connections to other hosts, to callers and to the advice service
 	peerBytes, callerBytes, adviceBytes *traffic.Meter
 
 	mu        sync.Mutex
-	waves     map[int64]upkeep.Wave // that the operator asks for
+	waves     map[int64]upkeep.Wave // requested by the operator
 	evacuated *evacuation.Halls
 
 	duties sync.WaitGroup
 }
 
-// New returns a host that does nothing before Run.
+// New returns a host that does nothing until Run is called.
 func New(cfg platform.Settings, log *logrus.Entry) *Host {
 	clk := clock.System()
-	figures := newFigures()
+	metrics := newFigures()
 	store := platform.NewStore(cfg.Store, platform.StoreOptions{
 		CallTimeout:     storeTimeout,
 		Stall:           time.Duration(stallShare * float64(cfg.Bounds.ConfigApply)),
 		WritesPerSecond: cfg.Store.WritesPerSecond * storeShare,
 		ReadsPerSecond:  cfg.Store.ReadsPerSecond * storeShare,
 		LinkMbps:        cfg.LinkMbps,
-		Calls:           traffic.New("store", figures.registry),
-		Watches:         traffic.New("store_watches", figures.registry),
+		Calls:           traffic.New("store", metrics.registry),
+		Watches:         traffic.New("store_watches", metrics.registry),
 	}, clk)
 	h := &Host{
 		life: uuid.NewString(), log: log.WithField("host", cfg.Name), clk: clk, store: store,
-		worker: platform.NewWorkers(workerTimeout, traffic.New("workers", figures.registry)), figures: figures,
-		peerBytes: traffic.New("peers", figures.registry), callerBytes: traffic.New("callers", figures.registry), adviceBytes: traffic.New("advice", figures.registry),
+		worker: platform.NewWorkers(workerTimeout, traffic.New("workers", metrics.registry)), figures: metrics,
+		peerBytes: traffic.New("peers", metrics.registry), callerBytes: traffic.New("callers", metrics.registry), adviceBytes: traffic.New("advice", metrics.registry),
 		waves: map[int64]upkeep.Wave{}, evacuated: evacuation.New(),
 		election: election{changed: make(chan struct{}, 1)}, ownerStoreBack: make(chan struct{}, 1),
 	}
@@ -115,7 +118,8 @@
 	return h
 }
 
-// setAdvice sets the address of the advice service; an invalid one means that there is none.
+// setAdvice sets the address of the advice service. An invalid address means that there is no such
+// service.
 func (h *Host) setAdvice(address netip.AddrPort) {
 	if !address.IsValid() {
 		h.advice.Store(nil)
@@ -124,15 +128,16 @@
 	h.advice.Store(platform.NewAdviser(address, h.adviceBytes))
 }
 
-// Run works until ctx ends and then stops as planned: the pool is handed over and requests
-// in flight are answered. Settings that change in the file at path are put in force. Figures,
-// explanations and foldarch's own API of jobs are served at metricsPort of the host's address, unless it is 0.
+// Run serves until ctx ends and then performs a planned stop: it hands the pool over and answers the
+// requests in flight. Changes of the settings file at path are applied while it runs. Metrics,
+// explanations of jobs and foldarch's own jobs API are served on metricsPort of the host's address,
+// unless it is 0.
 func (h *Host) Run(ctx context.Context, path string, metricsPort uint16) error {
 	cfg := h.cfg.Load()
 	debug.SetMemoryLimit(memoryLimit(*cfg))
 	debug.SetGCPercent(gcPercent)
 	if cfg.Cores > 0 {
-		runtime.GOMAXPROCS(int(math.Ceil(cfg.Cores))) // more threads than cores wake each other for nothing
+		runtime.GOMAXPROCS(int(math.Ceil(cfg.Cores))) // more threads than cores only add context switches
 	}
 	callers, err := net.Listen("tcp", cfg.Callers.String())
 	if err != nil {
@@ -169,8 +174,8 @@
 	return nil
 }
 
-// serveOperators serves the operators' door. An address that is taken does not keep the host
-// from serving callers.
+// listenForOperators serves the operators' requests. If the address is already in use, the host still
+// serves callers.
 func (h *Host) serveOperators(address netip.AddrPort) error {
 	door, err := h.operatorDoor()
 	if err != nil {
@@ -202,7 +207,8 @@
 	return o.Handlers(), true
 }
 
-// ready answers the platform's health check. A host that can take in nothing is not ready if others may do better.
+// serveReady answers the platform's health check. A host is not ready while it is stopping, has no
+// configuration, or can't accept jobs that other hosts may be able to accept.
 func (h *Host) ready(w http.ResponseWriter, _ *http.Request) {
 	if h.config.Load() == nil || h.stopping.Load() || !h.row().Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -211,7 +217,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// leave stops as planned, within the time that the platform gives.
+// shutDown performs a planned stop within the platform's grace period.
 func (h *Host) leave(server *http.Server) {
 	h.stopping.Store(true)
 	h.log.Info("stopping")
@@ -229,7 +235,7 @@
 	_ = server.Shutdown(ctx)
 }
 
-// storeAge is how long ago the store answered this host.
+// storeAge returns the time since the store last answered this host.
 func (h *Host) storeAge() time.Duration {
 	return h.clk.Now().Sub(h.store.LastAnswer())
 }
--- a/pkg/jobhost/reach_test.go
+++ b/pkg/jobhost/intake_mode_test.go
@@ -12,13 +12,16 @@
 	. "github.com/onsi/gomega"
 )
 
-// cutOff says that a host is in the row of those that reach neither the store nor the owner.
+// isCutOff returns a function that reports whether a host is in the mode of hosts that reach neither the
+// store nor the owner.
 func cutOff(h *Host) func() bool {
 	return func() bool { return h.row() == reach.HostCutOff }
 }
 
-// In a pool of 588 hosts a hall was cut off. Each host there took its link to the owner, with a heartbeat a second, for sound for 3.2 s: it called itself ready, and held
-// calls until they got 504 or their deadline passed (44 and 15 of them), while the other halls could have taken them.
+// Guards against a host that reports ready and holds calls after its hall was cut off. In a pool of 588
+// hosts with a heartbeat a second, each host of the hall still relied on its link to the owner for 3.2 s.
+// Calls got 504 or passed their deadline (44 and 15 of them), although hosts of other halls could have
+// accepted them.
 func TestHostThatIsCutOffRefusesAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	p := startPlatform(t)
@@ -32,14 +35,14 @@
 	began := time.Now()
 	w := handIn(t, h, "5c0e7a21d94b36f9")
 	g.Expect(w.Code).To(Equal(http.StatusServiceUnavailable))
-	g.Expect(w.Header().Get("Retry-After")).To(Equal(fmt.Sprint(reach.RetryAfter("5c0e7a21d94b36f9", 4900*time.Millisecond).Seconds())), "of the 5 s without a deadline told")
+	g.Expect(w.Header().Get("Retry-After")).To(Equal(fmt.Sprint(reach.RetryAfter("5c0e7a21d94b36f9", 4900*time.Millisecond).Seconds())), "of the 5 s for a call without a deadline")
 	g.Expect(time.Since(began)).To(BeNumerically("<", 100*time.Millisecond))
 	p.Store.SetMode(emulator.StoreUp)
 	g.Eventually(cutOff(h), "3s", "10ms").Should(BeFalse())
 	g.Expect(p.Store.Values("foldarch/jobs/5c0e7a21d94b36f9")).To(BeEmpty(), "it was refused, so it never runs")
 }
 
-// The owner is heard: it may reach the store.
+// The owner is responsive, so it may reach the store.
 func TestHostThatHearsTheOwnerIsNotCutOff(t *testing.T) {
 	g := NewWithT(t)
 	p := startPlatform(t)
--- a/pkg/jobhost/door.go
+++ b/pkg/jobhost/jobs.go
@@ -20,11 +20,12 @@
 )
 
 const (
-	// refusedPause is when a refused caller may come back.
+	// refusalRetryAfter is after how long a refused caller may try again.
 	refusedPause = time.Second
-	// askTimeout bounds a question to the owner, which the store can answer as well.
+	// ownerQueryTimeout bounds a query to the owner; the store can answer the same query.
 	askTimeout = 600 * time.Millisecond
-	// ownerWriteTimeout bounds a write by the owner, so that a caller whose host was cut off can try another one in time.
+	// ownerWriteTimeout bounds a write by the owner, so that a caller whose host was cut off still has
+	// time to try another host.
 	ownerWriteTimeout = 1200 * time.Millisecond
 )
 
@@ -34,7 +35,7 @@
 	}
 }
 
-// jobs are what callers and operators can do with jobs.
+// jobService returns the operations on jobs that callers and operators may request.
 func (h *Host) jobs() platform.Jobs {
 	return platform.Jobs{
 		Config: h.config.Load, Admit: h.admit,
@@ -42,17 +43,17 @@
 	}
 }
 
-// submit keeps a job in the store and tells the owner.
+// submit stores a job and notifies the owner.
 func (h *Host) submit(ctx context.Context, c customer.Caller, q queue.Queue, j job.Job) error {
 	started := h.clk.Now()
 	record := job.Record{Job: j, Queue: q, AcceptedAt: h.clk.Wall()}
 	if c.Customer != nil {
 		record.Customer = *c.Customer
 	}
-	var kept keptValue
+	var stored keptValue
 	err := h.mayAccept(ctx, c, record)
 	if err == nil {
-		kept, err = h.put(ctx, jobstore.JobKey(j.ID), func(term int64) ([]byte, error) {
+		stored, err = h.put(ctx, jobstore.JobKey(j.ID), func(term int64) ([]byte, error) {
 			record.Term = term
 			return record.Encode()
 		})
@@ -63,24 +64,25 @@
 	if err != nil {
 		return err
 	}
-	if !kept.created {
+	if !stored.created {
 		return h.handedInBefore(ctx, c, j.ID)
 	}
 	if o := h.owner.Load(); o != nil {
-		o.Accepted(j.ID, kept.text)
+		o.Accepted(j.ID, stored.text)
 	} else if m := h.member.Load(); m != nil {
-		m.Accepted(string(j.ID), kept.text)
+		m.Accepted(string(j.ID), stored.text)
 	}
 	return nil
 }
 
-// mayAccept says why a job can't be taken in, nil if it can. Errors: platform.ErrUnauthenticated, platform.ErrRefused.
+// checkAcceptance returns why a job can't be accepted, or nil if it can. Errors:
+// platform.ErrUnauthenticated, platform.ErrRefused.
 func (h *Host) mayAccept(ctx context.Context, c customer.Caller, r job.Record) error {
 	if err := errorOf(c.HandIn()); err != nil {
 		return err
 	}
-	if row := h.row(); !row.Open() {
-		return spread(ctx, r.Job.ID, h.refuseClosed(row))
+	if mode := h.row(); !mode.Open() {
+		return spread(ctx, r.Job.ID, h.refuseClosed(mode))
 	}
 	if err := tooWide(c, r.Job); err != nil {
 		return err
@@ -91,7 +93,8 @@
 	return h.refuseBeyondWeight(ctx, r)
 }
 
-// handedInBefore answers for a job whose id is taken: the owner knows it, and maybe as ended.
+// answerResubmission returns the answer to a submission whose job id is already in the store: an error if
+// that job belongs to another customer. The owner may know the job, also as ended.
 func (h *Host) handedInBefore(ctx context.Context, c customer.Caller, id job.ID) error {
 	if c.Customer == nil {
 		return nil
@@ -103,6 +106,7 @@
 	return h.about(c, id, holder)
 }
 
+// countSubmission updates the metrics of submissions with the outcome of one.
 func (h *Host) countAccept(started clock.Time, err error) {
 	h.figures.accept.Update(h.clk.Now().Sub(started))
 	switch {
@@ -115,18 +119,19 @@
 	}
 }
 
-// keptValue is what put has written.
+// storedValue is the result of writeOnce.
 type keptValue struct {
 	text []byte
-	// created says that the key holds the text; otherwise an earlier write was there.
+	// created is true if the key holds text, and false if it already held an earlier value.
 	created bool
 }
 
-// mostOwnerChanges bounds the tries of a write during which another owner comes on record each time.
+// maxOwnerChanges bounds how often a write is repeated because the owner has changed meanwhile.
 const mostOwnerChanges = 5
 
-// put writes a key that nobody changes, with the text of it under an owner's term. When the store does not answer this host it may
-// answer the owner. Errors: platform.ErrRefused, platform.ErrUnsettled.
+// writeOnce writes a key that is never changed afterwards; textUnder returns its value for an owner's
+// term. If the store does not answer this host, the owner is asked to write, since the store may answer
+// the owner. Errors: platform.ErrRefused, platform.ErrOutcomeUnknown.
 func (h *Host) put(ctx context.Context, key string, textUnder func(term int64) ([]byte, error)) (keptValue, error) {
 	for range mostOwnerChanges {
 		record, term := h.knownOwner()
@@ -142,14 +147,15 @@
 	return keptValue{}, errors.Wrap(platform.ErrRefused, "the owner changes")
 }
 
-// putUnder writes a key under an owner's record, by whom the table says. Errors: as of intake.put.
+// writeUnderOwner writes a key on condition that the owner's record has the given revision. The mode of
+// this host decides who writes (package reach). Errors: as of batchWriter.writeOnce.
 func (h *Host) putUnder(ctx context.Context, key string, value []byte, record int64) (created bool, err error) {
-	row := h.row()
-	if !row.Open() {
-		return false, h.refuseClosed(row)
+	mode := h.row()
+	if !mode.Open() {
+		return false, h.refuseClosed(mode)
 	}
-	h.figures.rows[row].Inc(1)
-	if m := h.ownerToWrite(); row == reach.OwnerWrites && m != nil {
+	h.figures.rows[mode].Inc(1)
+	if m := h.ownerToWrite(); mode == reach.OwnerWrites && m != nil {
 		return writeByOwner(ctx, m, key, value)
 	}
 	created, err = h.intake.put(ctx, key, value, record)
@@ -157,20 +163,20 @@
 	if err == nil || m == nil || errors.Is(err, errOwnerChanged) {
 		return created, err
 	}
-	created, byOwner := writeByOwner(ctx, m, key, value)
-	if errors.Is(byOwner, platform.ErrRefused) && !errors.Is(err, platform.ErrRefused) {
-		return false, err // our own try may have written the key
+	created, ownerErr := writeByOwner(ctx, m, key, value)
+	if errors.Is(ownerErr, platform.ErrRefused) && !errors.Is(err, platform.ErrRefused) {
+		return false, err // this host's own attempt may have written the key
 	}
-	return created, byOwner
+	return created, ownerErr
 }
 
-// refuseClosed refuses in a row in which nobody can write. Errors: platform.ErrRefused.
-func (h *Host) refuseClosed(row reach.Row) error {
-	h.figures.rows[row].Inc(1)
-	return errors.Wrap(platform.ErrRefused, row.Reason())
+// refuseForMode refuses a write in a mode in which no host can write. Errors: platform.ErrRefused.
+func (h *Host) refuseClosed(mode reach.Row) error {
+	h.figures.rows[mode].Inc(1)
+	return errors.Wrap(platform.ErrRefused, mode.Reason())
 }
 
-// writeByOwner has the owner write a key.
+// writeByOwner asks the owner to write a key.
 func writeByOwner(ctx context.Context, m *poolrpc.Member, key string, value []byte) (created bool, err error) {
 	left := timeLeft(ctx)
 	ctx, cancel := context.WithTimeout(ctx, ownerWriteTimeout)
@@ -189,7 +195,8 @@
 	return a.Created, nil
 }
 
-// spread has the caller of a write that was refused since nobody could write come back at a time that is spread over what it has left.
+// spreadRetries adds a time to retry to the refusal of a write that no host could carry out. The times of
+// different jobs are spread over the time that their callers have left.
 func spread(ctx context.Context, id job.ID, err error) error {
 	if !errors.Is(err, platform.ErrRefused) || errors.Is(err, platform.ErrTooLarge) {
 		return err
@@ -197,7 +204,7 @@
 	return &platform.RefusedError{Reason: err.Error(), RetryAfter: reach.RetryAfter(string(id), timeLeft(ctx)), Unwritten: true}
 }
 
-// timeLeft is how long a caller still waits; 0 when that is not told.
+// timeLeft returns how long the caller still waits; 0 if that is unknown.
 func timeLeft(ctx context.Context) time.Duration {
 	d, ok := ctx.Deadline()
 	if !ok {
@@ -206,7 +213,7 @@
 	return max(time.Until(d), time.Millisecond)
 }
 
-// writeFor puts a key into the store for a member, while this host is the owner.
+// writeForMember writes a key for another host, while this host is the owner.
 func (h *Host) writeFor(ctx context.Context, key string, value []byte) *poolpb.Answer {
 	record, _ := h.knownOwner()
 	created, err := h.intake.put(ctx, key, value, record)
@@ -229,7 +236,7 @@
 	h.log.WithFields(fields).Info(event)
 }
 
-// state tells how far a job is.
+// jobState returns the state of a job.
 func (h *Host) state(ctx context.Context, c customer.Caller, id job.ID) (job.State, error) {
 	defer h.figures.state.UpdateSince(time.Now())
 	state, holder, err := h.find(ctx, id, h.stateReads.allow)
@@ -239,8 +246,9 @@
 	return state, h.about(c, id, holder)
 }
 
-// find tells how far a job is and whose it is. What the owner does not know, the store may; while no owner tells, it is asked only if mayRead
-// allows it. Errors: platform.ErrNoJob, platform.ErrUnsettled.
+// findJob returns the state of a job and the name of its customer. If the owner does not know the job,
+// the store is read. If the owner can't be asked, the store is read only if mayRead returns true. Errors:
+// platform.ErrNoJob, platform.ErrOutcomeUnknown.
 func (h *Host) find(ctx context.Context, id job.ID, mayRead func() bool) (state job.State, holder string, err error) {
 	a := h.ask(ctx, &poolpb.Question{Job: string(id)})
 	if a != nil && !a.Unknown {
@@ -259,7 +267,7 @@
 	return h.storedState(ctx, id), record.Customer.Name, nil
 }
 
-// storedState tells how far a job is that has not ended, as far as the store tells.
+// storedState returns the state of a job that has not ended, according to the store.
 func (h *Host) storedState(ctx context.Context, id job.ID) job.State {
 	if _, err := h.store.Read(ctx, jobstore.CancelKey(id)); err == nil {
 		return job.Cancelled
@@ -270,7 +278,8 @@
 	return job.Queued
 }
 
-// hasBegun says that a job has begun, as far as its progress tells: names of workers may be stored before.
+// hasBegun reports whether a job has begun, according to its stored progress. Progress without tasks may
+// be stored earlier, to record the job's workers. Progress that can't be decoded counts as begun.
 func hasBegun(progress []byte) bool {
 	p, err := job.DecodeProgress(progress)
 	return err != nil || len(p.Tasks) > 0
@@ -292,7 +301,7 @@
 	return record, nil
 }
 
-// ask asks the owner; nil when it can't be asked.
+// queryOwner sends a query to the owner; it returns nil if the owner can't be asked.
 func (h *Host) ask(ctx context.Context, q *poolpb.Question) *poolpb.Answer {
 	if o := h.owner.Load(); o != nil {
 		return o.Answer(q)
@@ -310,7 +319,7 @@
 	return a
 }
 
-// cancelJob keeps the cancelling of a job in the store and tells the owner.
+// cancelJob stores the cancellation of a job and notifies the owner.
 func (h *Host) cancelJob(ctx context.Context, c customer.Caller, id job.ID) error {
 	record, err := h.readRecord(ctx, id)
 	if err != nil {
@@ -337,7 +346,7 @@
 	return nil
 }
 
-// pending counts the jobs of a queue that have not begun. Only the owner can tell.
+// pendingJobs counts the jobs of a queue that have not begun. Only the owner knows this number.
 func (h *Host) pending(ctx context.Context, q queue.Queue) (int, error) {
 	a := h.ask(ctx, &poolpb.Question{Queue: q.Name})
 	if a == nil || a.Unknown {
@@ -346,7 +355,7 @@
 	return int(a.Pending), nil
 }
 
-// advise makes a call for advice that the owner handed out.
+// advise carries out a call for advice that the owner has assigned to this host.
 func (h *Host) advise(ctx context.Context, call *poolpb.AdviceCall) *poolpb.AdviceResult {
 	result := &poolpb.AdviceResult{Number: call.Number}
 	adviser := h.advice.Load()
--- a/pkg/jobhost/door_fuzz_test.go
+++ b/pkg/jobhost/jobs_fuzz_test.go
@@ -10,7 +10,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// A call without a customer's key is answered by a denial, whatever its key, path and body are, and keeps nothing.
+// A call without a customer's key must be denied and must store nothing, whatever its key, path and body
+// are.
 func FuzzDoor(f *testing.F) {
 	const known = "north-key"
 	for _, seed := range []struct{ method, key, second, path, body string }{
@@ -27,15 +28,15 @@
 	p, err := emulator.Start(emulator.Options{Customers: []emulator.Customer{{Name: "north", Keys: []string{known}}}})
 	NewWithT(f).Expect(err).NotTo(HaveOccurred())
 	f.Cleanup(p.Close)
-	var door http.Handler
+	var handler http.Handler
 	f.Fuzz(func(t *testing.T, method, key, second, path, body string) {
-		if door == nil {
+		if handler == nil {
 			p.PutConfig(1)
 			h, _ := newTestHost(t, p)
 			items, _, err := h.store.List(t.Context(), "op/")
 			NewWithT(t).Expect(err).NotTo(HaveOccurred())
 			h.takeOperatorItems(items)
-			door = h.door()
+			handler = h.door()
 		}
 		r, err := http.NewRequest(method, "http://"+emulator.QueueHost, strings.NewReader(body))
 		if err != nil {
@@ -50,13 +51,13 @@
 			r.Header.Add("X-Api-Key", second)
 		}
 		w := httptest.NewRecorder()
-		door.ServeHTTP(w, r)
+		handler.ServeHTTP(w, r)
 		admitted := key == known && second == "" || second == known && key == ""
 		if w.Code < http.StatusBadRequest && !admitted {
 			t.Fatalf("%s %q with keys %q and %q: got %d", method, path, key, second, w.Code)
 		}
 		if got := p.Store.Values("foldarch/"); len(got) > 0 {
-			t.Fatalf("kept: %q", got)
+			t.Fatalf("stored: %q", got)
 		}
 	})
 }
--- a/pkg/jobhost/lease.go
+++ b/pkg/jobhost/lease.go
@@ -11,22 +11,22 @@
 	"github.com/cockroachdb/errors"
 )
 
-// leaseKeeper renews the owner's lease. The lease tells other hosts that the owner lives;
-// what the owner may do does not hang on it alone (package poolowner).
+// leaseKeeper renews the owner's lease, which shows other hosts that the owner is alive. The lease alone
+// does not decide what the owner may do (package poolowner).
 type leaseKeeper struct {
 	host      *Host
-	lease     int64 // 0 before the first one
+	lease     int64 // id in the store; 0 before the first lease
 	record    int64
 	renewedAt atomic.Int64
 }
 
-// holds says that the store has confirmed the ownership lately.
+// isConfirmed reports whether the store has confirmed the ownership within the duration of a lease.
 func (k *leaseKeeper) holds(now clock.Time) bool {
 	return now.Sub(clock.Time(k.renewedAt.Load())) < leaseTerm
 }
 
-// run is the duty that renews the lease, and has another host take over when the store
-// does not answer this one.
+// run renews the lease until ctx ends, and asks another host to take over when the store does not answer
+// this one or this host is too small.
 func (k *leaseKeeper) run(ctx context.Context, o *poolowner.Owner) {
 	keep := func() {
 		began := k.host.clk.Now()
@@ -34,7 +34,7 @@
 			k.renewedAt.Store(int64(began))
 		}
 		switch {
-		case k.host.stopping.Load(): // leave asks for the takeover
+		case k.host.stopping.Load(): // shutDown asks another host to take over
 		case k.host.storeAge() > yieldAfter:
 			o.Yield(poolowner.Unreached)
 		case !o.Strong() && o.Yield(poolowner.TooSmall):
@@ -46,6 +46,7 @@
 	clock.Every(ctx, leaseEvery, keep)
 }
 
+// renew renews the lease, or opens a new one, and reports whether the store has confirmed it.
 func (k *leaseKeeper) renew(ctx context.Context) bool {
 	if k.lease == 0 {
 		return k.reopen(ctx)
@@ -57,8 +58,8 @@
 	return err == nil
 }
 
-// reopen opens a lease, the first one or after the platform has ended the last one, unless
-// another host is on record.
+// reopen opens a lease, either the first one or one that replaces an expired one. It fails if another
+// host is recorded as the owner.
 func (k *leaseKeeper) reopen(ctx context.Context) bool {
 	lease, _, err := k.host.store.OpenLease(ctx, max(leaseTerm, k.host.cfg.Load().Store.MinLease))
 	if err != nil {
--- /dev/null
+++ b/pkg/jobhost/lookup_limiter.go
@@ -0,0 +1,47 @@
+package jobhost
+
+import (
+	"golang.org/x/time/rate"
+)
+
+const (
+	// lookupReadShare is the share of the store's read rate that all hosts together may use for looking
+	// up jobs for callers.
+	stateShare = 0.5
+	// readsPerLookup is how many reads the lookup of a job that has not ended needs.
+	readsAState = 3
+	// lookupBurst is how many lookups a host may make at once.
+	stateBurst = 20
+	// assumedHosts is the assumed number of hosts until an owner reports it.
+	unknownHosts = 300
+)
+
+// lookupLimiter limits the lookups of jobs in the store for callers. It is safe for concurrent use.
+//
+// The limit is needed while no owner answers queries about jobs. Each caller that polls a job then makes
+// its host read the store, many times a second for every waiting job. Without a limit all hosts together
+// would use up the store's read rate, and a new owner could not start, since its own reads would be
+// refused.
+type stateReads struct {
+	limiter        *rate.Limiter
+	readsPerSecond float64 // limit of the store for all hosts together
+}
+
+// newLookupLimiter returns a limiter for a store with the given read rate.
+func newStateReads(readsPerSecond float64) *stateReads {
+	s := &stateReads{limiter: rate.NewLimiter(0, stateBurst), readsPerSecond: readsPerSecond}
+	s.setHosts(unknownHosts)
+	return s
+}
+
+// setHosts sets the number of hosts that share the rate; 0 means unknown and changes nothing.
+func (s *stateReads) setHosts(n int) {
+	if n > 0 {
+		s.limiter.SetLimit(rate.Limit(stateShare * s.readsPerSecond / readsAState / float64(n)))
+	}
+}
+
+// allow reports whether one more job may be looked up now.
+func (s *stateReads) allow() bool {
+	return s.limiter.Allow()
+}
--- a/pkg/jobhost/state_reads_test.go
+++ b/pkg/jobhost/lookup_limiter_test.go
@@ -11,7 +11,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// Guards against callers that ask again and again while there is no owner: their reads left none of the store's rate to the next one.
+// Guards against callers that poll their jobs while there is no owner: their reads left none of the
+// store's rate to the next owner.
 func TestCallersLeaveTheStoreToTheOwner(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
@@ -22,21 +23,21 @@
 	p.Store.Put(jobstore.JobKey("a"), text)
 	anyone := customer.NewCaller(nil, customer.Call{QueueKnown: true, Key: customer.KeyNotNeeded}, true)
 	before := p.Store.Calls()
-	told := 0
+	answered := 0
 	for range 400 {
 		state, err := h.state(t.Context(), anyone, "a")
 		if err == nil {
 			g.Expect(state).To(Equal(job.Queued))
-			told++
+			answered++
 			continue
 		}
 		g.Expect(errors.Is(err, platform.ErrUnsettled)).To(BeTrue(), "%v", err)
 	}
-	g.Expect(told).To(BeNumerically(">=", stateBurst), "a few are told by the store")
+	g.Expect(answered).To(BeNumerically(">=", stateBurst), "some lookups are answered from the store")
 	g.Expect(p.Store.Calls() - before).To(BeNumerically("<", 3*2*stateBurst))
 }
 
-// All hosts together leave half of the store's rate, however many there are.
+// All hosts together leave half of the store's read rate unused, however many there are.
 func TestStateReadsAreSharedAmongHosts(t *testing.T) {
 	g := NewWithT(t)
 	const readsPerSecond = 6000
@@ -46,5 +47,5 @@
 		g.Expect(float64(s.limiter.Limit()) * readsAState * float64(hosts)).To(BeNumerically("~", readsPerSecond/2, 1))
 	}
 	s.setHosts(0)
-	g.Expect(float64(s.limiter.Limit())*readsAState*600).To(BeNumerically("~", readsPerSecond/2, 1), "the number is not told")
+	g.Expect(float64(s.limiter.Limit())*readsAState*600).To(BeNumerically("~", readsPerSecond/2, 1), "an unknown number changes nothing")
 }
--- a/pkg/jobhost/figures.go
+++ b/pkg/jobhost/metrics.go
@@ -18,31 +18,32 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// figures are the counters and latency histograms of a host.
+// hostMetrics are the counters and latency histograms of a host.
 type figures struct {
 	registry metrics.Registry
-	accept   metrics.Timer // from a request to its answer, accepted or not
+	accept   metrics.Timer // from a request to its answer, whether accepted or not
 	accepted metrics.Counter
 	refused  metrics.Counter
 	unknown  metrics.Counter
-	unserved metrics.Counter // refused since their queue takes in no jobs
-	// beyondWeight counts the jobs refused since their customer sends more than its weight.
+	unserved metrics.Counter // refused because their queue accepts no jobs
+	// overShare counts the jobs refused because their customer sends more than its weight.
 	beyondWeight metrics.Counter
 	state        metrics.Timer
-	// denials count the calls that were turned away before anything was done, by verdict.
+	// denials count the rejected calls by verdict.
 	denials map[customer.Verdict]metrics.Counter
-	// rows count the writes of jobs and of cancellations that callers asked for, by the row of the table (package reach).
+	// writesByMode count the requested writes of jobs and cancellations by the mode of this host (package
+	// reach).
 	rows map[reach.Row]metrics.Counter
 }
 
 func newFigures() *figures {
 	r := metrics.NewRegistry()
-	rows := map[reach.Row]metrics.Counter{}
-	for _, row := range reach.Rows() {
-		rows[row] = metrics.NewRegisteredCounter("intake."+string(row), r)
+	writesByMode := map[reach.Row]metrics.Counter{}
+	for _, mode := range reach.Rows() {
+		writesByMode[mode] = metrics.NewRegisteredCounter("intake."+string(mode), r)
 	}
 	return &figures{
-		rows:         rows,
+		rows:         writesByMode,
 		registry:     r,
 		accept:       metrics.NewRegisteredTimer("jobs.accept", r),
 		accepted:     metrics.NewRegisteredCounter("jobs.accepted", r),
@@ -60,14 +61,14 @@
 	}
 }
 
-// denied counts a call that was turned away.
+// countDenial counts a rejected call.
 func (f *figures) denied(v customer.Verdict) {
 	if c, ok := f.denials[v]; ok {
 		c.Inc(1)
 	}
 }
 
-// serveFigures writes all figures as text, a line each, such as "jobs.accept.p99_ms 12.1".
+// serveMetrics writes all metrics as text, one a line, such as "jobs.accept.p99_ms 12.1".
 func (h *Host) serveFigures(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	writeRegistry(w, h.figures.registry)
@@ -87,8 +88,8 @@
 	}
 }
 
-// operatorDoor answers operators: figures, who owns the pool, what the owner knows of a job, profiles of
-// the process under /debug/pprof/, and foldarch's own API of jobs under /v1/.
+// operatorHandler returns the handler of operators' requests: metrics, who owns the pool, what the owner
+// knows about a job, profiles of the process under /debug/pprof/, and foldarch's own jobs API under /v1/.
 func (h *Host) operatorDoor() (http.Handler, error) {
 	jobs, err := jobapi.New(h.jobs())
 	if err != nil {
@@ -109,7 +110,7 @@
 	return mux, nil
 }
 
-// serveExplanation tells what the owner knows of a job. A host that is not the owner answers
+// serveExplanation answers with what the owner knows about a job. A host that is not the owner answers
 // 421 with the owner's record.
 func (h *Host) serveExplanation(w http.ResponseWriter, r *http.Request) {
 	id, err := job.ParseID(r.PathValue("id"))
--- a/pkg/jobhost/intake_test.go
+++ b/pkg/jobhost/owner_change_test.go
@@ -13,14 +13,14 @@
 	. "github.com/onsi/gomega"
 )
 
-// putHolder puts an owner on record, which a host hears of only when it asks.
+// putOwnerRecord writes an owner's record that a host learns of only when it reads the store.
 func putHolder(t *testing.T, p *emulator.Platform, name string, term int64) {
-	text, err := jobstore.Holder{Name: name, Life: "life of " + name, Term: term}.Encode()
+	text, err := jobstore.Holder{Name: name, Life: "incarnation of " + name, Term: term}.Encode()
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	p.Store.Put(jobstore.HolderKey, text)
 }
 
-// newHostUnderOwner returns a host that has read who the owner is, and that follows its record no more.
+// newHostUnderOwner returns a host that has read the owner's record once and does not watch it.
 func newHostUnderOwner(t *testing.T, p *emulator.Platform) *Host {
 	putHolder(t, p, "first", 1)
 	h, _ := newTestHost(t, p)
@@ -39,8 +39,10 @@
 	return items
 }
 
-// A host whose watch on the owner's record is silent keeps a job. It had a new owner on record, which had listed the jobs before, so that only the former
-// owner was told of it: that one started it and the new one did not know. Who the owner is belongs to what the write is on condition of.
+// Guards against a job that is started by a previous owner and unknown to the new one. A host whose watch
+// on the owner's record is silent accepts a job after a new owner has listed the jobs. If the host
+// notified only the previous owner, that one would start the job. So each write requires that the owner's
+// record is unchanged.
 func TestHostLearnsOfTheOwnerBeforeAJobIsKept(t *testing.T) {
 	g := NewWithT(t)
 	p := startPlatform(t)
@@ -51,10 +53,10 @@
 	g.Expect(h.knownTerm()).To(Equal(int64(2)))
 	record, err := job.DecodeRecord(p.Store.Value(jobstore.JobKey("00000000000000a1")))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(record.Term).To(Equal(int64(2)), "the former owner ends when it is told of it")
+	g.Expect(record.Term).To(Equal(int64(2)), "a previous owner that is notified of the job stops")
 }
 
-// Writes go on through a change of the owner, also several at once and for keys that are there already.
+// Writes continue when the owner changes, also several at once and for keys that exist already.
 func TestIntakeGoesOnWhenTheOwnerChanges(t *testing.T) {
 	g := NewWithT(t)
 	p := startPlatform(t)
@@ -69,7 +71,7 @@
 	}
 }
 
-// keep hands a job in at a host, which takes it in.
+// submitJob submits a job to a host, which must accept it.
 func keep(t *testing.T, h *Host, id string) {
 	t.Helper()
 	NewWithT(t).Expect(handIn(t, h, id).Code).To(Equal(http.StatusOK))
--- a/pkg/jobhost/told.go
+++ b/pkg/jobhost/owner_list.go
@@ -7,10 +7,11 @@
 	"foldarch.dev/foldarch/pkg/clock"
 )
 
-// refusalsHold is for how long what the owner told holds: two of its slow heartbeats. An owner that is not heard refuses nothing.
+// ownerListValidity is for how long a list from the owner stays in force: two slow heartbeats. Without a
+// responsive owner nothing is refused on its behalf.
 const refusalsHold = 2 * time.Second
 
-// told is a list that the owner tells with its heartbeat. It is safe for concurrent use.
+// ownerList is a list that the owner sends with its heartbeats. It is safe for concurrent use.
 type told[T any] struct {
 	last atomic.Pointer[toldList[T]]
 }
@@ -20,12 +21,12 @@
 	list []T
 }
 
-// put takes in what the owner tells.
+// set stores a list that was received from the owner.
 func (t *told[T]) put(list []T, now clock.Time) {
 	t.last.Store(&toldList[T]{now, list})
 }
 
-// now returns the list in force; nil when nobody knows.
+// current returns the list in force; nil if none was received recently.
 func (t *told[T]) now(now clock.Time) []T {
 	last := t.last.Load()
 	if last == nil || now.Sub(last.at) > refusalsHold {
--- a/pkg/jobhost/refusals.go
+++ b/pkg/jobhost/refused_queues.go
@@ -12,17 +12,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// queueRefusals are the queues that take in no jobs, as the owner told last.
+// refusedQueues are the queues that accept no jobs, as the owner last reported them.
 type queueRefusals struct {
 	told[*poolpb.Refusal]
 }
 
-// of returns the refusal of a queue; nil when it takes in jobs, or nobody knows.
+// find returns the refusal of a queue; nil if the queue accepts jobs or no recent list is known.
 func (q *queueRefusals) of(queueName string, now clock.Time) *poolpb.Refusal {
 	return refusalOf(q.now(now), queueName)
 }
 
-// refusalOf returns the refusal of a queue; nil when there is none.
+// findRefusal returns the refusal of a queue from a list; nil if it is not on the list.
 func refusalOf(list []*poolpb.Refusal, queueName string) *poolpb.Refusal {
 	for _, r := range list {
 		if r.Queue == queueName {
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// refusal returns the refusal of a queue by the owner; nil when it takes in jobs.
+// queueRefusal returns the owner's refusal of a queue; nil if the queue accepts jobs.
 func (h *Host) refusal(queueName string) *poolpb.Refusal {
 	if o := h.owner.Load(); o != nil {
 		return refusalOf(o.Refusals(), queueName)
@@ -40,7 +40,8 @@
 	return h.refusals.of(queueName, h.clk.Now())
 }
 
-// refuseUnserved refuses a job that would wait too long, unless it was handed in before: that one stays accepted. Errors: *platform.RefusedError.
+// refuseQueue refuses a job that would wait too long, unless the job was already accepted. Errors:
+// *platform.RefusedError.
 func (h *Host) refuseUnserved(ctx context.Context, queueName string, id job.ID) error {
 	r := h.refusal(queueName)
 	if r == nil {
@@ -56,7 +57,7 @@
 	}
 }
 
-// certainlyNew says that the store has no record of a job, and tells so.
+// isNewJob reports whether the store has answered that it has no record of a job.
 func (h *Host) certainlyNew(ctx context.Context, id job.ID) bool {
 	_, err := h.readRecord(ctx, id)
 	return errors.Is(err, platform.ErrNoJob)
--- a/pkg/jobhost/refusals_test.go
+++ b/pkg/jobhost/refused_queues_test.go
@@ -13,7 +13,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// handIn hands a job in at a host's door and returns the answer.
+// postJob submits a job to a host's job handler and returns the answer.
 func handIn(t *testing.T, h *Host, id string) *httptest.ResponseRecorder {
 	t.Helper()
 	r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+emulator.QueueHost+emulator.Prefix+id, strings.NewReader(`{"spec":"x","steps":[{"count":1}]}`))
@@ -23,8 +23,8 @@
 	return w
 }
 
-// The owner has told that a queue takes in no jobs: a new one is refused with the time when to come back, and not kept. One that was handed in
-// before stays accepted, whatever its answer was.
+// The owner has reported that a queue accepts no jobs. A new job is refused with a time to retry, and not
+// stored. A job that was accepted earlier stays accepted.
 func TestQueueThatTakesInNoJobsRefusesNewOnesOnly(t *testing.T) {
 	g := NewWithT(t)
 	p := startPlatform(t)
@@ -45,7 +45,7 @@
 	g.Expect(h.figures.unserved.Count()).To(BeEquivalentTo(1))
 }
 
-// What an owner told that is not heard any more refuses nothing.
+// A list from an owner that is no longer heard refuses no queue.
 func TestRefusalsHoldAsLongAsTheOwnerIsHeard(t *testing.T) {
 	g := NewWithT(t)
 	var q queueRefusals
--- a/pkg/jobhost/reload.go
+++ b/pkg/jobhost/reload.go
@@ -12,10 +12,10 @@
 	"github.com/sirupsen/logrus"
 )
 
-// settingsEvery is how often the settings file is looked at, beside signals.
+// settingsCheckInterval is how often the settings file is checked for changes, in addition to SIGHUP.
 const settingsEvery = 2 * time.Second
 
-// watchSettings is the duty that puts changed settings in force without a restart.
+// watchSettings applies changes of the settings file without a restart. It runs until ctx ends.
 func (h *Host) watchSettings(ctx context.Context, path string) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -25,8 +25,8 @@
 	})
 }
 
-// applySettings puts settings in force. The addresses on which the process listens stay as
-// they are until it starts again.
+// applySettings puts settings in force. The addresses on which the process listens change only after a
+// restart.
 func (h *Host) applySettings(s platform.Settings) {
 	old := h.cfg.Swap(&s)
 	h.store.SetAddress(s.Store.Address)
@@ -40,7 +40,7 @@
 	h.logWarnings(s)
 }
 
-// logWarnings tells which keys the settings do not have, and what is taken in their place.
+// logWarnings logs which keys are missing in the settings, and what is used instead.
 func (h *Host) logWarnings(s platform.Settings) {
 	for _, warning := range s.Warnings {
 		h.log.WithField("warning", warning).Warn("settings_incomplete")
--- a/pkg/jobhost/strength.go
+++ b/pkg/jobhost/strength.go
@@ -6,20 +6,20 @@
 	"foldarch.dev/foldarch/platform"
 )
 
-// A host of this size can own a pool of the sizes that are planned for (docs/CAPACITY.md).
-// Smaller ones leave it to others, if there are any.
+// Hosts of at least these sizes can own a pool of any planned size (docs/CAPACITY.md). Smaller hosts
+// leave that to larger ones, if there are any.
 const (
 	ownerCores    = 0.4
 	ownerLinkMbps = 100.0
 	ownerMemory   = 256 << 20
-	// fullStrength is the strength of a host that is large enough.
+	// fullStrength is the strength of a host that is large enough to own a pool.
 	fullStrength = 100
-	// weakest waits for weakDelay before it takes over.
+	// maxTakeoverDelay is how long a host of strength 0 waits before it takes over.
 	weakDelay = 1500 * time.Millisecond
 )
 
-// strengthOf tells how well a host of a size can own a pool, in percent of what is enough.
-// Sizes that are not told count as enough.
+// hostStrength returns how well a host of a given size can own a pool, in percent of a sufficient size.
+// Sizes that the settings do not tell count as sufficient.
 func strengthOf(s platform.Settings) int {
 	share := 1.0
 	if s.Cores > 0 {
@@ -32,7 +32,8 @@
 	return int(share * fullStrength)
 }
 
-// takeoverDelay is how long a host of a strength leaves a takeover to stronger ones.
+// takeoverDelay returns how long a host of the given strength waits with a takeover, to leave it to
+// stronger hosts.
 func takeoverDelay(strength int) time.Duration {
 	return weakDelay * time.Duration(fullStrength-strength) / fullStrength
 }
--- a/pkg/jobhost/waits_test.go
+++ b/pkg/jobhost/watch_waits_test.go
@@ -9,7 +9,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// 588 hosts made 75,000 of the 81,000 calls to the store of a quiet day by watching keys that did not change.
+// Guards against idle watches that load the store: 588 hosts made 75,000 of the 81,000 calls to the store
+// on a quiet day by watching keys that did not change.
 func TestWatchesOfTheOperatorsKeysLeaveTimeForTheirBound(t *testing.T) {
 	g := NewWithT(t)
 	for _, c := range []struct{ apply, revoke, want time.Duration }{
@@ -34,5 +35,5 @@
 	h.member.Store(&poolrpc.Member{})
 	g.Expect(h.ownerWait()).To(Equal(longOwnerWait))
 	h.election.heartbeat = poolrpc.HeartbeatEvery
-	g.Expect(h.ownerWait()).To(Equal(ownerWait), "one that takes over soon")
+	g.Expect(h.ownerWait()).To(Equal(ownerWait), "usual heartbeats")
 }
--- a/pkg/jobhost/write_queue.go
+++ b/pkg/jobhost/write_queue.go
@@ -10,20 +10,20 @@
 	"github.com/cockroachdb/errors"
 )
 
-// mostWaiting bounds the writes that wait.
+// maxWaitingWrites bounds the number of waiting writes.
 const mostWaiting = 512
 
-// write is one key to be written by a host, if it is not there yet.
+// write is a request to write one key if it does not exist yet.
 type write struct {
-	ctx   context.Context // of the caller who waits for it
+	ctx   context.Context // of the caller that waits for the result
 	key   string
 	value []byte
-	// holder is the revision of the owner's record that must stand; 0 for none.
+	// ownerRevision is the required revision of the owner's record; 0 for no record.
 	holder int64
 	done   chan putResult
 }
 
-// deadline is until when the caller waits; far away when that is not told.
+// deadline returns when the caller stops waiting; an hour from now if that is unknown.
 func (w *write) deadline() time.Time {
 	if d, ok := w.ctx.Deadline(); ok {
 		return d
@@ -31,14 +31,14 @@
 	return time.Now().Add(time.Hour)
 }
 
-// refuse answers a write of which nothing was sent.
+// refuse answers a write that was not sent.
 func (w *write) refuse(reason string) {
 	w.done <- putResult{err: errors.Wrap(platform.ErrRefused, reason)}
 }
 
-// writeQueue holds the writes of which nothing was sent yet. It is safe for concurrent use.
+// writeQueue holds the writes that were not sent yet. It is safe for concurrent use.
 type writeQueue struct {
-	more chan struct{} // of size 1: writes wait
+	more chan struct{} // of capacity 1: signals that writes are waiting
 
 	mu      sync.Mutex
 	waiting []*write
@@ -48,7 +48,7 @@
 	return &writeQueue{more: make(chan struct{}, 1)}
 }
 
-// put adds a write; it says whether there was room.
+// add adds a write and reports whether there was room.
 func (q *writeQueue) put(w *write) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -67,7 +67,8 @@
 	}
 }
 
-// remove takes a write out; it says whether it still waited, so that nothing of it was or will be sent.
+// remove removes a write and reports whether it was still waiting, so that it was not and will not be
+// sent.
 func (q *writeQueue) remove(w *write) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -79,30 +80,31 @@
 	return true
 }
 
-// take takes out up to most writes, in order of arrival or of their callers' deadlines. Writes whose callers are gone are refused.
-func (q *writeQueue) take(most int, byDeadline bool) []*write {
+// take removes and returns up to limit writes, in order of arrival or of their callers' deadlines. Writes
+// whose callers have gone away are refused.
+func (q *writeQueue) take(limit int, byDeadline bool) []*write {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.waiting = slices.DeleteFunc(q.waiting, func(w *write) bool {
-		gone := w.ctx.Err() != nil
-		if gone {
+		ended := w.ctx.Err() != nil
+		if ended {
 			w.refuse("the caller is gone")
 		}
-		return gone
+		return ended
 	})
 	if byDeadline {
 		slices.SortStableFunc(q.waiting, func(a, b *write) int { return a.deadline().Compare(b.deadline()) })
 	}
-	n := min(most, len(q.waiting))
-	taken := slices.Clone(q.waiting[:n])
+	n := min(limit, len(q.waiting))
+	batch := slices.Clone(q.waiting[:n])
 	q.waiting = slices.Delete(q.waiting, 0, n)
 	if len(q.waiting) > 0 {
 		q.signal()
 	}
-	return taken
+	return batch
 }
 
-// refuseAll refuses all writes that wait.
+// refuseAll refuses all waiting writes.
 func (q *writeQueue) refuseAll(reason string) {
 	for _, w := range q.take(mostWaiting, false) {
 		w.refuse(reason)
--- a/pkg/jobhost/write_queue_test.go
+++ b/pkg/jobhost/write_queue_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// waiting returns a write whose caller waits for a time.
+// newWaitingWrite returns a write whose caller waits for the given time.
 func waiting(t *testing.T, key string, left time.Duration) (*write, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(t.Context(), left)
 	t.Cleanup(cancel)
@@ -25,22 +25,23 @@
 	return keys
 }
 
-// Guards against writes that miss their callers' deadlines after the store's return while others, with more time, or nobody to hear of them, go first.
+// Guards against writes that miss their callers' deadlines after an outage of the store because writes
+// with more time left, or without a waiting caller, are sent first.
 func TestWritesGoInOrderOfTheirDeadlinesAfterTheStoresReturn(t *testing.T) {
 	g := NewWithT(t)
 	q := newWriteQueue()
-	var gone *write
-	for key, left := range map[string]time.Duration{"later": 3 * time.Second, "soon": time.Second, "soonest": 500 * time.Millisecond, "gone": 400 * time.Millisecond} {
+	var abandoned *write
+	for key, left := range map[string]time.Duration{"later": 3 * time.Second, "soon": time.Second, "soonest": 500 * time.Millisecond, "abandoned": 400 * time.Millisecond} {
 		w, cancel := waiting(t, key, left)
-		if key == "gone" {
-			gone = w
+		if key == "abandoned" {
+			abandoned = w
 			cancel()
 		}
 		g.Expect(q.put(w)).To(BeTrue())
 	}
 	g.Expect(keysOf(q.take(2, true))).To(Equal([]string{"soonest", "soon"}))
-	g.Expect((<-gone.done).err).To(MatchError(platform.ErrRefused), "nothing of it was sent")
-	g.Expect(q.more).To(Receive(), "one is left")
+	g.Expect((<-abandoned.done).err).To(MatchError(platform.ErrRefused), "it was not sent")
+	g.Expect(q.more).To(Receive(), "one write is left")
 	g.Expect(keysOf(q.take(2, true))).To(Equal([]string{"later"}))
 }
 
@@ -61,7 +62,8 @@
 	g.Expect(q.put(second)).To(BeFalse(), "the queue is bounded")
 }
 
-// Guards against hosts that refuse on after the store's return until a call that was sent while it was silent has run into its limit.
+// Guards against hosts that still refuse jobs after the store has recovered, until a call sent during the
+// outage times out.
 func TestHostTakesInAgainRightAfterTheStoresReturn(t *testing.T) {
 	g := NewWithT(t)
 	p := startPlatform(t)
@@ -70,7 +72,7 @@
 	go h.intake.run(t.Context())
 	go h.watchReach(t.Context())
 	p.Store.SetMode(emulator.StoreSilent)
-	g.Eventually(h.storeAge, "4s", "10ms").Should(BeNumerically(">", storeFresh), "watches that had begun are answered")
+	g.Eventually(h.storeAge, "4s", "10ms").Should(BeNumerically(">", storeFresh), "watches that were already running are answered")
 	g.Expect(h.row().Open()).To(BeFalse())
 	p.Store.SetMode(emulator.StoreUp)
 	began := time.Now()
@@ -79,7 +81,8 @@
 	g.Expect(h.intake.backSince(orderedFor)).To(BeTrue())
 }
 
-// Guards the store's rate: hundreds of hosts that don't hear the owner must not take it up with probes.
+// Guards against probes of hundreds of hosts without a responsive owner that use up the store's read
+// rate.
 func TestProbesOfAllHostsTakeAShareOfTheStoresRate(t *testing.T) {
 	g := NewWithT(t)
 	h, _ := newTestHost(t, startPlatform(t))
