--- a/pkg/customer/access.go
+++ b/pkg/customer/access.go
@@ -2,74 +2,77 @@
 
 import "time"
 
-// Key is what a call's key is.
+// Key classifies the key of a call.
 type Key int
 
-// The kinds of keys.
+// The classes of keys.
 const (
 	KeyAbsent     Key = iota
-	KeyUnclear        // there are several, or an empty one
-	KeyUnknown        // the configuration in force has none like it
-	KeyKnown          // it is one of a customer's
-	KeyNotNeeded      // the configuration names no customers at all
-	KeyOfOperator     // there is none, and the call came by the operators' address, where one is needed only to hand a job in
+	KeyUnclear        // several keys, or an empty one
+	KeyUnknown        // not in the configuration in force
+	KeyKnown          // a customer's key
+	KeyNotNeeded      // the configuration has no customers
+	KeyOfOperator     // no key, on the operators' address, where a key is needed only to submit a job
 )
 
-// Holder says whose job a call is about.
+// JobOwner classifies the job that a call concerns by its customer.
 type Holder int
 
-// The holders of jobs.
+// The classes of jobs.
 const (
-	NoJob     Holder = iota // it is about none, or about one of which nothing is known
-	Own                     // it is the calling customer's
-	Unclaimed               // it was handed in without a key
-	Others                  // it is another customer's
+	NoJob     Holder = iota // no job, or one of which nothing is known
+	Own                     // a job of the calling customer
+	Unclaimed               // submitted without a key
+	Others                  // a job of another customer
 )
 
-// Terms are the settings on which access depends.
+// AccessSettings are the settings on which access depends.
 type Terms struct {
-	// Apply is how old what is known of the configuration may be for a caller to be turned away by it.
+	// MaxConfigAge is how old a host's knowledge of the configuration may be for a denial to be based on
+	// it.
 	Apply time.Duration
-	// Strict says that keys are not trusted any more once it could not be learned for Revoke whether they were taken away.
+	// StrictRevocation means that keys are no longer accepted once the host could not check for
+	// RevocationLimit whether they were revoked.
 	Strict bool
 	Revoke time.Duration
 }
 
-// Call is what decides whether a call may go on.
+// Call is the information by which Decide admits or denies a call.
 type Call struct {
 	QueueKnown  bool
-	QueuePublic bool // it needs no key
+	QueuePublic bool // callers need no key
 	Key         Key
 	Job         Holder
-	HandsIn     bool // it hands a job in
-	// Age is how long ago the configuration in force was known to be the newest.
+	HandsIn     bool // the call submits a job
+	// ConfigAge is the time since the configuration in force was known to be the newest.
 	Age   time.Duration
 	Terms Terms
 }
 
-// Verdict is what becomes of a call.
+// Verdict is the outcome of a decision.
 type Verdict int
 
 // The verdicts.
 const (
 	Admitted        Verdict = iota
-	UnknownQueue            // there is no such queue
-	Unauthenticated         // it holds no key that counts
-	Forbidden               // it is about another customer's job
-	Later                   // this host can't tell now; it may in a moment, and another host may at once
+	UnknownQueue            // no such queue
+	Unauthenticated         // no valid key
+	Forbidden               // another customer's job
+	Later                   // this host can't decide now; it may be able to soon, and another host now
 )
 
-// Ruling is a verdict with its reason, for logs and callers.
+// Decision is a verdict with its reason, for logs and callers.
 type Ruling struct {
 	Verdict Verdict
 	Reason  string
 }
 
-// Decide says what becomes of a call.
+// Decide returns what may happen with a call.
 //
-// A host that may have missed a newer configuration can't deny that a queue exists or that a key holds: a caller that
-// believes it does not come back. Such a host serves the keys that it knows, unless the settings are strict. What no configuration can
-// have made right, several keys in one call, is turned away whatever the age.
+// A host that may have missed a newer configuration must not deny that a queue exists or that a key is
+// valid, because a caller that is told so does not try again. Such a host still accepts the keys that it
+// knows, unless revocation is strict. A call with several keys is invalid under any configuration and is
+// denied whatever the age.
 func Decide(c Call) Ruling {
 	stale := c.Age > c.Terms.Apply
 	switch {
--- a/pkg/customer/caller.go
+++ b/pkg/customer/caller.go
@@ -1,20 +1,20 @@
 package customer
 
-// Caller is who makes a call that was admitted.
+// Caller is the originator of an admitted call.
 type Caller struct {
-	// Customer is nil for one without a key.
+	// Customer is nil for a caller without a key.
 	Customer *Customer
 	call     Call
 	anyJob   bool
 }
 
-// NewCaller returns the caller of a call that Decide has admitted; c is nil without a key. anyJob says that it may ask for and
-// cancel the jobs of all customers.
-func NewCaller(c *Customer, call Call, anyJob bool) Caller {
-	return Caller{Customer: c, call: call, anyJob: anyJob}
+// NewCaller returns the caller of a call that Decide has admitted; c is nil without a key. mayAccessAllJobs means
+// that the caller may read and cancel the jobs of all customers.
+func NewCaller(c *Customer, call Call, mayAccessAllJobs bool) Caller {
+	return Caller{Customer: c, call: call, anyJob: mayAccessAllJobs}
 }
 
-// Name is the customer's name; empty without one.
+// Name returns the customer's name; empty without a customer.
 func (c Caller) Name() string {
 	if c.Customer == nil {
 		return ""
@@ -22,14 +22,15 @@
 	return c.Customer.Name
 }
 
-// HandIn decides whether the call may hand a job in.
+// DecideSubmit decides whether the caller may submit a job.
 func (c Caller) HandIn() Ruling {
 	call := c.call
 	call.HandsIn = true
 	return Decide(call)
 }
 
-// About decides whether the call may be about a job of the customer of a name; empty for nobody's job.
+// DecideAccess decides whether the caller may read or cancel a job of the named customer; the name is
+// empty for a job that belongs to nobody.
 func (c Caller) About(owner string) Ruling {
 	call := c.call
 	call.Job = c.holder(owner)
--- a/pkg/customer/customer.go
+++ b/pkg/customer/customer.go
@@ -8,23 +8,26 @@
 	"foldarch.dev/foldarch/pkg/cell"
 )
 
-// Customer is one customer, as a configuration has it. A job's record keeps it as it was when the job was accepted.
+// Customer is the configuration of one customer. A job's record keeps the customer as configured when the
+// job was accepted.
 type Customer struct {
 	Name string `json:"name,omitempty"`
-	// Weight is the customer's share when all is full, in jobs a second.
+	// Weight is the customer's share of a fully used pool, in jobs a second.
 	Weight float64 `json:"weight,omitempty"`
-	// Quota is what it may have running on all workers together; 0 of a kind is no limit.
+	// Quota is the maximum that the customer may have running on all workers together; 0 means no limit
+	// for that resource.
 	Quota cell.Resources `json:"quota,omitzero"`
 }
 
-// Entry is a customer with the keys that its callers send.
+// Entry is a customer with its keys.
 type Entry struct {
 	Customer
 	Keys []string
 }
 
-// digest stands for a key. It is salted, so that it tells nothing outside the process, and half of the hash, so that an entry of
-// the index is small: two of a million keys are alike with a probability of 10^-27.
+// digest represents a key. It is salted, so that it reveals nothing outside the process. It is half of
+// the hash, to keep the index small: the probability that two of a million keys have the same digest is
+// 10^-27.
 type digest [sha256.Size / 2]byte
 
 // saltBytes is the length of the salt of a directory's digests.
@@ -38,15 +41,16 @@
 	names  []string
 }
 
-// NewDirectory returns a directory of customers. Faults tell what of the entries was left out and why, without a key:
+// NewDirectory returns a directory of customers. faults describe which parts of the entries were ignored
+// and why, without revealing a key:
 //
-//   - a customer without a name, or with the name of an earlier one;
-//   - a key that is empty, or that an earlier customer has: that one keeps it.
+//   - a customer without a name, or with the name of an earlier customer;
+//   - an empty key, or the key of an earlier customer, who keeps it.
 //
-// A negative weight or quota counts as 0 and is told, too.
+// A negative weight or quota is reported, too, and counts as 0.
 func NewDirectory(entries []Entry) (d *Directory, faults []string) {
 	d = &Directory{byKey: map[digest]*Customer{}, byName: map[string]*Customer{}}
-	_, _ = rand.Read(d.salt[:]) // does not fail (package crypto/rand)
+	_, _ = rand.Read(d.salt[:]) // never fails (package crypto/rand)
 	fault := func(format string, args ...any) { faults = append(faults, fmt.Sprintf(format, args...)) }
 	for n, e := range entries {
 		c := e.Customer
@@ -55,11 +59,11 @@
 			fault("customer %d has no name", n)
 			continue
 		case d.byName[c.Name] != nil:
-			fault("customer %s stands twice", c.Name)
+			fault("customer %s is defined twice", c.Name)
 			continue
 		}
 		if c.Weight < 0 {
-			fault("customer %s has the weight %g", c.Name, c.Weight)
+			fault("customer %s has the negative weight %g", c.Name, c.Weight)
 			c.Weight = 0
 		}
 		if least := min(c.Quota.CPUMillis, c.Quota.MemoryMB, c.Quota.Accelerators); least < 0 {
@@ -75,31 +79,31 @@
 	return d, faults
 }
 
-func (d *Directory) addKey(c *Customer, number int, key string, fault func(string, ...any)) {
-	x := d.digestOf(key)
-	switch owner := d.byKey[x]; {
+func (d *Directory) addKey(c *Customer, index int, key string, fault func(string, ...any)) {
+	keyDigest := d.digestOf(key)
+	switch owner := d.byKey[keyDigest]; {
 	case key == "":
-		fault("key %d of customer %s is empty", number, c.Name)
+		fault("key %d of customer %s is empty", index, c.Name)
 	case owner != nil && owner != c:
-		fault("key %d of customer %s is one of customer %s", number, c.Name, owner.Name)
+		fault("key %d of customer %s belongs to customer %s", index, c.Name, owner.Name)
 	default:
-		d.byKey[x] = c
+		d.byKey[keyDigest] = c
 	}
 }
 
-// ByKey returns the customer that holds a key. The time it takes tells nothing of the keys.
+// ByKey returns the customer with a key. The duration of the lookup reveals nothing about the keys.
 func (d *Directory) ByKey(key string) (*Customer, bool) {
 	c, ok := d.byKey[d.digestOf(key)]
 	return c, ok && key != ""
 }
 
-// ByName returns the customer of a name.
+// ByName returns the customer with a name.
 func (d *Directory) ByName(name string) (*Customer, bool) {
 	c, ok := d.byName[name]
 	return c, ok
 }
 
-// Names lists the customers in the order of the configuration; none without a directory.
+// Names lists the customers in the order of the configuration; nil without a directory.
 func (d *Directory) Names() []string {
 	if d == nil {
 		return nil
@@ -107,7 +111,7 @@
 	return d.names
 }
 
-// usualKey is up to how long a key is looked up without an allocation.
+// maxStackKeyBytes is the length up to which a key is looked up without an allocation.
 const usualKey = 112
 
 func (d *Directory) digestOf(key string) digest {
@@ -118,7 +122,7 @@
 	return digest(sum[:len(digest{})])
 }
 
-// Allows says whether a customer may have an amount running.
+// WithinQuota reports whether the quota allows the customer to have an amount running.
 func (c Customer) Allows(running cell.Resources) bool {
 	within := func(amount, limit int64) bool { return limit == 0 || amount <= limit }
 	return within(running.CPUMillis, c.Quota.CPUMillis) && within(running.MemoryMB, c.Quota.MemoryMB) &&
--- a/pkg/customer/customer_test.go
+++ b/pkg/customer/customer_test.go
@@ -47,17 +47,17 @@
 	})
 	want := []string{
 		"key 2 of customer north is empty",
-		"customer south has the weight -1",
+		"customer south has the negative weight -1",
 		"customer south has a negative quota: cpu=-5m mem=7MB acc=0",
-		"key 0 of customer south is one of customer north",
-		"customer north stands twice",
+		"key 0 of customer south belongs to customer north",
+		"customer north is defined twice",
 		"customer 3 has no name",
 	}
 	if !slices.Equal(faults, want) {
 		t.Errorf("faults: got %q, want %q", faults, want)
 	}
 	if c, _ := d.ByKey(secret); c == nil || c.Name != "north" {
-		t.Errorf("a key of two: got %v, want north's", c)
+		t.Errorf("key of two customers: got %v, want north", c)
 	}
 	if c, _ := d.ByKey("s"); c == nil || c.Weight != 0 || c.Quota != (cell.Resources{MemoryMB: 7}) {
 		t.Errorf("south: got %+v", c)
@@ -68,7 +68,7 @@
 		}
 	}
 	if text := strings.Join(faults, " ") + fmt.Sprintf("%+v %#v", d, d); strings.Contains(text, secret) {
-		t.Error("a key stands in the faults or in the directory")
+		t.Error("a key occurs in the faults or in the directory")
 	}
 }
 
@@ -121,7 +121,8 @@
 	}
 }
 
-// BenchmarkNewDirectory tells the memory of an index of keys, by bytes allocated: 20,000 customers with two keys each.
+// BenchmarkNewDirectory measures the memory of an index of keys, by bytes allocated: 20,000 customers
+// with two keys each.
 func BenchmarkNewDirectory(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
--- a/pkg/customer/rate.go
+++ b/pkg/customer/rate.go
@@ -6,26 +6,28 @@
 	"foldarch.dev/foldarch/pkg/clock"
 )
 
-// rateBurst is for how long a customer may save up what it does not send. Arrivals are random: of a customer that sends its weight in the
-// mean, one job in eight would be beyond a burst of one second at two jobs a second.
+// burstTime is for how long a customer's unused share accumulates. Arrivals are random: with a burst time
+// of one second and a weight of two jobs a second, one job in eight of a customer that sends exactly its
+// weight would be over its share.
 const rateBurst = 2 * time.Second
 
-// Rate tells which jobs of a customer are beyond its weight, in jobs a second (token bucket).
+// Rate is a token bucket that determines which jobs of a customer exceed its weight, in jobs a second.
 type Rate struct {
 	tokens float64
 	at     clock.Time
 }
 
-// Beyond takes in a job that was accepted at a time, and says whether it is beyond a weight. A weight of 0 is no limit.
+// RecordArrival records a job that was accepted at a time, and reports whether it exceeds the weight. A
+// weight of 0 is no limit.
 func (r *Rate) Beyond(weight float64, at clock.Time) bool {
 	if weight <= 0 {
 		return false
 	}
-	most := max(weight*rateBurst.Seconds(), 1)
+	capacity := max(weight*rateBurst.Seconds(), 1)
 	if r.at == 0 {
-		r.tokens, r.at = most, at
+		r.tokens, r.at = capacity, at
 	}
-	r.tokens = min(r.tokens+weight*max(at.Sub(r.at), 0).Seconds(), most)
+	r.tokens = min(r.tokens+weight*max(at.Sub(r.at), 0).Seconds(), capacity)
 	r.at = max(r.at, at)
 	if r.tokens < 1 {
 		return true
--- a/pkg/job/job.go
+++ b/pkg/job/job.go
@@ -10,12 +10,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ID names a job; the caller chooses it. It is 16 hexadecimal digits.
+// ID identifies a job. The caller chooses it; it has 16 hexadecimal digits.
 type ID string
 
 const idLength = 16
 
-// ParseID returns a job's id, or an error that tells what is wrong with it.
+// ParseID returns the job id in a text, or an error that describes what is wrong with it.
 func ParseID(text string) (ID, error) {
 	if len(text) != idLength {
 		return "", errors.Newf("job id %q: want %d hexadecimal digits", text, idLength)
@@ -28,7 +28,7 @@
 	return ID(text), nil
 }
 
-// State says how far a job is, as callers see it.
+// State is the state of a job as callers see it.
 type State string
 
 // The states of a job.
@@ -40,12 +40,12 @@
 	Cancelled State = "cancelled"
 )
 
-// Ended says whether the state is final.
+// Ended reports whether the state is final.
 func (s State) Ended() bool {
 	return s == Completed || s == Failed || s == Cancelled
 }
 
-// Job is what a caller handed in.
+// Job is what a caller submits.
 type Job struct {
 	ID       ID
 	Spec     string
@@ -53,38 +53,38 @@
 	Schedule Schedule
 }
 
-// Step is a group of like tasks.
+// Step is a group of tasks with the same properties.
 type Step struct {
 	Count     int
 	Resources cell.Resources // of each task
-	Estimate  time.Duration  // the caller's rough guess of a task's time
-	After     []int          // earlier steps that must be done first
-	// Checkpointing says that the tasks save their progress.
+	Estimate  time.Duration  // the caller's rough estimate of a task's duration
+	After     []int          // indices of the earlier steps that must be done first
+	// Checkpointing means that the tasks save their progress.
 	Checkpointing bool
-	// Gang says that the tasks work only together.
+	// Gang means that the tasks must run at the same time.
 	Gang     bool
 	SameRack bool
 	// Requirement is a label that the worker must have; empty for none.
 	Requirement string
 	// Affinity is the rack that holds the data; empty for none.
 	Affinity string
-	// MaxPerWorker bounds the tasks of the step on one worker; 0 for no bound.
+	// MaxPerWorker bounds the step's tasks on one worker; 0 means no bound.
 	MaxPerWorker int
-	// Speculative says that copies of a task may run at the same time.
+	// Speculative means that several copies of a task may run at the same time.
 	Speculative bool
 	// LongRunning tasks run until the job is cancelled.
 	LongRunning bool
-	// Filler tasks get the processors that others leave unused; theirs are not counted.
+	// Filler tasks use the CPU time that other tasks leave unused; their CPU need is not counted.
 	Filler bool
-	// Image names what the tasks run.
+	// Image is the name of the image that the tasks run.
 	Image string
-	// TargetTail bounds the tail of the answer times of serving tasks; 0 for none.
+	// TargetTail bounds the tail latency of a service's tasks; 0 means no bound.
 	TargetTail time.Duration
-	// MissAllowed is how many tasks may be away at once by the scheduler's doing.
+	// MissAllowed is how many tasks may be down at once because of the scheduler's own actions.
 	MissAllowed int
 }
 
-// Need is what a task of the step takes of a worker's capacity.
+// Need returns the part of a worker's capacity that a task of the step takes.
 func (s Step) Need() cell.Resources {
 	if s.Filler {
 		return cell.Resources{MemoryMB: s.Resources.MemoryMB, Accelerators: s.Resources.Accelerators}
@@ -92,7 +92,8 @@
 	return s.Resources
 }
 
-// AtOnce is what the step takes at the same time at least: all of a gang, otherwise one task.
+// MinResources returns the resources that the step needs at the same time at least: those of all tasks of
+// a gang, otherwise those of one task.
 func (s Step) AtOnce() cell.Resources {
 	if s.Gang {
 		return s.Resources.Times(int64(s.Count))
@@ -100,19 +101,19 @@
 	return s.Resources
 }
 
-// Schedule repeats the steps of a job. Repeat 0 is a job that runs once, at once.
+// Schedule repeats the steps of a job. A job with Repeat 0 runs once and starts immediately.
 type Schedule struct {
 	Repeat   int
 	Start    time.Time
 	Interval time.Duration
 }
 
-// Times is how many times the steps run.
+// Occurrences returns how many times the steps run.
 func (s Schedule) Times() int {
 	return max(s.Repeat, 1)
 }
 
-// Due is when time k may begin; the zero time for a job without a schedule.
+// DueAt returns when occurrence k may begin; the zero time for a job without a schedule.
 func (s Schedule) Due(k int) time.Time {
 	if s.Repeat == 0 {
 		return time.Time{}
@@ -120,7 +121,7 @@
 	return s.Start.Add(time.Duration(k) * s.Interval)
 }
 
-// Validate returns what makes the job one that can't be accepted, or nil.
+// Validate returns why the job can't be accepted, or nil if it can.
 func (j Job) Validate() error {
 	if len(j.Steps) == 0 {
 		return errors.New("steps: a job has at least one step")
@@ -138,7 +139,7 @@
 	return nil
 }
 
-// StepID names one step of one time of a job.
+// StepID identifies one step of one occurrence of a job.
 type StepID struct {
 	Job  ID
 	Time int
@@ -150,18 +151,18 @@
 	return string(s.Job) + "." + strconv.Itoa(s.Time) + "." + strconv.Itoa(s.Step)
 }
 
-// TaskID names one task of one time of a job.
+// TaskID identifies one task of one occurrence of a job.
 type TaskID struct {
 	StepID
 	Index int
 }
 
-// String returns ID.K.STEP.INDEX.
+// String returns ID.K.STEP.INDEX, where K is the occurrence.
 func (t TaskID) String() string {
 	return t.StepID.String() + "." + strconv.Itoa(t.Index)
 }
 
-// ParseTaskID returns the task that a text of the form ID.K.STEP.INDEX names.
+// ParseTaskID returns the task id in a text of the form ID.K.STEP.INDEX.
 func ParseTaskID(text string) (TaskID, error) {
 	parts := strings.Split(text, ".")
 	if len(parts) != 4 {
@@ -178,7 +179,7 @@
 	return TaskID{StepID{ID(parts[0]), numbers[0], numbers[1]}, numbers[2]}, nil
 }
 
-// Summary describes the steps for logs, such as "2x(cpu=1400m mem=5200MB acc=0) gang".
+// Summary returns a description of the steps for logs, such as "2x(cpu=1400m mem=5200MB acc=0) gang".
 func (j Job) Summary() string {
 	parts := make([]string, 0, len(j.Steps))
 	for _, s := range j.Steps {
--- a/pkg/job/record.go
+++ b/pkg/job/record.go
@@ -11,42 +11,44 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Record is what the store keeps of an accepted job.
+// Record is the stored value of an accepted job.
 type Record struct {
 	Job Job `json:"job,omitzero"`
-	// Queue is the job's queue as the configuration had it when the job was accepted.
+	// Queue is the job's queue as configured when the job was accepted.
 	Queue queue.Queue `json:"queue,omitzero"`
-	// Customer is whose job it is, as the configuration had it when the job was accepted; without a name it is nobody's. It
-	// stays with the outcome, with the name alone.
+	// Customer is the job's customer as configured when the job was accepted; a customer without a name
+	// means that the job belongs to nobody. In the record of an ended job only the name is kept.
 	Customer customer.Customer `json:"customer,omitzero"`
-	// AcceptedAt is the time of day at the host that accepted the job.
+	// AcceptedAt is the wall-clock time of the host that accepted the job.
 	AcceptedAt time.Time `json:"accepted_at,omitzero"`
-	// Term is the highest term of an owner that the accepting host knew of. Owners of lower
-	// terms never start the job.
+	// Term is the highest owner's term that the accepting host knew. Owners of lower terms never start
+	// the job.
 	Term int64 `json:"term,omitempty"`
-	// Outcome is set once the job has ended; Job and Queue are left out then.
+	// Outcome is set once the job has ended; Job and Queue are then omitted.
 	Outcome State `json:"outcome,omitempty"`
-	// Unended is what may have run of the job when it ended.
+	// RemainingUse is what may still have been running for the job when it ended.
 	Unended Unended `json:"unended,omitzero"`
-	// LateStart is the time of day by which the last start of an ended job was sent that got no answer (Unanswered); zero without any.
+	// LastLateStart is the wall-clock time by which the last unanswered start of an ended job was sent
+	// (UnansweredStart); zero if there is none.
 	LateStart time.Time `json:"late_start,omitzero"`
 }
 
-// Unended is what may still run of a job that has ended, or for tasks that are done: runs that are being stopped, and starts without an
-// answer. A later owner that can't hear the workers has no other word of them.
+// RemainingUse is the resources that runs of an ended job, or of tasks that are done, may still use: runs
+// that are being stopped, and starts without an answer. A later owner that can't reach the workers knows
+// of these runs only from here.
 type Unended struct {
 	Need cell.Resources `json:"need,omitzero"`
-	// At is the time of day at the owner that wrote it.
+	// WrittenAt is the wall-clock time of the owner that wrote it.
 	At time.Time `json:"at,omitzero"`
 }
 
-// Encode returns the record as the store keeps it.
+// Encode returns the record's encoding for the store.
 func (r Record) Encode() ([]byte, error) {
 	text, err := json.Marshal(r)
 	return text, errors.Wrap(err, "encode job record")
 }
 
-// DecodeRecord reads what Encode returned.
+// DecodeRecord decodes what Encode returned.
 func DecodeRecord(text []byte) (Record, error) {
 	var r Record
 	if err := json.Unmarshal(text, &r); err != nil {
@@ -55,22 +57,23 @@
 	return r, nil
 }
 
-// HasOutcome says whether the text of a record may have an outcome, without reading the record.
+// HasOutcome reports whether an encoded record may have an outcome, without decoding it.
 func HasOutcome(text []byte) bool {
 	return bytes.Contains(text, []byte(`"outcome":`))
 }
 
-// Progress is what the store keeps of a job that has not ended: the ends that the owner
-// has taken note of, and starts that may come late. Other tasks have no entry.
+// Progress is what the store keeps of a job that has not ended: the run ends that the owner has
+// committed, and starts that may still be carried out late. Tasks without either have no entry.
 type Progress struct {
 	Tasks []TaskProgress `json:"tasks"`
-	// Unended is what may run for tasks that are done.
+	// RemainingUse is the resources that runs of tasks that are done may still use.
 	Unended Unended `json:"unended,omitzero"`
-	// Workers are the names of all to which starts of the job may have gone, if its owners store them first (jobstore.Holder.NamedFrom).
+	// Workers are the names of all workers to which starts of the job may have been sent, if its owners
+	// record them first (jobstore.OwnerRecord.RecordWorkersFromTerm).
 	Workers []string `json:"w,omitempty"`
 }
 
-// TaskProgress is what was noted of one task, or of a gang under its task 0.
+// TaskProgress is the stored progress of one task, or of a gang under its task 0.
 type TaskProgress struct {
 	Time       int    `json:"k,omitempty"`
 	Step       int    `json:"s,omitempty"`
@@ -79,26 +82,29 @@
 	Failures   []int  `json:"f,omitempty"` // numbers of the runs that failed
 	LastRun    int    `json:"r,omitempty"`
 	Checkpoint string `json:"c,omitempty"`
-	// Attempts are starts that were stored before they were ordered and that no worker has been seen to survive.
+	// Attempts are starts that were stored before they were ordered and of which it is not known that a
+	// worker has survived them.
 	Attempts []Attempt `json:"a,omitempty"`
-	// Crashes are the starts in a row under which a worker crashed.
+	// Crashes are the consecutive starts under which a worker crashed.
 	Crashes []Crash `json:"x,omitempty"`
-	// Unanswered are starts without an answer that a life of their worker may carry out late.
+	// UnansweredStarts are starts without an answer that an incarnation of their worker may still carry
+	// out.
 	Unanswered []Unanswered `json:"u,omitempty"`
 }
 
-// Unanswered is a start of a task that got no answer.
+// UnansweredStart is a start of a task that got no answer.
 type Unanswered struct {
 	Run    int    `json:"r"`
 	Worker string `json:"w"`
-	// At is the time of day, at the owner that sent it, by which it was sent.
+	// SentBy is the wall-clock time, at the owner that sent the start, by which it was sent.
 	At time.Time `json:"t"`
-	// Void says that a run of its number does not show that it was carried out: its owner knew that it does nothing on the life that it was sent to, so that a later
-	// start may have its number, or it is such a later start.
+	// Invalidated means that a run with the start's number does not prove that the start was carried out.
+	// Either its owner knew that the start has no effect on the incarnation that it was sent to, so that
+	// a later start may have the same number, or it is such a later start.
 	Void bool `json:"v,omitempty"`
 }
 
-// Attempt is a start of a task on one life of a worker.
+// Attempt is a start of a task on one incarnation of a worker.
 type Attempt struct {
 	Run    int    `json:"r"`
 	Worker string `json:"w"`
@@ -108,11 +114,11 @@
 type Crash struct {
 	Run    int    `json:"r"`
 	Worker string `json:"w"`
-	// Alone says that nothing but the task can be the cause.
+	// Conclusive means that only the task can have caused the crash.
 	Alone bool `json:"s,omitempty"`
 }
 
-// HighestRun is the highest number of a run that is known of a task.
+// HighestRun returns the highest known run number of the task.
 func (t TaskProgress) HighestRun() int {
 	n := t.LastRun
 	for _, a := range t.Attempts {
@@ -127,18 +133,18 @@
 	return n
 }
 
-// Begun says that the task has begun, as far as the row tells.
+// HasBegun reports whether the task has begun, according to its stored progress.
 func (t TaskProgress) Begun() bool {
 	return t.Done || t.LastRun > 0 || len(t.Failures)+len(t.Attempts)+len(t.Crashes) > 0
 }
 
-// Encode returns the progress as the store keeps it.
+// Encode returns the progress's encoding for the store.
 func (p Progress) Encode() ([]byte, error) {
 	text, err := json.Marshal(p)
 	return text, errors.Wrap(err, "encode job progress")
 }
 
-// DecodeProgress reads what Encode returned.
+// DecodeProgress decodes what Encode returned.
 func DecodeProgress(text []byte) (Progress, error) {
 	var p Progress
 	if err := json.Unmarshal(text, &p); err != nil {
--- a/pkg/jobapi/commands.go
+++ b/pkg/jobapi/commands.go
@@ -8,7 +8,7 @@
 	"foldarch.dev/foldarch/pkg/result"
 )
 
-// SubmitJob keeps a job; handing it in again changes nothing.
+// SubmitJob stores a job. Submitting the same job again changes nothing.
 func (h *handler) SubmitJob(ctx context.Context, req *jobsapi.JobRequest, params jobsapi.SubmitJobParams) (*jobsapi.JobStatus, error) {
 	q, c, err := h.queue(params.Queue, params.CustomerKey.Value)
 	if err != nil {
@@ -24,7 +24,7 @@
 	return &jobsapi.JobStatus{ID: params.ID, State: jobsapi.JobStatusStateQueued}, nil
 }
 
-// CancelJob ends a job.
+// CancelJob cancels a job.
 func (h *handler) CancelJob(ctx context.Context, params jobsapi.CancelJobParams) (*jobsapi.JobStatus, error) {
 	if err := h.Cancel(ctx, operator, job.ID(params.ID)); err != nil {
 		return nil, resultOf(err)
--- a/pkg/jobapi/doc.go
+++ b/pkg/jobapi/doc.go
@@ -1,16 +1,17 @@
-// Package jobapi serves foldarch's own API of jobs (api/jobs.yaml): hand in a job of steps, read
-// how far it is, cancel it, and count what waits in a queue.
+// Package jobapi serves foldarch's own API of jobs (api/jobs.yaml): submit a job of steps, read its
+// state, cancel it, and count the jobs that wait in a queue.
 //
-// It says the same as the door of the users' platform, in the product's own words and with the
-// result codes of package result; both lead to the same functions of package jobhost. The code
-// of the wire is generated into package jobsapi.
+// It offers the same operations as the jobs API of the users' platform (platform.JobHandler), with
+// foldarch's own names and the result codes of package result. Both call the same functions of package
+// jobhost. The protocol code is generated into package jobsapi.
 //
-// Its address is the operators': they read and cancel the jobs of all customers, and count what waits, without a key.
-// A job belongs to a customer, so one for a queue that needs keys is handed in with that customer's.
+// The API is served on the operators' address: operators read and cancel the jobs of all customers, and
+// count waiting jobs, without a key. Since a job belongs to a customer, a job for a queue that requires
+// keys is submitted with that customer's key.
 //
 // # Usage
 //
-//	handler, err := jobapi.New(platform.Jobs{Config: …, Admit: …, Submit: …, State: …, Cancel: …, Pending: …})
+//	handler, err := jobapi.New(platform.JobService{Config: …, Admit: …, Submit: …, State: …, Cancel: …, Pending: …})
 //	mux.Handle("/v1/", handler)
 //
 //	PUT /v1/queues/fits/jobs/5c0e7a21d94b36f8
--- a/pkg/jobapi/queries.go
+++ b/pkg/jobapi/queries.go
@@ -7,7 +7,7 @@
 	"foldarch.dev/foldarch/pkg/jobapi/jobsapi"
 )
 
-// ReadJob tells how far a job is.
+// ReadJob returns the state of a job.
 func (h *handler) ReadJob(ctx context.Context, params jobsapi.ReadJobParams) (*jobsapi.JobStatus, error) {
 	state, err := h.State(ctx, operator, job.ID(params.ID))
 	if err != nil {
@@ -16,7 +16,7 @@
 	return &jobsapi.JobStatus{ID: params.ID, State: jobsapi.JobStatusState(state)}, nil
 }
 
-// ReadQueue counts what waits in a queue.
+// ReadQueue returns the number of waiting jobs of a queue.
 func (h *handler) ReadQueue(ctx context.Context, params jobsapi.ReadQueueParams) (*jobsapi.QueueStatus, error) {
 	q, _, err := h.queue(params.Queue, "")
 	if err != nil {
--- a/pkg/jobapi/request.go
+++ b/pkg/jobapi/request.go
@@ -8,7 +8,7 @@
 	"foldarch.dev/foldarch/pkg/jobapi/jobsapi"
 )
 
-// jobOf returns the job that a request describes.
+// toJob converts a request to a job.
 func jobOf(id job.ID, r *jobsapi.JobRequest) job.Job {
 	j := job.Job{ID: id, Spec: r.Spec.Value}
 	if s, ok := r.Schedule.Get(); ok {
@@ -20,6 +20,7 @@
 	return j
 }
 
+// toStep converts a step of a request.
 func stepOf(s jobsapi.Step) job.Step {
 	return job.Step{
 		Count: s.Count,
--- a/pkg/jobapi/server.go
+++ b/pkg/jobapi/server.go
@@ -13,7 +13,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// retryAfter is when a refused caller may come back.
+// retryAfter is after how long a refused caller may try again.
 const retryAfter = time.Second
 
 // New returns the handler of all paths under /v1/.
@@ -26,10 +26,11 @@
 	platform.Jobs
 }
 
-// operator makes calls about jobs of any customer.
+// operatorCaller is the caller of requests that may concern the jobs of any customer.
 var operator = customer.NewCaller(nil, customer.Call{QueueKnown: true, Key: customer.KeyNotNeeded}, true)
 
-// queue returns a queue of the configuration in force, and who asks for it with a key or, without one, as an operator.
+// findQueue returns a queue of the configuration in force and the caller that is admitted to it. The
+// caller is the customer of the key or, without a key, an operator.
 func (h *handler) queue(name, key string) (queue.Queue, customer.Caller, error) {
 	cfg := h.Config()
 	if cfg == nil {
@@ -50,7 +51,7 @@
 	return q, c, nil
 }
 
-// resultOf gives a failure its result code.
+// toResult converts an error to one with a result code.
 func resultOf(err error) error {
 	var refused *platform.RefusedError
 	switch {
@@ -74,7 +75,7 @@
 	return result.New(result.OutcomeUnknown, "%v", err).WithRetryAfter(retryAfter)
 }
 
-// NewError writes a result as the API's problem.
+// NewError converts an error to the API's problem response.
 func (h *handler) NewError(_ context.Context, err error) *jobsapi.ProblemStatusCodeWithHeaders {
 	p := result.ProblemOf(err)
 	out := &jobsapi.ProblemStatusCodeWithHeaders{
--- a/pkg/jobstore/keys.go
+++ b/pkg/jobstore/keys.go
@@ -23,68 +23,70 @@
 	commitPrefix = "foldarch/commit/"
 )
 
-// CommitLanes is how many series of commits an owner may have. All of them are voided by the
-// transaction that makes another host the owner.
+// MaxParallelCommits is how many independent sequences of commits an owner may have. The transaction that
+// makes another host the owner replaces the commit keys of all of them, so that further commits of the
+// previous owner fail.
 const CommitLanes = 6
 
-// CommitKey is replaced by each commit of a lane.
-func CommitKey(lane int) string {
-	return commitPrefix + strconv.Itoa(lane)
+// CommitKey returns the key that each commit of a sequence replaces.
+func CommitKey(n int) string {
+	return commitPrefix + strconv.Itoa(n)
 }
 
-// JobKey is where a job's record stands.
+// JobKey returns the key of a job's record.
 func JobKey(id job.ID) string {
 	return JobsPrefix + string(id)
 }
 
-// CancelKey stands when a job was cancelled.
+// CancelKey returns the key that exists if a job was cancelled.
 func CancelKey(id job.ID) string {
 	return JobKey(id) + cancelSuffix
 }
 
-// ProgressKey is where a job's progress stands.
+// ProgressKey returns the key of a job's progress.
 func ProgressKey(id job.ID) string {
 	return ProgressPrefix + string(id)
 }
 
-// RosterKey is where the roster's record of a worker stands, by the worker's name.
+// RosterKey returns the key of a worker's entry in the roster.
 func RosterKey(worker string) string {
 	return RosterPrefix + worker
 }
 
-// ParseRosterKey returns the worker's name of a key under RosterPrefix.
+// ParseRosterKey returns the worker of a key under RosterPrefix.
 func ParseRosterKey(key string) (worker string) {
 	return strings.TrimPrefix(key, RosterPrefix)
 }
 
-// ParseJobKey returns the job of a key under JobsPrefix and whether the key cancels it.
+// ParseJobKey returns the job of a key under JobsPrefix, and whether it is the key that cancels the job.
 func ParseJobKey(key string) (id job.ID, cancel bool) {
 	text := strings.TrimPrefix(key, JobsPrefix)
 	name, cancel := strings.CutSuffix(text, cancelSuffix)
 	return job.ID(name), cancel
 }
 
-// Holder is the record of the host that owns the pool.
+// OwnerRecord describes the host that owns the pool.
 type Holder struct {
 	Name    string         `json:"name"`
 	Life    string         `json:"life"` // of the process
 	Address netip.AddrPort `json:"address"`
-	// Term counts the owners.
+	// Term is the number of owners up to this one.
 	Term int64 `json:"term"`
-	// NamedFrom is the first term from which on every owner has stored the names of a job's workers (job.Progress) before it started the job
-	// there; 0 when this one does not. It holds of jobs that were accepted under that term or a later one.
+	// RecordWorkersFromTerm is the first term from which on every owner has recorded a job's workers
+	// (job.Progress) before it started the job there; 0 if this owner does not record them. It applies to
+	// jobs that were accepted under that term or a later one.
 	NamedFrom int64 `json:"named_from,omitempty"`
 }
 
 // Encode returns the record as the store keeps it.
-func (h Holder) Encode() ([]byte, error) {
-	text, err := json.Marshal(h)
-	return text, errors.Wrap(err, "encode holder")
+func (r Holder) Encode() ([]byte, error) {
+	text, err := json.Marshal(r)
+	return text, errors.Wrap(err, "encode owner record")
 }
 
-// DecodeHolder reads what Encode returned.
+// DecodeOwnerRecord decodes what Encode returned.
 func DecodeHolder(text []byte) (Holder, error) {
-	var h Holder
-	err := json.Unmarshal(text, &h)
-	return h, errors.Wrap(err, "holder record")
+	var r Holder
+	err := json.Unmarshal(text, &r)
+	return r, errors.Wrap(err, "owner record")
 }
--- a/pkg/jobstore/watch_status.go
+++ b/pkg/jobstore/watch_status.go
@@ -8,8 +8,9 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Following is how well a process follows the keys under a prefix of the store. It logs one line when the keys are not
-// followed any more and one when they are again, however many tries fail in between. It is safe for concurrent use.
+// WatchStatus tracks how current a process's copy of the keys under a prefix of the store is. It logs one
+// line when the copy can no longer be kept current and one when it can again, however many attempts fail
+// in between. It is safe for concurrent use.
 type Following struct {
 	prefix  string
 	clk     clock.Clock
@@ -18,34 +19,35 @@
 	lost    atomic.Bool
 }
 
-// NewFollowing returns a Following whose keys count as known now.
+// NewWatchStatus returns a WatchStatus whose keys count as current now.
 func NewFollowing(prefix string, clk clock.Clock, log *logrus.Entry) *Following {
-	f := &Following{prefix: prefix, clk: clk, log: log}
-	f.knownAt.Store(int64(clk.Now()))
-	return f
+	s := &Following{prefix: prefix, clk: clk, log: log}
+	s.knownAt.Store(int64(clk.Now()))
+	return s
 }
 
-// Age is how long ago the keys were last known as they stood in the store.
-func (f *Following) Age() time.Duration {
-	return f.clk.Now().Sub(clock.Time(f.knownAt.Load()))
+// Age returns the time since the copy was last known to be current.
+func (s *Following) Age() time.Duration {
+	return s.clk.Now().Sub(clock.Time(s.knownAt.Load()))
 }
 
-// Known takes in that the keys are known as they stood at a time. One that another reader has gone beyond changes nothing.
-func (f *Following) Known(at clock.Time) {
-	if f.lost.CompareAndSwap(true, false) {
-		f.log.WithFields(logrus.Fields{"keys": f.prefix, "age_ms": f.Age().Milliseconds()}).Info("keys_regained")
+// RecordCurrent records that the copy was current at a time. An earlier time than one already recorded,
+// by another reader, changes nothing but the log.
+func (s *Following) Known(at clock.Time) {
+	if s.lost.CompareAndSwap(true, false) {
+		s.log.WithFields(logrus.Fields{"keys": s.prefix, "age_ms": s.Age().Milliseconds()}).Info("keys_regained")
 	}
 	for {
-		before := f.knownAt.Load()
-		if int64(at) <= before || f.knownAt.CompareAndSwap(before, int64(at)) {
+		before := s.knownAt.Load()
+		if int64(at) <= before || s.knownAt.CompareAndSwap(before, int64(at)) {
 			return
 		}
 	}
 }
 
-// Lost takes in that a list or a watch of the keys failed.
-func (f *Following) Lost(err error) {
-	if f.lost.CompareAndSwap(false, true) {
-		f.log.WithFields(logrus.Fields{"keys": f.prefix, "age_ms": f.Age().Milliseconds(), "error": err}).Warn("keys_lost")
+// RecordFailure records that a list or a watch of the keys failed.
+func (s *Following) Lost(err error) {
+	if s.lost.CompareAndSwap(false, true) {
+		s.log.WithFields(logrus.Fields{"keys": s.prefix, "age_ms": s.Age().Milliseconds(), "error": err}).Warn("keys_lost")
 	}
 }
--- a/pkg/jobstore/watch_status_test.go
+++ b/pkg/jobstore/watch_status_test.go
@@ -15,25 +15,25 @@
 	g := NewWithT(t)
 	now := clock.Time(1_000)
 	log, hook := logtest.NewNullLogger()
-	f := NewFollowing(JobsPrefix, clock.Clock{Now: func() clock.Time { return now }}, logrus.NewEntry(log))
-	f.Known(now)
+	s := NewFollowing(JobsPrefix, clock.Clock{Now: func() clock.Time { return now }}, logrus.NewEntry(log))
+	s.Known(now)
 	g.Expect(hook.AllEntries()).To(BeEmpty(), "nothing was lost")
 
 	now = now.Add(1400 * time.Millisecond)
-	f.Lost(errors.New("no answer"))
+	s.Lost(errors.New("no answer"))
 	now = now.Add(time.Second)
-	f.Lost(errors.New("no answer again"))
-	g.Expect(f.Age()).To(Equal(2400 * time.Millisecond))
+	s.Lost(errors.New("no answer again"))
+	g.Expect(s.Age()).To(Equal(2400 * time.Millisecond))
 	g.Expect(hook.AllEntries()).To(HaveLen(1))
 	g.Expect(hook.LastEntry().Message).To(Equal("keys_lost"))
 	g.Expect(hook.LastEntry().Data).To(HaveKeyWithValue("age_ms", int64(1400)))
 
-	f.Known(now.Add(-100 * time.Millisecond)) // a list that was asked for 0.1 s ago
+	s.Known(now.Add(-100 * time.Millisecond)) // a list that was requested 0.1 s ago
 	g.Expect(hook.AllEntries()).To(HaveLen(2))
 	g.Expect(hook.LastEntry().Message).To(Equal("keys_regained"))
 	g.Expect(hook.LastEntry().Data).To(HaveKeyWithValue("age_ms", int64(2400)))
-	g.Expect(f.Age()).To(Equal(100 * time.Millisecond))
+	g.Expect(s.Age()).To(Equal(100 * time.Millisecond))
 
-	f.Lost(errors.New("no answer"))
+	s.Lost(errors.New("no answer"))
 	g.Expect(hook.AllEntries()).To(HaveLen(3))
 }
--- a/pkg/queue/config.go
+++ b/pkg/queue/config.go
@@ -9,43 +9,44 @@
 	"foldarch.dev/foldarch/pkg/customer"
 )
 
-// Queue is one queue of jobs.
+// Queue is the configuration of one queue of jobs.
 type Queue struct {
 	Name   string `json:"name"`
 	Host   string `json:"host,omitempty"`
 	Prefix string `json:"prefix,omitempty"`
-	// Pool names the workers that run the queue's tasks.
+	// Pool is the name of the pool whose workers run the queue's tasks.
 	Pool string `json:"pool"`
-	// Priority 0 goes first.
+	// Priority orders the queues; 0 goes first.
 	Priority    int `json:"priority,omitempty"`
 	MaxAttempts int `json:"max_attempts,omitempty"`
-	// Extension times a job's chain of work plus TargetLatency is its objective.
+	// Extension and TargetLatency define a job's objective: Extension times the duration of its longest
+	// chain of steps, plus TargetLatency.
 	Extension     float64       `json:"extension,omitempty"`
 	TargetLatency time.Duration `json:"target_latency,omitempty"`
-	// Public says that its callers need no key.
+	// Public means that callers need no key.
 	Public bool `json:"public,omitempty"`
-	// Advice is what a call for advice costs; nil when any worker of the pool may run a step.
+	// Advice is the duration of calls for advice; nil if any worker of the pool may run a step.
 	Advice *AdviceCost `json:"advice,omitempty"`
 }
 
-// AdviceCost is how long the advice service takes for a queue's steps.
+// AdviceCost describes how long the advice service takes for a queue's steps.
 type AdviceCost struct {
 	Base      time.Duration `json:"base"`
 	PerWorker time.Duration `json:"per_worker"`
 	Validity  time.Duration `json:"validity"`
 }
 
-// Of returns the time that a call takes which names n workers.
+// CallTime returns how long a call that asks about n workers takes.
 func (a AdviceCost) Of(n int) time.Duration {
 	return a.Base + time.Duration(n)*a.PerWorker
 }
 
-// Pool is one pool of workers.
+// Pool is the configuration of one pool of workers.
 type Pool struct {
 	Name string
-	// Guarded says that its workers reject a task for which there is no room.
+	// EnforcesCapacity means that the pool's workers reject a task for which they have no room.
 	Guarded bool
-	// Headroom says that its machines are off until they are moved elsewhere.
+	// Headroom means that the pool's machines are powered off until they are moved elsewhere.
 	Headroom bool
 }
 
@@ -54,9 +55,9 @@
 	Version int64
 	Queues  []Queue
 	Pools   []Pool
-	// Customers are who may call; nil when the configuration names none, and calls need no key.
+	// Customers are those who may call; nil if the configuration names none, so that calls need no key.
 	Customers *customer.Directory
-	// Faults tell what of the configuration was left out, and why.
+	// Faults describe which parts of the configuration were ignored, and why.
 	Faults []string
 
 	byHost map[string][]*Queue // longest prefix first
@@ -87,7 +88,7 @@
 	return Queue{}, "", false
 }
 
-// Queue returns the queue of a name.
+// Queue returns the queue with the given name.
 func (c *Config) Queue(name string) (Queue, bool) {
 	q, ok := c.byName[name]
 	if !ok {
--- a/pkg/queue/doc.go
+++ b/pkg/queue/doc.go
@@ -1,8 +1,8 @@
-// Package queue has the configuration of the queues that callers hand jobs in to, and of
-// the pools of workers that run them.
+// Package queue defines the configuration of the queues to which callers submit jobs, and of the pools of
+// workers that run them.
 //
-// A Config is one version of it, read only once it is made. Find picks the queue of a
-// request by its host name and the longest prefix of its path.
+// A Config is one version of the configuration and does not change once it is built. Find selects the
+// queue of a request by its host name and the longest matching prefix of its path.
 //
 // # Usage
 //
--- a/pkg/reach/contact.go
+++ b/pkg/reach/contact.go
@@ -7,38 +7,41 @@
 )
 
 const (
-	// missedBeats is for how many of its heartbeats a side must not have been heard for it to count as silent, and leastSilence for how
-	// long at least.
+	// silenceHeartbeats is for how many heartbeat intervals nothing may have come from a peer before it
+	// counts as unresponsive, and minSilence the shortest such time.
 	missedBeats  = 1.3
 	leastSilence = 900 * time.Millisecond
-	// sameCause is how long before the store's last answer the last member of another hall may have been heard for one cause to have taken both. Heartbeats
-	// come once a second on the slowest links.
+	// sameCauseWindow is how long before the store's last answer the last member of another hall may have
+	// been heard for both losses to count as one event. On the slowest links heartbeats come once a
+	// second.
 	sameCause = 2 * time.Second
-	// lostFor is for how long no other hall must have been counted. An owner whose process paused finds all members silent until it has read what they sent meanwhile.
+	// minLostTime is for how long no other hall must have been counted. An owner whose process was paused
+	// sees all members as unresponsive until it has read what they sent meanwhile.
 	lostFor = 200 * time.Millisecond
 )
 
-// SilenceOf is from when on a side counts as silent whose heartbeats should come each so often.
+// SilenceTimeout returns how long after its last heartbeat a peer counts as unresponsive, for a heartbeat
+// interval.
 func SilenceOf(heartbeat time.Duration) time.Duration {
 	return max(leastSilence, time.Duration(missedBeats*float64(heartbeat)))
 }
 
-// Contact is when an owner heard members of other data halls.
+// HallContact records when an owner heard members of other data halls.
 type Contact struct {
 	last  clock.Time
 	heard bool
-	halls int        // that are heard now
-	none  clock.Time // since when none is counted; 0 while one is
+	halls int        // other halls with responsive members
+	none  clock.Time // since when hallCount has been 0; 0 if it is not
 }
 
-// HeardAt takes in that a member of another hall was heard at a time.
+// RecordHeard records that a member of another hall was heard at a time.
 func (c *Contact) HeardAt(at clock.Time) {
 	if !c.heard || at > c.last {
 		c.last, c.heard = at, true
 	}
 }
 
-// Count takes in of how many other halls members are heard now.
+// RecordHallCount records the number of other halls with responsive members.
 func (c *Contact) Count(halls int, now clock.Time) {
 	c.halls = halls
 	switch {
@@ -49,13 +52,14 @@
 	}
 }
 
-// Halls is of how many other halls members were heard when they were counted last.
+// HallCount returns the last recorded number of other halls with responsive members.
 func (c *Contact) Halls() int {
 	return c.halls
 }
 
-// Lost says that the owner hears no other hall now, and that it did until about when the store answered it last.
+// HasLostHalls reports whether the owner hears no other hall now, but heard one until about the time when
+// the store last answered it.
 func (c *Contact) Lost(storeAge time.Duration, now clock.Time) bool {
-	gone := c.halls == 0 && c.none != 0 && now.Sub(c.none) >= lostFor
-	return gone && c.heard && now.Sub(c.last) < storeAge+sameCause
+	noHalls := c.halls == 0 && c.none != 0 && now.Sub(c.none) >= lostFor
+	return noHalls && c.heard && now.Sub(c.last) < storeAge+sameCause
 }
--- a/pkg/reach/table.go
+++ b/pkg/reach/table.go
@@ -6,10 +6,10 @@
 	"foldarch.dev/foldarch/pkg/clock"
 )
 
-// Row is a row of the table.
+// Mode is how a host handles submitted jobs: a row of the table in the package comment.
 type Row string
 
-// The rows.
+// The modes.
 const (
 	OwnWrite         Row = "own_write"
 	OwnerWrites      Row = "owner_writes"
@@ -18,22 +18,23 @@
 	HostCutOff       Row = "host_cut_off"
 )
 
-// Rows lists all rows.
+// Modes lists all modes.
 func Rows() []Row {
 	return []Row{OwnWrite, OwnerWrites, StoreUnavailable, HallCutOff, HostCutOff}
 }
 
-// Open says that somebody can write what is handed in.
+// AcceptsJobs reports whether this host or the owner can write submitted jobs.
 func (r Row) Open() bool {
 	return r == OwnWrite || r == OwnerWrites
 }
 
-// Ready says that the host should be sent callers: it takes in jobs, or no other host can do better.
+// IsReady reports whether the balancer should send callers to the host: it accepts jobs, or no other host
+// can.
 func (r Row) Ready() bool {
 	return r.Open() || r == StoreUnavailable
 }
 
-// Reason is why a closed row refuses, for logs and errors.
+// Reason returns why a mode refuses jobs, for logs and errors; empty if it accepts them.
 func (r Row) Reason() string {
 	switch r {
 	case StoreUnavailable:
@@ -46,33 +47,34 @@
 	return ""
 }
 
-// ownerStoreSilence is from when on the store counts as silent for the owner, which calls it every 0.4 s at least.
+// ownerStoreMaxAge is the age of the store's last answer to the owner from which on the store counts as
+// silent for the owner. The owner calls it at least every 0.4 s.
 const ownerStoreSilence = 900 * time.Millisecond
 
-// Owner is what a host knows of the owner.
+// OwnerView is what a host knows about the owner.
 type Owner struct {
 	Heard bool
 	Self  bool // the host is the owner
-	// StoreAge is how long ago the store answered the owner.
+	// StoreAge is the time since the store last answered the owner.
 	StoreAge time.Duration
-	// OtherHalls is of how many data halls but its own the owner hears members, and HallsLost says that it
-	// hears none since about when the store fell silent (Contact).
+	// OtherHalls is the number of other data halls with members that are responsive to the owner.
+	// HallsLost is true if there are none since about the time when the store fell silent (HallContact).
 	OtherHalls int
 	HallsLost  bool
 }
 
-// StoreAnswers says that the store answers the owner.
+// ReachesStore reports whether the store answers the owner.
 func (o Owner) StoreAnswers() bool {
 	return o.StoreAge < ownerStoreSilence
 }
 
-// View is what a host knows when it decides.
+// Observation is what a host knows when it decides.
 type View struct {
-	StoreAnswers bool // this host
+	StoreAnswers bool // to this host
 	Owner        Owner
 }
 
-// Decide returns the row that a view is in.
+// Decide returns the mode for an observation.
 func Decide(v View) Row {
 	switch {
 	case v.StoreAnswers:
@@ -87,29 +89,31 @@
 	return StoreUnavailable
 }
 
-// steadyContact is for how long the owner must hear other halls again before a hall that was cut off counts as connected while the store is silent:
-// as long as the balancer takes to take a host out, so that a link that comes and goes does not move callers to and fro.
+// stableContactTime is for how long the owner must hear other halls again before a cut-off hall counts as
+// connected while the store is silent. It is as long as the balancer needs to take a host out of service,
+// so that an unstable link does not make callers switch back and forth.
 const steadyContact = 2 * time.Second
 
-// Gate follows the row of a host. A hall that was cut off leaves that row at once for one that is open, or when the owner is lost too,
-// but only after steadyContact to refuse while it reports ready.
+// ModeTracker tracks the mode of a host. A cut-off hall changes at once to a mode that accepts jobs, or
+// to HostCutOff if the owner is lost too. It changes to StoreUnavailable, which refuses jobs but reports
+// ready, only after stableContactTime.
 type Gate struct {
 	row     Row
-	contact clock.Time // since when Decide differs from the row of a hall that was cut off; 0 when it does not
+	contact clock.Time // since when Decide has returned StoreUnavailable instead of HallCutOff; 0 if it has not
 }
 
-// Row returns the row in force.
+// Update returns the mode in force for a new observation.
 func (g *Gate) Row(v View, now clock.Time) Row {
-	row := Decide(v)
-	if g.row != HallCutOff || row != StoreUnavailable {
-		g.row, g.contact = row, 0
-		return row
+	mode := Decide(v)
+	if g.row != HallCutOff || mode != StoreUnavailable {
+		g.row, g.contact = mode, 0
+		return mode
 	}
 	if g.contact == 0 {
 		g.contact = now
 	}
 	if now.Sub(g.contact) >= steadyContact {
-		g.row, g.contact = row, 0
+		g.row, g.contact = mode, 0
 	}
 	return g.row
 }
--- a/pkg/reach/table_test.go
+++ b/pkg/reach/table_test.go
@@ -10,7 +10,7 @@
 
 const silent = 4 * time.Second
 
-// Guards each row of the table: who writes, and whether the balancer is to send callers.
+// Checks each row of the table: who writes, and whether the host reports ready.
 func TestTable(t *testing.T) {
 	for name, c := range map[string]struct {
 		view        View
@@ -41,7 +41,8 @@
 	}
 }
 
-// Guards against hosts that go in and out of the balancer with a link that comes and goes.
+// Guards against hosts that are repeatedly put into and out of service by the balancer because a link is
+// unstable.
 func TestHallThatWasCutOffStaysOutUntilContactIsSteady(t *testing.T) {
 	g := NewWithT(t)
 	lost := View{false, Owner{Heard: true, StoreAge: silent, HallsLost: true}}
@@ -55,10 +56,11 @@
 	g.Expect(gate.Row(heard, now.Add(3*time.Second))).To(Equal(HallCutOff))
 	g.Expect(gate.Row(heard, now.Add(5*time.Second))).To(Equal(StoreUnavailable), "steady for 2 s")
 	g.Expect(gate.Row(lost, now.Add(6*time.Second))).To(Equal(HallCutOff))
-	g.Expect(gate.Row(View{true, lost.Owner}, now.Add(6*time.Second))).To(Equal(OwnWrite), "the store answers: at once")
+	g.Expect(gate.Row(View{true, lost.Owner}, now.Add(6*time.Second))).To(Equal(OwnWrite), "at once, since the store answers")
 }
 
-// Guards against deployments that count as cut off although they are not, and against cuts that are not seen.
+// Guards against halls that count as cut off although they are not, and against cut-off halls that are
+// not recognized.
 func TestHallsAreLostWithTheStoreOnly(t *testing.T) {
 	g := NewWithT(t)
 	now := clock.Time(100_000)
@@ -68,7 +70,7 @@
 	c.HeardAt(now.Add(-4100 * time.Millisecond))
 	c.HeardAt(now.Add(-9 * time.Second)) // another member, lost before
 	g.Expect(c.Lost(silent, now)).To(BeTrue())
-	g.Expect(c.Lost(silent+time.Minute, now.Add(time.Minute))).To(BeTrue(), "as long as the store is silent")
+	g.Expect(c.Lost(silent+time.Minute, now.Add(time.Minute))).To(BeTrue(), "for as long as the store is silent")
 	g.Expect(c.Lost(silent, now.Add(time.Minute))).To(BeFalse(), "the other halls left long before the store fell silent")
 	c.Count(1, now)
 	g.Expect(c.Lost(silent, now)).To(BeFalse(), "another hall is heard")
