--- a/pkg/customer/caller.go
+++ b/pkg/customer/caller.go
@@ -8,10 +8,10 @@
 	anyJob   bool
 }
 
-// NewCaller returns the caller of a call that Decide has admitted; c is nil without a key. mayAccessAllJobs means
+// NewCaller returns the caller of a call that Decide has admitted; c is nil without a key. anyJob means
 // that the caller may read and cancel the jobs of all customers.
-func NewCaller(c *Customer, call Call, mayAccessAllJobs bool) Caller {
-	return Caller{Customer: c, call: call, anyJob: mayAccessAllJobs}
+func NewCaller(c *Customer, call Call, anyJob bool) Caller {
+	return Caller{Customer: c, call: call, anyJob: anyJob}
 }
 
 // Name returns the customer's name; empty without a customer.
--- a/pkg/jobhost/batch_writer.go
+++ b/pkg/jobhost/batch_writer.go
@@ -67,11 +67,11 @@
 // given revision. If the key already exists, that is no error, and created is false unless it holds the
 // same value. Errors: platform.ErrRefused if the key was certainly not written and never will be,
 // platform.ErrOutcomeUnknown, errOwnerChanged.
-func (t *intake) put(ctx context.Context, key string, value []byte, ownerRevision int64) (created bool, err error) {
+func (t *intake) put(ctx context.Context, key string, value []byte, holder int64) (created bool, err error) {
 	if t.distrusts() {
 		return false, errors.Wrap(platform.ErrRefused, "the store does not answer")
 	}
-	w := &write{ctx: ctx, key: key, value: value, holder: ownerRevision, done: make(chan putResult, 1)}
+	w := &write{ctx: ctx, key: key, value: value, holder: holder, done: make(chan putResult, 1)}
 	if !t.queue.put(w) {
 		return false, errors.Wrap(platform.ErrRefused, "too many writes wait")
 	}
@@ -184,18 +184,18 @@
 
 // selectLatestOwner returns the writes of a group that are meant for the latest owner among them, and the
 // revision of that owner's record. It answers the other writes.
-func underLatest(group []*write) (latest []*write, ownerRevision int64) {
+func underLatest(group []*write) (latest []*write, holder int64) {
 	for _, w := range group {
-		ownerRevision = max(ownerRevision, w.holder)
+		holder = max(holder, w.holder)
 	}
 	for _, w := range group {
-		if w.holder < ownerRevision {
+		if w.holder < holder {
 			w.done <- putResult{err: errOwnerChanged}
 		} else {
 			latest = append(latest, w)
 		}
 	}
-	return latest, ownerRevision
+	return latest, holder
 }
 
 // detectOwnerChange reports whether a conflict has revealed another owner's record, and passes that
--- a/pkg/jobhost/election.go
+++ b/pkg/jobhost/election.go
@@ -112,16 +112,16 @@
 	if i.Gone || i.Revision <= e.record {
 		return
 	}
-	owner, err := jobstore.DecodeHolder(i.Value)
+	holder, err := jobstore.DecodeHolder(i.Value)
 	if err != nil {
 		h.log.WithField("error", err).Error("holder_unreadable")
 		return
 	}
-	e.holder, e.record, e.yielded, e.heardAt = owner, i.Revision, false, h.clk.Now()
+	e.holder, e.record, e.yielded, e.heardAt = holder, i.Revision, false, h.clk.Now()
 	e.heartbeat = poolrpc.HeartbeatEvery
 	h.toldReach.Store(nil)
-	h.log.WithFields(logrus.Fields{"owner": owner.Name, "term": owner.Term, "revision": i.Revision}).Info("owner_known")
-	if o := h.owner.Load(); o != nil && owner.Life != h.life {
+	h.log.WithFields(logrus.Fields{"owner": holder.Name, "term": holder.Term, "revision": i.Revision}).Info("owner_known")
+	if o := h.owner.Load(); o != nil && holder.Life != h.life {
 		o.Depose()
 	}
 	select {
@@ -133,23 +133,23 @@
 // mayTakeOver reports whether this host should replace the owner's record now. This requires that the
 // owner's lease has expired, unless the owner has asked this host to take over or was a previous process
 // of this host; in these cases asked is true.
-func (h *Host) mayTakeOver() (may, asked bool, revision int64, term int64) {
+func (h *Host) mayTakeOver() (may, asked bool, record int64, term int64) {
 	e := &h.election
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	revision, term = e.record, e.holder.Term
+	record, term = e.record, e.holder.Term
 	switch {
 	case !e.known || h.config.Load() == nil || h.stopping.Load() || h.owner.Load() != nil:
-		return false, false, revision, term
+		return false, false, record, term
 	case e.record == 0:
-		return true, false, revision, term
+		return true, false, record, term
 	case e.holder.Name == h.cfg.Load().Name && e.holder.Life != h.life, e.yielded && h.storeAnswers():
-		return true, true, revision, term
+		return true, true, record, term
 	case e.holder.Life == h.life:
-		return !e.alive, false, revision, term // this host was deposed, but has no successor
+		return !e.alive, false, record, term // this host was deposed, but has no successor
 	}
 	silent := h.clk.Now().Sub(e.heardAt) > time.Duration(silentBeats*float64(e.heartbeat))
-	return silent && !e.alive, false, revision, term
+	return silent && !e.alive, false, record, term
 }
 
 // isOwnerPreviousIncarnation reports whether the recorded owner is a previous process of this host.
@@ -288,13 +288,13 @@
 	for ctx.Err() == nil {
 		e := &h.election
 		e.mu.Lock()
-		owner, revision := e.holder, e.record
+		holder, record := e.holder, e.record
 		e.mu.Unlock()
-		if revision == 0 || owner.Life == h.life || owner.Name == h.cfg.Load().Name {
+		if record == 0 || holder.Life == h.life || holder.Name == h.cfg.Load().Name {
 			clock.Sleep(ctx, linkRetry)
 			continue
 		}
-		h.link(ctx, owner)
+		h.link(ctx, holder)
 		clock.Sleep(ctx, linkRetry)
 	}
 }
@@ -334,7 +334,7 @@
 
 // knownOwner returns the revision of the latest owner's record that this host knows, and the term of that
 // owner; 0 for none.
-func (h *Host) knownOwner() (revision, term int64) {
+func (h *Host) knownOwner() (record, term int64) {
 	h.election.mu.Lock()
 	defer h.election.mu.Unlock()
 	return h.election.record, h.election.holder.Term
@@ -366,11 +366,11 @@
 }
 
 // handleOwnerStatus applies a heartbeat of the owner.
-func (h *Host) ownerHeard(owner jobstore.Holder, s *poolpb.OwnerStatus) {
+func (h *Host) ownerHeard(holder jobstore.Holder, s *poolpb.OwnerStatus) {
 	e := &h.election
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.holder.Life != owner.Life || e.holder.Term != s.Term {
+	if e.holder.Life != holder.Life || e.holder.Term != s.Term {
 		return
 	}
 	e.heardAt = h.clk.Now()
--- a/pkg/jobhost/host.go
+++ b/pkg/jobhost/host.go
@@ -93,20 +93,20 @@
 // New returns a host that does nothing until Run is called.
 func New(cfg platform.Settings, log *logrus.Entry) *Host {
 	clk := clock.System()
-	metrics := newFigures()
+	figures := newFigures()
 	store := platform.NewStore(cfg.Store, platform.StoreOptions{
 		CallTimeout:     storeTimeout,
 		Stall:           time.Duration(stallShare * float64(cfg.Bounds.ConfigApply)),
 		WritesPerSecond: cfg.Store.WritesPerSecond * storeShare,
 		ReadsPerSecond:  cfg.Store.ReadsPerSecond * storeShare,
 		LinkMbps:        cfg.LinkMbps,
-		Calls:           traffic.New("store", metrics.registry),
-		Watches:         traffic.New("store_watches", metrics.registry),
+		Calls:           traffic.New("store", figures.registry),
+		Watches:         traffic.New("store_watches", figures.registry),
 	}, clk)
 	h := &Host{
 		life: uuid.NewString(), log: log.WithField("host", cfg.Name), clk: clk, store: store,
-		worker: platform.NewWorkers(workerTimeout, traffic.New("workers", metrics.registry)), figures: metrics,
-		peerBytes: traffic.New("peers", metrics.registry), callerBytes: traffic.New("callers", metrics.registry), adviceBytes: traffic.New("advice", metrics.registry),
+		worker: platform.NewWorkers(workerTimeout, traffic.New("workers", figures.registry)), figures: figures,
+		peerBytes: traffic.New("peers", figures.registry), callerBytes: traffic.New("callers", figures.registry), adviceBytes: traffic.New("advice", figures.registry),
 		waves: map[int64]upkeep.Wave{}, evacuated: evacuation.New(),
 		election: election{changed: make(chan struct{}, 1)}, ownerStoreBack: make(chan struct{}, 1),
 	}
--- a/pkg/jobhost/intake_mode.go
+++ b/pkg/jobhost/intake_mode.go
@@ -215,23 +215,23 @@
 	if h.config.Load() == nil {
 		return
 	}
-	mode, now := h.row(), h.clk.Now()
+	row, now := h.row(), h.clk.Now()
 	g := &h.gate
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	previous := g.logged
-	g.logged = mode
+	g.logged = row
 	wasOpen := previous == "" || previous.Open()
 	switch {
-	case mode == previous || wasOpen && mode.Open():
+	case row == previous || wasOpen && row.Open():
 		return
-	case mode.Open():
-		h.log.WithFields(logrus.Fields{"row": mode, "closed_as": previous, "closed_ms": now.Sub(g.closedAt).Milliseconds()}).Info("door_open")
+	case row.Open():
+		h.log.WithFields(logrus.Fields{"row": row, "closed_as": previous, "closed_ms": now.Sub(g.closedAt).Milliseconds()}).Info("door_open")
 		return
 	case wasOpen:
 		g.closedAt = now
 	}
-	h.log.WithFields(logrus.Fields{"row": mode, "ready": mode.Ready(), "store_age_ms": h.storeAge().Milliseconds()}).Warn("door_closed")
+	h.log.WithFields(logrus.Fields{"row": row, "ready": row.Ready(), "store_age_ms": h.storeAge().Milliseconds()}).Warn("door_closed")
 }
 
 // ownerForWrites returns the link over which the owner can be asked to write. It is nil if there is no
--- a/pkg/jobhost/jobs.go
+++ b/pkg/jobhost/jobs.go
@@ -81,8 +81,8 @@
 	if err := errorOf(c.HandIn()); err != nil {
 		return err
 	}
-	if mode := h.row(); !mode.Open() {
-		return spread(ctx, r.Job.ID, h.refuseClosed(mode))
+	if row := h.row(); !row.Open() {
+		return spread(ctx, r.Job.ID, h.refuseClosed(row))
 	}
 	if err := tooWide(c, r.Job); err != nil {
 		return err
@@ -150,12 +150,12 @@
 // writeUnderOwner writes a key on condition that the owner's record has the given revision. The mode of
 // this host decides who writes (package reach). Errors: as of batchWriter.writeOnce.
 func (h *Host) putUnder(ctx context.Context, key string, value []byte, record int64) (created bool, err error) {
-	mode := h.row()
-	if !mode.Open() {
-		return false, h.refuseClosed(mode)
+	row := h.row()
+	if !row.Open() {
+		return false, h.refuseClosed(row)
 	}
-	h.figures.rows[mode].Inc(1)
-	if m := h.ownerToWrite(); mode == reach.OwnerWrites && m != nil {
+	h.figures.rows[row].Inc(1)
+	if m := h.ownerToWrite(); row == reach.OwnerWrites && m != nil {
 		return writeByOwner(ctx, m, key, value)
 	}
 	created, err = h.intake.put(ctx, key, value, record)
--- a/pkg/jobhost/jobs_fuzz_test.go
+++ b/pkg/jobhost/jobs_fuzz_test.go
@@ -28,15 +28,15 @@
 	p, err := emulator.Start(emulator.Options{Customers: []emulator.Customer{{Name: "north", Keys: []string{known}}}})
 	NewWithT(f).Expect(err).NotTo(HaveOccurred())
 	f.Cleanup(p.Close)
-	var handler http.Handler
+	var door http.Handler
 	f.Fuzz(func(t *testing.T, method, key, second, path, body string) {
-		if handler == nil {
+		if door == nil {
 			p.PutConfig(1)
 			h, _ := newTestHost(t, p)
 			items, _, err := h.store.List(t.Context(), "op/")
 			NewWithT(t).Expect(err).NotTo(HaveOccurred())
 			h.takeOperatorItems(items)
-			handler = h.door()
+			door = h.door()
 		}
 		r, err := http.NewRequest(method, "http://"+emulator.QueueHost, strings.NewReader(body))
 		if err != nil {
@@ -51,7 +51,7 @@
 			r.Header.Add("X-Api-Key", second)
 		}
 		w := httptest.NewRecorder()
-		handler.ServeHTTP(w, r)
+		door.ServeHTTP(w, r)
 		admitted := key == known && second == "" || second == known && key == ""
 		if w.Code < http.StatusBadRequest && !admitted {
 			t.Fatalf("%s %q with keys %q and %q: got %d", method, path, key, second, w.Code)
--- a/pkg/jobhost/metrics.go
+++ b/pkg/jobhost/metrics.go
@@ -38,12 +38,12 @@
 
 func newFigures() *figures {
 	r := metrics.NewRegistry()
-	writesByMode := map[reach.Row]metrics.Counter{}
+	rows := map[reach.Row]metrics.Counter{}
 	for _, mode := range reach.Rows() {
-		writesByMode[mode] = metrics.NewRegisteredCounter("intake."+string(mode), r)
+		rows[mode] = metrics.NewRegisteredCounter("intake."+string(mode), r)
 	}
 	return &figures{
-		rows:         writesByMode,
+		rows:         rows,
 		registry:     r,
 		accept:       metrics.NewRegisteredTimer("jobs.accept", r),
 		accepted:     metrics.NewRegisteredCounter("jobs.accepted", r),
--- a/pkg/reach/table.go
+++ b/pkg/reach/table.go
@@ -104,16 +104,16 @@
 
 // Update returns the mode in force for a new observation.
 func (g *Gate) Row(v View, now clock.Time) Row {
-	mode := Decide(v)
-	if g.row != HallCutOff || mode != StoreUnavailable {
-		g.row, g.contact = mode, 0
-		return mode
+	row := Decide(v)
+	if g.row != HallCutOff || row != StoreUnavailable {
+		g.row, g.contact = row, 0
+		return row
 	}
 	if g.contact == 0 {
 		g.contact = now
 	}
 	if now.Sub(g.contact) >= steadyContact {
-		g.row, g.contact = mode, 0
+		g.row, g.contact = row, 0
 	}
 	return g.row
 }
