--- a/pkg/jobhost/access.go
+++ b/pkg/jobhost/access.go
@@ -19,9 +19,9 @@
 	if c.Queue != nil {
 		call.QueuePublic = c.Queue.Public
 	}
-	var holder *customer.Customer
-	holder, call.Key = keyOf(cfg.Customers, c)
-	caller := customer.NewCaller(holder, call, c.Operator || cfg.Customers == nil)
+	var keyOwner *customer.Customer
+	keyOwner, call.Key = keyOf(cfg.Customers, c)
+	caller := customer.NewCaller(keyOwner, call, c.Operator || cfg.Customers == nil)
 	decision := customer.Decide(call)
 	if decision.Verdict != customer.Admitted {
 		h.figures.denied(decision.Verdict)
@@ -72,11 +72,11 @@
 
 // checkJobAccess returns an error unless a caller may access a job of the customer with the given name,
 // and logs each denial.
-func (h *Host) about(c customer.Caller, id job.ID, owner string) error {
-	decision := c.About(owner)
+func (h *Host) about(c customer.Caller, id job.ID, customerName string) error {
+	decision := c.About(customerName)
 	if decision.Verdict != customer.Admitted {
 		h.figures.denied(decision.Verdict)
-		h.log.WithFields(logrus.Fields{"job": id, "reason": decision.Reason, "customer": c.Name(), "holder": owner}).Info("call_denied")
+		h.log.WithFields(logrus.Fields{"job": id, "reason": decision.Reason, "customer": c.Name(), "holder": customerName}).Info("call_denied")
 	}
 	return errorOf(decision)
 }
--- a/pkg/jobhost/batch_writer.go
+++ b/pkg/jobhost/batch_writer.go
@@ -67,67 +67,68 @@
 // given revision. If the key already exists, that is no error, and created is false unless it holds the
 // same value. Errors: platform.ErrRefused if the key was certainly not written and never will be,
 // platform.ErrOutcomeUnknown, errOwnerChanged.
-func (t *intake) put(ctx context.Context, key string, value []byte, holder int64) (created bool, err error) {
-	if t.distrusts() {
+func (b *intake) put(ctx context.Context, key string, value []byte, holder int64) (created bool, err error) {
+	if b.distrusts() {
 		return false, errors.Wrap(platform.ErrRefused, "the store does not answer")
 	}
 	w := &write{ctx: ctx, key: key, value: value, holder: holder, done: make(chan putResult, 1)}
-	if !t.queue.put(w) {
+	if !b.queue.put(w) {
 		return false, errors.Wrap(platform.ErrRefused, "too many writes wait")
 	}
 	select {
 	case result := <-w.done:
 		return result.created, result.err
 	case <-ctx.Done():
-		if t.queue.remove(w) {
+		if b.queue.remove(w) {
 			return false, errors.Wrap(platform.ErrRefused, "nothing was sent until the caller's deadline")
 		}
 		return false, errors.Mark(ctx.Err(), platform.ErrUnsettled)
 	}
 }
 
-// isStoreUnresponsive reports whether a transaction has failed and the store has answered nothing since.
-func (t *intake) distrusts() bool {
-	return t.store.SilentSince(clock.Time(t.failedAt.Load())) && t.clk.Now().Sub(t.store.LastAnswer()) > distrustAfter
+// isStoreUnresponsive reports whether the store does not answer at present: a transaction has failed, and
+// the store has answered nothing since nor for maxStoreSilence.
+func (b *intake) distrusts() bool {
+	return b.store.SilentSince(clock.Time(b.failedAt.Load())) && b.clk.Now().Sub(b.store.LastAnswer()) > distrustAfter
 }
 
 // recordFailure records that a transaction got no answer.
-func (t *intake) failed() {
-	t.failedAt.Store(int64(t.clk.Now()))
-	t.store.Doubt()
+func (b *intake) failed() {
+	b.failedAt.Store(int64(b.clk.Now()))
+	b.store.Doubt()
 }
 
 // recordRecovery records that the store answers again after an outage.
-func (t *intake) storeBack() {
-	t.backAt.Store(int64(t.clk.Now()))
+func (b *intake) storeBack() {
+	b.backAt.Store(int64(b.clk.Now()))
 }
 
 // recoveredWithin reports whether the store has recovered less than d ago.
-func (t *intake) backSince(d time.Duration) bool {
-	at := t.backAt.Load()
-	return at != 0 && t.clk.Now().Sub(clock.Time(at)) < d
+func (b *intake) backSince(d time.Duration) bool {
+	at := b.backAt.Load()
+	return at != 0 && b.clk.Now().Sub(clock.Time(at)) < d
 }
 
 // run collects writes into transactions until ctx ends.
-func (t *intake) run(ctx context.Context) {
+func (b *intake) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.queue.more:
+		case <-b.queue.more:
 		}
-		if len(t.slots) > 0 {
+		if len(b.slots) > 0 {
 			clock.Sleep(ctx, intakeLinger)
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case t.slots <- struct{}{}:
+		case b.slots <- struct{}{}:
 		}
-		group := t.queue.take((platform.MaxTxnEntries-holderEntries)/entriesPerWrite, t.backSince(orderedFor))
+		group := b.queue.take((platform.MaxTxnEntries-holderEntries)/entriesPerWrite, b.backSince(orderedFor))
 		go func() {
-			defer func() { <-t.slots }()
-			t.commit(ctx, group)
+			defer func() { <-b.slots }()
+			b.commit(ctx, group)
 		}()
 	}
 }
@@ -135,12 +136,12 @@
 // commit writes a group in one transaction. After a conflict it answers the writes whose keys exist
 // already and repeats the others. If an answer was lost it repeats the transaction, which is safe because
 // each key is written only once.
-func (t *intake) commit(ctx context.Context, group []*write) {
-	started := t.clk.Now()
+func (b *intake) commit(ctx context.Context, group []*write) {
+	started := b.clk.Now()
 	outcomeUnknown := false
 	group, ownerRevision := underLatest(group)
 	for len(group) > 0 {
-		_, found, err := t.store.Commit(ctx, txnOf(group, ownerRevision))
+		_, found, err := b.store.Commit(ctx, txnOf(group, ownerRevision))
 		switch {
 		case err == nil:
 			answerAll(group, putResult{created: true})
@@ -148,7 +149,7 @@
 		case errors.Is(err, platform.ErrConflict):
 			rest := answerPresent(group, found)
 			switch {
-			case t.ownerChanged(found, ownerRevision):
+			case b.ownerChanged(found, ownerRevision):
 				answerAll(rest, putResult{err: errOwnerChanged})
 				return
 			case len(rest) == len(group):
@@ -161,12 +162,12 @@
 		case errors.Is(err, platform.ErrUnsettled):
 			outcomeUnknown = true
 		}
-		t.failed()
+		b.failed()
 		if !outcomeUnknown {
 			answerAll(group, putResult{err: errors.Mark(err, platform.ErrRefused)})
 			return
 		}
-		if ctx.Err() != nil || t.clk.Now().Sub(started) > t.settleLimit() {
+		if ctx.Err() != nil || b.clk.Now().Sub(started) > b.settleLimit() {
 			answerAll(group, putResult{err: errors.Mark(errors.Newf("%v", err), platform.ErrUnsettled)})
 			return
 		}
@@ -175,8 +176,8 @@
 }
 
 // resolveTimeout returns for how long commit repeats a transaction with a lost answer.
-func (t *intake) settleLimit() time.Duration {
-	if t.backSince(orderedFor) {
+func (b *intake) settleLimit() time.Duration {
+	if b.backSince(orderedFor) {
 		return settleBack
 	}
 	return settleFor
@@ -200,10 +201,10 @@
 
 // detectOwnerChange reports whether a conflict has revealed another owner's record, and passes that
 // record on.
-func (t *intake) ownerChanged(found []platform.Item, ownerRevision int64) bool {
+func (b *intake) ownerChanged(found []platform.Item, ownerRevision int64) bool {
 	for _, i := range found {
 		if i.Key == jobstore.HolderKey && i.Revision != ownerRevision {
-			t.sawHolder(i)
+			b.sawHolder(i)
 			return true
 		}
 	}
--- a/pkg/jobhost/customer_limits.go
+++ b/pkg/jobhost/customer_limits.go
@@ -42,7 +42,7 @@
 	return float64(binary.BigEndian.Uint64(sum[:])>>(64-placeBits)) / (1 << placeBits)
 }
 
-// refuseOverShare refuses a job of a customer that sends more than its weight if the job would wait too
+// refuseForShare refuses a job of a customer that sends more than its weight if the job would wait too
 // long, unless the job was already accepted. Errors: *platform.RefusedError.
 func (h *Host) refuseBeyondWeight(ctx context.Context, r job.Record) error {
 	if r.Customer.Name == "" {
--- a/pkg/jobhost/evacuations.go
+++ b/pkg/jobhost/evacuations.go
@@ -29,11 +29,11 @@
 func (h *Host) takeEvacuation(hall string, i platform.Item) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	take := h.evacuated.Put
+	apply := h.evacuated.Put
 	if i.Gone {
-		take = h.evacuated.Remove
+		apply = h.evacuated.Remove
 	}
-	if take(hall, i.Revision) {
+	if apply(hall, i.Revision) {
 		h.evacuationsChanged()
 	}
 }
--- a/pkg/jobhost/host.go
+++ b/pkg/jobhost/host.go
@@ -177,11 +177,11 @@
 // listenForOperators serves the operators' requests. If the address is already in use, the host still
 // serves callers.
 func (h *Host) serveOperators(address netip.AddrPort) error {
-	door, err := h.operatorDoor()
+	handler, err := h.operatorDoor()
 	if err != nil {
 		return err
 	}
-	server := &http.Server{Addr: address.String(), Handler: door, ReadHeaderTimeout: headerTimeout}
+	server := &http.Server{Addr: address.String(), Handler: handler, ReadHeaderTimeout: headerTimeout}
 	go func() {
 		err := server.ListenAndServe()
 		h.log.WithFields(logrus.Fields{"address": address, "error": err}).Warn("operators_not_served")
--- a/pkg/jobhost/jobs.go
+++ b/pkg/jobhost/jobs.go
@@ -99,11 +99,11 @@
 	if c.Customer == nil {
 		return nil
 	}
-	_, holder, err := h.find(ctx, id, func() bool { return true })
+	_, customerName, err := h.find(ctx, id, func() bool { return true })
 	if err != nil {
 		return errors.Mark(err, platform.ErrUnsettled)
 	}
-	return h.about(c, id, holder)
+	return h.about(c, id, customerName)
 }
 
 // countSubmission updates the metrics of submissions with the outcome of one.
@@ -134,12 +134,12 @@
 // the owner. Errors: platform.ErrRefused, platform.ErrOutcomeUnknown.
 func (h *Host) put(ctx context.Context, key string, textUnder func(term int64) ([]byte, error)) (keptValue, error) {
 	for range mostOwnerChanges {
-		record, term := h.knownOwner()
+		ownerRevision, term := h.knownOwner()
 		text, err := textUnder(term)
 		if err != nil {
 			return keptValue{}, errors.Mark(err, platform.ErrRefused)
 		}
-		created, err := h.putUnder(ctx, key, text, record)
+		created, err := h.putUnder(ctx, key, text, ownerRevision)
 		if !errors.Is(err, errOwnerChanged) {
 			return keptValue{text: text, created: created}, err
 		}
@@ -149,7 +149,7 @@
 
 // writeUnderOwner writes a key on condition that the owner's record has the given revision. The mode of
 // this host decides who writes (package reach). Errors: as of batchWriter.writeOnce.
-func (h *Host) putUnder(ctx context.Context, key string, value []byte, record int64) (created bool, err error) {
+func (h *Host) putUnder(ctx context.Context, key string, value []byte, ownerRevision int64) (created bool, err error) {
 	row := h.row()
 	if !row.Open() {
 		return false, h.refuseClosed(row)
@@ -158,7 +158,7 @@
 	if m := h.ownerToWrite(); row == reach.OwnerWrites && m != nil {
 		return writeByOwner(ctx, m, key, value)
 	}
-	created, err = h.intake.put(ctx, key, value, record)
+	created, err = h.intake.put(ctx, key, value, ownerRevision)
 	m := h.ownerToWrite()
 	if err == nil || m == nil || errors.Is(err, errOwnerChanged) {
 		return created, err
@@ -215,8 +215,8 @@
 
 // writeForMember writes a key for another host, while this host is the owner.
 func (h *Host) writeFor(ctx context.Context, key string, value []byte) *poolpb.Answer {
-	record, _ := h.knownOwner()
-	created, err := h.intake.put(ctx, key, value, record)
+	ownerRevision, _ := h.knownOwner()
+	created, err := h.intake.put(ctx, key, value, ownerRevision)
 	refused := errors.IsAny(err, platform.ErrRefused, errOwnerChanged)
 	return &poolpb.Answer{Created: created, Refused: refused, Unknown: err != nil && !refused}
 }
@@ -239,17 +239,17 @@
 // jobState returns the state of a job.
 func (h *Host) state(ctx context.Context, c customer.Caller, id job.ID) (job.State, error) {
 	defer h.figures.state.UpdateSince(time.Now())
-	state, holder, err := h.find(ctx, id, h.stateReads.allow)
+	state, customerName, err := h.find(ctx, id, h.stateReads.allow)
 	if err != nil {
 		return "", err
 	}
-	return state, h.about(c, id, holder)
+	return state, h.about(c, id, customerName)
 }
 
 // findJob returns the state of a job and the name of its customer. If the owner does not know the job,
 // the store is read. If the owner can't be asked, the store is read only if mayRead returns true. Errors:
 // platform.ErrNoJob, platform.ErrOutcomeUnknown.
-func (h *Host) find(ctx context.Context, id job.ID, mayRead func() bool) (state job.State, holder string, err error) {
+func (h *Host) find(ctx context.Context, id job.ID, mayRead func() bool) (state job.State, customerName string, err error) {
 	a := h.ask(ctx, &poolpb.Question{Job: string(id)})
 	if a != nil && !a.Unknown {
 		return job.State(a.State), a.Customer, nil
@@ -285,7 +285,7 @@
 	return err != nil || len(p.Tasks) > 0
 }
 
-// readRecord reads a job's record. Errors: platform.ErrNoJob, platform.ErrUnsettled.
+// readRecord reads a job's record. Errors: platform.ErrNoJob, platform.ErrOutcomeUnknown.
 func (h *Host) readRecord(ctx context.Context, id job.ID) (job.Record, error) {
 	item, err := h.store.Read(ctx, jobstore.JobKey(id))
 	if errors.Is(err, platform.ErrAbsent) {
@@ -358,11 +358,11 @@
 // advise carries out a call for advice that the owner has assigned to this host.
 func (h *Host) advise(ctx context.Context, call *poolpb.AdviceCall) *poolpb.AdviceResult {
 	result := &poolpb.AdviceResult{Number: call.Number}
-	adviser := h.advice.Load()
-	if adviser == nil {
+	client := h.advice.Load()
+	if client == nil {
 		return result
 	}
-	tickets, err := adviser.Advise(ctx, stepOf(call), workersOf(call), time.Duration(call.LimitMs)*time.Millisecond)
+	tickets, err := client.Advise(ctx, stepOf(call), workersOf(call), time.Duration(call.LimitMs)*time.Millisecond)
 	if err != nil {
 		h.log.WithFields(logrus.Fields{"step": stepOf(call), "error": err}).Warn("advice_failed")
 		return result
--- a/pkg/jobhost/key_watcher.go
+++ b/pkg/jobhost/key_watcher.go
@@ -37,17 +37,17 @@
 }
 
 // run watches the keys until ctx ends.
-func (f *follower) run(ctx context.Context) {
+func (w *follower) run(ctx context.Context) {
 	for {
-		after, listErr := f.list(ctx)
+		after, listErr := w.list(ctx)
 		err := listErr
 		if listErr == nil {
-			err = f.watch(ctx, after)
+			err = w.watch(ctx, after)
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		f.Lost(err)
+		w.Lost(err)
 		if listErr != nil {
 			clock.Sleep(ctx, listRetry)
 		}
@@ -55,26 +55,26 @@
 }
 
 // list reads all keys and returns the revision after which to watch.
-func (f *follower) list(ctx context.Context) (after int64, err error) {
-	requestedAt := f.clk.Now()
-	items, after, err := f.store.List(ctx, f.prefix)
+func (w *follower) list(ctx context.Context) (after int64, err error) {
+	requestedAt := w.clk.Now()
+	items, after, err := w.store.List(ctx, w.prefix)
 	if err != nil {
 		return 0, err
 	}
-	f.takeList(items, after)
-	f.Known(requestedAt)
+	w.takeList(items, after)
+	w.Known(requestedAt)
 	return after, nil
 }
 
 // watch applies the changes after a revision until a watch fails, and returns the error.
-func (f *follower) watch(ctx context.Context, after int64) error {
+func (w *follower) watch(ctx context.Context, after int64) error {
 	for {
-		items, at, err := f.store.Watch(ctx, f.prefix, after, f.wait())
+		items, at, err := w.store.Watch(ctx, w.prefix, after, w.wait())
 		if err != nil {
 			return err
 		}
-		f.takeChanges(items)
-		f.Known(f.clk.Now())
+		w.takeChanges(items)
+		w.Known(w.clk.Now())
 		after = at
 	}
 }
--- a/pkg/jobhost/lookup_limiter.go
+++ b/pkg/jobhost/lookup_limiter.go
@@ -29,19 +29,19 @@
 
 // newLookupLimiter returns a limiter for a store with the given read rate.
 func newStateReads(readsPerSecond float64) *stateReads {
-	s := &stateReads{limiter: rate.NewLimiter(0, stateBurst), readsPerSecond: readsPerSecond}
-	s.setHosts(unknownHosts)
-	return s
+	l := &stateReads{limiter: rate.NewLimiter(0, stateBurst), readsPerSecond: readsPerSecond}
+	l.setHosts(unknownHosts)
+	return l
 }
 
 // setHosts sets the number of hosts that share the rate; 0 means unknown and changes nothing.
-func (s *stateReads) setHosts(n int) {
+func (l *stateReads) setHosts(n int) {
 	if n > 0 {
-		s.limiter.SetLimit(rate.Limit(stateShare * s.readsPerSecond / readsAState / float64(n)))
+		l.limiter.SetLimit(rate.Limit(stateShare * l.readsPerSecond / readsAState / float64(n)))
 	}
 }
 
 // allow reports whether one more job may be looked up now.
-func (s *stateReads) allow() bool {
-	return s.limiter.Allow()
+func (l *stateReads) allow() bool {
+	return l.limiter.Allow()
 }
--- a/pkg/jobhost/metrics.go
+++ b/pkg/jobhost/metrics.go
@@ -62,8 +62,8 @@
 }
 
 // countDenial counts a rejected call.
-func (f *figures) denied(v customer.Verdict) {
-	if c, ok := f.denials[v]; ok {
+func (m *figures) denied(v customer.Verdict) {
+	if c, ok := m.denials[v]; ok {
 		c.Inc(1)
 	}
 }
--- a/pkg/jobhost/owner_list.go
+++ b/pkg/jobhost/owner_list.go
@@ -22,13 +22,13 @@
 }
 
 // set stores a list that was received from the owner.
-func (t *told[T]) put(list []T, now clock.Time) {
-	t.last.Store(&toldList[T]{now, list})
+func (l *told[T]) put(list []T, now clock.Time) {
+	l.last.Store(&toldList[T]{now, list})
 }
 
 // current returns the list in force; nil if none was received recently.
-func (t *told[T]) now(now clock.Time) []T {
-	last := t.last.Load()
+func (l *told[T]) now(now clock.Time) []T {
+	last := l.last.Load()
 	if last == nil || now.Sub(last.at) > refusalsHold {
 		return nil
 	}
--- a/pkg/jobhost/refused_queues.go
+++ b/pkg/jobhost/refused_queues.go
@@ -12,7 +12,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// refusedQueues are the queues that accept no jobs, as the owner last reported them.
+// refusedQueueList are the queues that accept no jobs, as the owner last reported them.
 type queueRefusals struct {
 	told[*poolpb.Refusal]
 }
@@ -40,7 +40,7 @@
 	return h.refusals.of(queueName, h.clk.Now())
 }
 
-// refuseQueue refuses a job that would wait too long, unless the job was already accepted. Errors:
+// refuseForQueue refuses a job that would wait too long, unless the job was already accepted. Errors:
 // *platform.RefusedError.
 func (h *Host) refuseUnserved(ctx context.Context, queueName string, id job.ID) error {
 	r := h.refusal(queueName)
--- a/pkg/reach/table.go
+++ b/pkg/reach/table.go
@@ -24,19 +24,19 @@
 }
 
 // AcceptsJobs reports whether this host or the owner can write submitted jobs.
-func (r Row) Open() bool {
-	return r == OwnWrite || r == OwnerWrites
+func (m Row) Open() bool {
+	return m == OwnWrite || m == OwnerWrites
 }
 
 // IsReady reports whether the balancer should send callers to the host: it accepts jobs, or no other host
 // can.
-func (r Row) Ready() bool {
-	return r.Open() || r == StoreUnavailable
+func (m Row) Ready() bool {
+	return m.Open() || m == StoreUnavailable
 }
 
 // Reason returns why a mode refuses jobs, for logs and errors; empty if it accepts them.
-func (r Row) Reason() string {
-	switch r {
+func (m Row) Reason() string {
+	switch m {
 	case StoreUnavailable:
 		return "the store answers neither this host nor the owner"
 	case HallCutOff:
@@ -75,15 +75,15 @@
 }
 
 // Decide returns the mode for an observation.
-func Decide(v View) Row {
+func Decide(o View) Row {
 	switch {
-	case v.StoreAnswers:
+	case o.StoreAnswers:
 		return OwnWrite
-	case !v.Owner.Heard:
+	case !o.Owner.Heard:
 		return HostCutOff
-	case v.Owner.StoreAnswers() && !v.Owner.Self:
+	case o.Owner.StoreAnswers() && !o.Owner.Self:
 		return OwnerWrites
-	case v.Owner.HallsLost && v.Owner.OtherHalls == 0:
+	case o.Owner.HallsLost && o.Owner.OtherHalls == 0:
 		return HallCutOff
 	}
 	return StoreUnavailable
@@ -103,17 +103,17 @@
 }
 
 // Update returns the mode in force for a new observation.
-func (g *Gate) Row(v View, now clock.Time) Row {
-	row := Decide(v)
-	if g.row != HallCutOff || row != StoreUnavailable {
-		g.row, g.contact = row, 0
+func (t *Gate) Row(o View, now clock.Time) Row {
+	row := Decide(o)
+	if t.row != HallCutOff || row != StoreUnavailable {
+		t.row, t.contact = row, 0
 		return row
 	}
-	if g.contact == 0 {
-		g.contact = now
+	if t.contact == 0 {
+		t.contact = now
 	}
-	if now.Sub(g.contact) >= steadyContact {
-		g.row, g.contact = row, 0
+	if now.Sub(t.contact) >= steadyContact {
+		t.row, t.contact = row, 0
 	}
-	return g.row
+	return t.row
 }
--- a/pkg/reach/table_test.go
+++ b/pkg/reach/table_test.go
@@ -13,8 +13,8 @@
 // Checks each row of the table: who writes, and whether the host reports ready.
 func TestTable(t *testing.T) {
 	for name, c := range map[string]struct {
-		view        View
-		row         Row
+		observation View
+		mode        Row
 		open, ready bool
 	}{
 		"the store answers": {View{true, Owner{Heard: true}}, OwnWrite, true, true},
@@ -32,11 +32,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			row := Decide(c.view)
-			g.Expect(row).To(Equal(c.row))
-			g.Expect(row.Open()).To(Equal(c.open))
-			g.Expect(row.Ready()).To(Equal(c.ready))
-			g.Expect(row.Reason() == "").To(Equal(c.open), "a refusal has a reason")
+			mode := Decide(c.observation)
+			g.Expect(mode).To(Equal(c.mode))
+			g.Expect(mode.Open()).To(Equal(c.open))
+			g.Expect(mode.Ready()).To(Equal(c.ready))
+			g.Expect(mode.Reason() == "").To(Equal(c.open), "a refusal has a reason")
 		})
 	}
 }
@@ -47,16 +47,16 @@
 	g := NewWithT(t)
 	lost := View{false, Owner{Heard: true, StoreAge: silent, HallsLost: true}}
 	heard := View{false, Owner{Heard: true, StoreAge: silent, OtherHalls: 1}}
-	var gate Gate
+	var tracker Gate
 	now := clock.Time(1000)
-	g.Expect(gate.Row(heard, now)).To(Equal(StoreUnavailable))
-	g.Expect(gate.Row(lost, now)).To(Equal(HallCutOff))
-	g.Expect(gate.Row(heard, now.Add(time.Second))).To(Equal(HallCutOff))
-	g.Expect(gate.Row(lost, now.Add(2*time.Second))).To(Equal(HallCutOff))
-	g.Expect(gate.Row(heard, now.Add(3*time.Second))).To(Equal(HallCutOff))
-	g.Expect(gate.Row(heard, now.Add(5*time.Second))).To(Equal(StoreUnavailable), "steady for 2 s")
-	g.Expect(gate.Row(lost, now.Add(6*time.Second))).To(Equal(HallCutOff))
-	g.Expect(gate.Row(View{true, lost.Owner}, now.Add(6*time.Second))).To(Equal(OwnWrite), "at once, since the store answers")
+	g.Expect(tracker.Row(heard, now)).To(Equal(StoreUnavailable))
+	g.Expect(tracker.Row(lost, now)).To(Equal(HallCutOff))
+	g.Expect(tracker.Row(heard, now.Add(time.Second))).To(Equal(HallCutOff))
+	g.Expect(tracker.Row(lost, now.Add(2*time.Second))).To(Equal(HallCutOff))
+	g.Expect(tracker.Row(heard, now.Add(3*time.Second))).To(Equal(HallCutOff))
+	g.Expect(tracker.Row(heard, now.Add(5*time.Second))).To(Equal(StoreUnavailable), "stable for 2 s")
+	g.Expect(tracker.Row(lost, now.Add(6*time.Second))).To(Equal(HallCutOff))
+	g.Expect(tracker.Row(View{true, lost.Owner}, now.Add(6*time.Second))).To(Equal(OwnWrite), "at once, since the store answers")
 }
 
 // Guards against halls that count as cut off although they are not, and against cut-off halls that are
