--- a/pkg/job/job.go
+++ b/pkg/job/job.go
@@ -142,7 +142,7 @@
 // StepID identifies one step of one occurrence of a job.
 type StepID struct {
 	Job  ID
-	Time int
+	Time int // the occurrence
 	Step int
 }
 
--- a/pkg/job/record.go
+++ b/pkg/job/record.go
@@ -75,7 +75,7 @@
 
 // TaskProgress is the stored progress of one task, or of a gang under its task 0.
 type TaskProgress struct {
-	Time       int    `json:"k,omitempty"`
+	Time       int    `json:"k,omitempty"` // the occurrence
 	Step       int    `json:"s,omitempty"`
 	Index      int    `json:"i,omitempty"`
 	Done       bool   `json:"d,omitempty"`
--- a/pkg/jobhost/config_test.go
+++ b/pkg/jobhost/config_test.go
@@ -37,13 +37,13 @@
 }
 
 // runWatcher runs a watcher until the test ends.
-func follow(t *testing.T, f *follower) {
+func follow(t *testing.T, w *follower) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		f.run(ctx)
+		w.run(ctx)
 	}()
 	t.Cleanup(func() {
 		cancel()
--- a/pkg/jobhost/election.go
+++ b/pkg/jobhost/election.go
@@ -91,6 +91,7 @@
 	h.takeOwnerItems(items)
 }
 
+// applyOwnerItems applies changes of the owner's keys: its record and its lease.
 func (h *Host) takeOwnerItems(items []platform.Item) {
 	e := &h.election
 	e.mu.Lock()
--- a/pkg/jobhost/intake_mode.go
+++ b/pkg/jobhost/intake_mode.go
@@ -216,20 +216,20 @@
 		return
 	}
 	row, now := h.row(), h.clk.Now()
-	g := &h.gate
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	previous := g.logged
-	g.logged = row
+	s := &h.gate
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	previous := s.logged
+	s.logged = row
 	wasOpen := previous == "" || previous.Open()
 	switch {
 	case row == previous || wasOpen && row.Open():
 		return
 	case row.Open():
-		h.log.WithFields(logrus.Fields{"row": row, "closed_as": previous, "closed_ms": now.Sub(g.closedAt).Milliseconds()}).Info("door_open")
+		h.log.WithFields(logrus.Fields{"row": row, "closed_as": previous, "closed_ms": now.Sub(s.closedAt).Milliseconds()}).Info("door_open")
 		return
 	case wasOpen:
-		g.closedAt = now
+		s.closedAt = now
 	}
 	h.log.WithFields(logrus.Fields{"row": row, "ready": row.Ready(), "store_age_ms": h.storeAge().Milliseconds()}).Warn("door_closed")
 }
