--- a/pkg/customer/doc.go
+++ b/pkg/customer/doc.go
@@ -7,9 +7,11 @@
 //
 // # Usage
 //
-//	d, faults := customer.NewDirectory([]customer.Entry{{Customer: customer.Customer{Name: "north"}, Keys: []string{key}}})
+//	north := customer.Customer{Name: "north"}
+//	d, faults := customer.NewDirectory([]customer.Entry{{Customer: north, Keys: []string{key}}})
 //	c, ok := d.ByKey(key)
-//	decision := customer.Decide(customer.Call{QueueKnown: true, Key: customer.KeyKnown, ConfigAge: age, Settings: settings})
+//	call := customer.Call{QueueKnown: true, Key: customer.KeyKnown, ConfigAge: age, AccessSettings: settings}
+//	decision := customer.Decide(call)
 //	if decision.Verdict != customer.Admitted {
 //		// answer with decision.Verdict, log decision.Reason
 //	}
--- a/pkg/jobapi/doc.go
+++ b/pkg/jobapi/doc.go
@@ -11,7 +11,8 @@
 //
 // # Usage
 //
-//	handler, err := jobapi.New(platform.JobService{Config: …, Admit: …, Submit: …, State: …, Cancel: …, Pending: …})
+//	service := platform.JobService{Config: …, Admit: …, Submit: …, State: …, Cancel: …, Pending: …}
+//	handler, err := jobapi.New(service)
 //	mux.Handle("/v1/", handler)
 //
 //	PUT /v1/queues/fits/jobs/5c0e7a21d94b36f8
