--- a/pkg/jobhost/reach.go
+++ b/pkg/jobhost/intake_mode.go
@@ -15,35 +15,36 @@
 	"github.com/sirupsen/logrus"
 )
 
-// What a host can do with what callers hand in follows from whom the store answers and from what the owner hears (package reach). Where hundreds of
-// hosts hear the owner and ask the store seldom, silence alone tells late that the store is away; so a host that misses a heartbeat of the owner,
-// or whose owner has no store, asks the store.
-
 const (
-	// lookEvery is the time between two looks at whether the store has to be asked, which is also the time between two probes of the owner: all
-	// others hear from it at once that the store is back.
+	// checkInterval is the time between two checks whether the store must be probed. It is also the time
+	// between two probes by the owner, because the other hosts learn from the owner at once that the
+	// store has recovered.
 	lookEvery = 50 * time.Millisecond
-	// probeAfter is how long ago the store must have answered to be asked, and ownerProbeAfter how long for the owner, which calls it every 0.4 s.
+	// probeStoreAge is the age of the store's last answer from which on a host may probe the store.
+	// ownerProbeStoreAge applies to the owner, which calls the store every 0.4 s anyway.
 	probeAfter      = 400 * time.Millisecond
 	ownerProbeAfter = 500 * time.Millisecond
-	// probeEvery is the time between two probes of a host that does not hear the owner, and heardProbeEvery of one that does.
+	// probeInterval is the time between two probes of a host without a responsive owner,
+	// linkedProbeInterval that of a host with one.
 	probeEvery      = 100 * time.Millisecond
 	heardProbeEvery = 400 * time.Millisecond
-	// probeShare is the part of the store's rate of reads that the probes of all hosts may take, and burstShare the part for the moment in which
-	// all hear that the store is back.
+	// probeReadShare is the share of the store's read rate that the probes of all hosts may use.
+	// recoveryReadShare applies when all hosts probe at once because they have learned that the store has
+	// recovered.
 	probeShare = 0.25
 	burstShare = 0.5
 )
 
-// gate is the row of the table that this host is in. It is safe for concurrent use.
+// modeState is the mode in which this host handles submitted jobs, which depends on whether it reaches
+// the store and the owner (package reach). It is safe for concurrent use.
 type gate struct {
 	mu       sync.Mutex
 	gate     reach.Gate
 	logged   reach.Row
-	closedAt clock.Time // when the row that is logged was closed first
+	closedAt clock.Time // when the host stopped accepting jobs
 }
 
-// row is the row of the table that this host is in now.
+// mode returns the mode in which this host is now.
 func (h *Host) row() reach.Row {
 	v := h.view()
 	h.gate.mu.Lock()
@@ -51,7 +52,7 @@
 	return h.gate.gate.Row(v, h.clk.Now())
 }
 
-// view is what this host knows of the store and the owner.
+// observe returns what this host knows about the store and the owner.
 func (h *Host) view() reach.View {
 	v := reach.View{StoreAnswers: h.storeAnswers() && !h.intake.distrusts() && !h.probeFailed()}
 	switch o := h.owner.Load(); {
@@ -66,22 +67,22 @@
 	return v
 }
 
-// ownerReach is what the owner told last of whom it reaches.
+// ownerView returns what the owner has last reported about whom it reaches.
 func (h *Host) ownerReach() reach.Owner {
-	if told := h.toldReach.Load(); told != nil {
-		return *told
+	if reported := h.toldReach.Load(); reported != nil {
+		return *reported
 	}
 	return reach.Owner{Heard: true}
 }
 
-// takeReach takes in what the owner tells of whom it reaches.
+// applyOwnerReach applies what the owner reports about whom it reaches.
 func (h *Host) takeReach(s *poolpb.OwnerStatus) {
-	told := &reach.Owner{
+	reported := &reach.Owner{
 		Heard: true, StoreAge: time.Duration(s.StoreAgeMs) * time.Millisecond, OtherHalls: int(s.OtherHalls), HallsLost: s.HallsLost,
 	}
-	former := h.toldReach.Swap(told)
+	previous := h.toldReach.Swap(reported)
 	h.hosts.Store(int64(s.Hosts))
-	if former == nil || former.StoreAnswers() || !told.StoreAnswers() {
+	if previous == nil || previous.StoreAnswers() || !reported.StoreAnswers() {
 		return
 	}
 	select {
@@ -90,13 +91,14 @@
 	}
 }
 
-// storeAnswers says whether the store has answered lately.
+// hasStoreAnswered reports whether the store has answered recently enough to count as reachable.
 func (h *Host) storeAnswers() bool {
-	longer := operatorWait(h.cfg.Load().Bounds) - configWait // a host that does nothing else hears of the store that seldom
-	return h.storeAge() < storeFresh+max(longer, 0)
+	extraWait := operatorWait(h.cfg.Load().Bounds) - configWait // an idle host calls the store only this often
+	return h.storeAge() < storeFresh+max(extraWait, 0)
 }
 
-// hearsOwner says whether this host owns the pool or has heard the owner lately.
+// isOwnerResponsive reports whether this host owns the pool or has received a recent heartbeat of the
+// owner.
 func (h *Host) hearsOwner() bool {
 	if h.owner.Load() != nil {
 		return true
@@ -105,15 +107,21 @@
 	return m != nil && h.clk.Now().Sub(m.HeardAt()) < reach.SilenceOf(m.Heartbeat())
 }
 
-// linked says whether this host owns the pool or has a link to the owner, which may be silent for a little.
+// isLinked reports whether this host owns the pool or has a link to the owner. The link may have been
+// without a heartbeat for a short time.
 func (h *Host) linked() bool {
 	return h.owner.Load() != nil || h.member.Load() != nil
 }
 
-// watchReach is the duty that asks the store whether it answers when there is a reason to doubt it, and logs the row of the table.
+// watchStore probes the store when it may be unreachable, and logs changes of the mode. It runs until ctx
+// ends.
+//
+// In a pool of hundreds of hosts each one calls the store seldom, so that a lack of answers alone would
+// reveal an outage of the store late. A host therefore probes the store as soon as it misses a heartbeat
+// of the owner, or the owner reports that it has lost the store.
 func (h *Host) watchReach(ctx context.Context) {
-	look := time.NewTicker(lookEvery)
-	defer look.Stop()
+	ticker := time.NewTicker(lookEvery)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
@@ -125,7 +133,7 @@
 				clock.Sleep(ctx, rand.N(h.spaced(burstShare)+time.Millisecond))
 				h.probe(ctx)
 			})
-		case <-look.C:
+		case <-ticker.C:
 			h.probeStore(ctx)
 		}
 		if h.intake.distrusts() {
@@ -135,7 +143,8 @@
 	}
 }
 
-// storeBack has what waits for the store go on at once, and the members learn that the owner reaches it.
+// handleStoreRecovery lets waiting writes continue at once, and informs the other hosts if this host is
+// the owner.
 func (h *Host) storeBack() {
 	h.intake.storeBack()
 	if o := h.owner.Load(); o != nil {
@@ -143,8 +152,8 @@
 	}
 }
 
-// probeStore begins to ask the store whether it answers, if there is a reason and the time has come. Probes overlap: one that was sent while the store is silent
-// is never answered, and must not keep the next one back.
+// probeStore starts a probe of the store if one is needed and due. Probes may overlap: a probe that was
+// sent during an outage is never answered, and must not delay the next one.
 func (h *Host) probeStore(ctx context.Context) {
 	now := h.clk.Now()
 	if !h.mayHaveLostStore() || now.Sub(h.probedAt) < h.probePause() {
@@ -154,7 +163,8 @@
 	h.duties.Go(func() { h.probe(ctx) })
 }
 
-// mayHaveLostStore says that the store has not answered lately, and that nobody who is heard reaches it.
+// needsProbe reports whether the store has not answered this host recently and no responsive owner
+// reports that it reaches the store.
 func (h *Host) mayHaveLostStore() bool {
 	if h.owner.Load() != nil {
 		return h.storeAge() >= ownerProbeAfter
@@ -162,7 +172,7 @@
 	return h.storeAge() >= probeAfter && !(h.hearsOwner() && h.ownerReach().StoreAnswers())
 }
 
-// probePause is the time between two probes of this host.
+// nextProbeInterval returns the time between two probes of this host.
 func (h *Host) probePause() time.Duration {
 	switch {
 	case h.owner.Load() != nil:
@@ -173,7 +183,8 @@
 	return max(probeEvery, h.spaced(probeShare))
 }
 
-// spaced is the time between two probes of this host at which those of all hosts take a share of the store's rate of reads.
+// sharedReadInterval returns the time between two reads of this host at which the reads of all hosts
+// together use the given share of the store's read rate.
 func (h *Host) spaced(share float64) time.Duration {
 	reads := h.cfg.Load().Store.ReadsPerSecond
 	if reads <= 0 {
@@ -183,7 +194,7 @@
 	return time.Duration(float64(hosts) / (share * reads) * float64(time.Second))
 }
 
-// probe asks the store whether it answers.
+// probe reads a key of the store to find out whether the store answers.
 func (h *Host) probe(ctx context.Context) {
 	began := h.clk.Now()
 	if h.store.Reached(ctx, jobstore.HolderKey) || ctx.Err() != nil || h.store.LastAnswer() >= began {
@@ -193,36 +204,38 @@
 	h.store.Doubt()
 }
 
-// probeFailed says that a probe got no answer, and that nothing was answered since.
+// isProbeUnanswered reports whether a probe got no answer and nothing was answered since.
 func (h *Host) probeFailed() bool {
 	return h.store.SilentSince(clock.Time(h.probeFailedAt.Load()))
 }
 
-// logRow logs when the intake of this host closes, opens, or is closed for another reason.
+// logModeChange logs when this host starts or stops accepting jobs, or when the reason for not accepting
+// them changes.
 func (h *Host) logRow() {
 	if h.config.Load() == nil {
 		return
 	}
 	row, now := h.row(), h.clk.Now()
-	g := &h.gate
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	former := g.logged
-	g.logged = row
-	wasOpen := former == "" || former.Open()
+	s := &h.gate
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	previous := s.logged
+	s.logged = row
+	wasOpen := previous == "" || previous.Open()
 	switch {
-	case row == former || wasOpen && row.Open():
+	case row == previous || wasOpen && row.Open():
 		return
 	case row.Open():
-		h.log.WithFields(logrus.Fields{"row": row, "closed_as": former, "closed_ms": now.Sub(g.closedAt).Milliseconds()}).Info("door_open")
+		h.log.WithFields(logrus.Fields{"row": row, "closed_as": previous, "closed_ms": now.Sub(s.closedAt).Milliseconds()}).Info("door_open")
 		return
 	case wasOpen:
-		g.closedAt = now
+		s.closedAt = now
 	}
 	h.log.WithFields(logrus.Fields{"row": row, "ready": row.Ready(), "store_age_ms": h.storeAge().Milliseconds()}).Warn("door_closed")
 }
 
-// ownerToWrite is the link over which the owner can be asked to write; nil when there is none, the owner is silent, or the store does not answer it.
+// ownerForWrites returns the link over which the owner can be asked to write. It is nil if there is no
+// link, the owner is not responsive, or the owner does not reach the store.
 func (h *Host) ownerToWrite() *poolrpc.Member {
 	if !h.hearsOwner() || !h.ownerReach().StoreAnswers() {
 		return nil
--- a/pkg/jobhost/door_fuzz_test.go
+++ b/pkg/jobhost/jobs_fuzz_test.go
@@ -10,7 +10,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// A call without a customer's key is answered by a denial, whatever its key, path and body are, and keeps nothing.
+// A call without a customer's key must be denied and must store nothing, whatever its key, path and body
+// are.
 func FuzzDoor(f *testing.F) {
 	const known = "north-key"
 	for _, seed := range []struct{ method, key, second, path, body string }{
@@ -56,7 +57,7 @@
 			t.Fatalf("%s %q with keys %q and %q: got %d", method, path, key, second, w.Code)
 		}
 		if got := p.Store.Values("foldarch/"); len(got) > 0 {
-			t.Fatalf("kept: %q", got)
+			t.Fatalf("stored: %q", got)
 		}
 	})
 }
