--- a/pkg/cell/doc.go
+++ b/pkg/cell/doc.go
@@ -1,10 +1,10 @@
-// Package cell holds the identifiers and quantities that every other package speaks of:
-// halls, shards, epochs, resources and the layout of a cell.
+// Package cell defines the identifiers and quantities that the other packages share: halls, shards, epochs,
+// resources and the layout of a cell.
 //
-// A cell is one installation. It has halls; the workers and endpoints of a hall are cut
-// into a fixed number of shards; each shard has at most one owner at a time, and the
-// owner alone gives work to the shard. The layout is part of the settings. The number of
-// shards decides where a key is at home, so it is fixed when a cell is founded.
+// A cell is one installation. It consists of data halls. The workers and endpoints of a hall are partitioned
+// into a fixed number of shards. Each shard has at most one owner at a time, and only the owner assigns work
+// in the shard. The layout is part of the settings. It can't be changed once the cell is running, because
+// the home shard of a key depends on the number of shards.
 //
 // # Usage
 //
--- a/pkg/cell/identifiers.go
+++ b/pkg/cell/identifiers.go
@@ -8,13 +8,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Hall names a data hall.
+// Hall is the name of a data hall.
 type Hall string
 
-// Epoch counts the owners of a shard. A higher epoch fences a lower one. The first is 1.
+// Epoch is the number of an ownership of a shard, counted from 1. Owners with a lower epoch are fenced off
+// by a higher one.
 type Epoch int64
 
-// ShardID names one slice of a hall's workers and endpoints.
+// ShardID identifies a shard: one partition of a hall's workers and endpoints.
 type ShardID struct {
 	Hall  Hall
 	Index int
@@ -25,7 +26,7 @@
 	return string(s.Hall) + "/" + strconv.Itoa(s.Index)
 }
 
-// ParseShardID reads the form "hall/index".
+// ParseShardID parses the form "hall/index".
 func ParseShardID(text string) (ShardID, error) {
 	hall, index, ok := strings.Cut(text, "/")
 	n, err := strconv.Atoi(index)
@@ -35,7 +36,7 @@
 	return ShardID{Hall: Hall(hall), Index: n}, nil
 }
 
-// HallLayout is one hall of a cell.
+// HallLayout describes a hall of a cell.
 type HallLayout struct {
 	Name   Hall
 	Region string
@@ -43,12 +44,12 @@
 	Shards int
 }
 
-// Layout is the fixed shape of a cell.
+// Layout lists the halls of a cell with their shards. It can't change while the cell is running.
 type Layout struct {
 	Halls []HallLayout
 }
 
-// Hall returns the layout of one hall, and whether the cell has it.
+// Hall returns the layout of a hall, and whether the cell has that hall.
 func (l Layout) Hall(name Hall) (HallLayout, bool) {
 	for _, h := range l.Halls {
 		if h.Name == name {
@@ -69,9 +70,10 @@
 	return all
 }
 
-// Home returns the shard at which all copies of a key meet. A key of the form
-// "hall/rest" is at home in that hall, when the cell has it; any other key is spread over
-// all shards. The answer depends on the layout only, never on who is alive.
+// Home returns the home shard of an idempotency key, to which all requests with that key are sent. A key of
+// the form "hall/rest" has its home in that hall, if the cell has it; other keys are distributed over all
+// shards. The result depends only on the layout, not on which processes are alive. It is false if the cell
+// has no shards.
 func (l Layout) Home(key string) (ShardID, bool) {
 	prefix, _, found := strings.Cut(key, "/")
 	if found {
@@ -86,7 +88,8 @@
 	return all[xxhash.Sum64String(key)%uint64(len(all))], true
 }
 
-// ShardOf returns the shard of a hall to which a worker or a task belongs.
+// ShardOf returns the shard of a hall to which a worker or task belongs. It is false if the cell lacks the
+// hall.
 func (l Layout) ShardOf(hall Hall, id string) (ShardID, bool) {
 	h, ok := l.Hall(hall)
 	if !ok {
--- a/pkg/cell/resources.go
+++ b/pkg/cell/resources.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// MillisPerCPU is how many thousandths a processor has.
+// MillisPerCPU is the number of CPU millis in one processor.
 const MillisPerCPU = 1000
 
-// Resources is an amount of what a worker provides and a task needs.
+// Resources is an amount of each resource that workers provide and tasks need.
 type Resources struct {
 	CPUMillis    int64 // thousandths of a processor
 	MemoryMB     int64
@@ -17,42 +17,42 @@
 	return Resources{r.CPUMillis + o.CPUMillis, r.MemoryMB + o.MemoryMB, r.Accelerators + o.Accelerators}
 }
 
-// Sub returns what is left of r when o is taken away.
+// Sub returns the difference r - o.
 func (r Resources) Sub(o Resources) Resources {
 	return Resources{r.CPUMillis - o.CPUMillis, r.MemoryMB - o.MemoryMB, r.Accelerators - o.Accelerators}
 }
 
-// Times returns an amount n times over.
+// Times returns r multiplied by n.
 func (r Resources) Times(n int64) Resources {
 	return Resources{r.CPUMillis * n, r.MemoryMB * n, r.Accelerators * n}
 }
 
-// Max returns the larger amount of each kind.
+// Max returns the larger amount of each resource.
 func (r Resources) Max(o Resources) Resources {
 	return Resources{max(r.CPUMillis, o.CPUMillis), max(r.MemoryMB, o.MemoryMB), max(r.Accelerators, o.Accelerators)}
 }
 
-// Min returns the smaller amount of each kind.
+// Min returns the smaller amount of each resource.
 func (r Resources) Min(o Resources) Resources {
 	return Resources{min(r.CPUMillis, o.CPUMillis), min(r.MemoryMB, o.MemoryMB), min(r.Accelerators, o.Accelerators)}
 }
 
-// Fits says whether an amount fits into what is free.
+// Fits reports whether r fits into the free resources.
 func (r Resources) Fits(free Resources) bool {
 	return r.CPUMillis <= free.CPUMillis && r.MemoryMB <= free.MemoryMB && r.Accelerators <= free.Accelerators
 }
 
-// Kind is a kind of resource.
+// Kind identifies a resource.
 type Kind int
 
-// The kinds of resources.
+// Resource kinds.
 const (
 	CPU Kind = iota
 	Memory
 	Accelerator
 )
 
-// Dominant returns the kind of which r is the largest share of total.
+// Dominant returns the resource of which r takes the largest share of total.
 func (r Resources) Dominant(total Resources) Kind {
 	kind, share := CPU, ratio(r.CPUMillis, total.CPUMillis)
 	if s := ratio(r.MemoryMB, total.MemoryMB); s > share {
@@ -64,7 +64,7 @@
 	return kind
 }
 
-// ShareOf returns the share that r is of total, of one kind.
+// ShareOf returns the share of total that r takes of one resource. It is 0 if total has none of it.
 func (r Resources) ShareOf(kind Kind, total Resources) float64 {
 	switch kind {
 	case Memory:
@@ -76,15 +76,15 @@
 	}
 }
 
-// DominantShare returns the largest share, over the kinds of resource, that r is of total.
-// It is the measure of dominant resource fairness (Ghodsi et al., NSDI 2011).
+// DominantShare returns the largest share of total that r takes of any resource. It is the measure of
+// dominant resource fairness (Ghodsi et al., NSDI 2011).
 func (r Resources) DominantShare(total Resources) float64 {
 	share := ratio(r.CPUMillis, total.CPUMillis)
 	share = max(share, ratio(r.MemoryMB, total.MemoryMB))
 	return max(share, ratio(r.Accelerators, total.Accelerators))
 }
 
-// String returns a form for logs, such as "cpu=2000m mem=4096MB acc=0".
+// String returns a text for logs and error messages, such as "cpu=2000m mem=4096MB acc=0".
 func (r Resources) String() string {
 	return fmt.Sprintf("cpu=%dm mem=%dMB acc=%d", r.CPUMillis, r.MemoryMB, r.Accelerators)
 }
--- a/pkg/clock/clock.go
+++ b/pkg/clock/clock.go
@@ -6,10 +6,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Time is a reading of a Clock in milliseconds since an arbitrary origin.
+// Time is a time of a Clock, in milliseconds since an arbitrary origin.
 type Time int64
 
-// Add returns the time d later; parts of a millisecond are cut off.
+// Add returns the time d later. d is truncated to whole milliseconds.
 func (t Time) Add(d time.Duration) Time {
 	return t + Time(d.Milliseconds())
 }
@@ -19,22 +19,23 @@
 	return time.Duration(t-u) * time.Millisecond
 }
 
-// Clock reads two clocks. Both functions are safe for concurrent use.
+// Clock provides a monotonic clock and the time of day. Both functions must be safe for concurrent use.
 type Clock struct {
-	// Now reads the clock by which leases are judged. It never steps back.
+	// Now reads the clock that determines the expiry of leases. It never steps back.
 	Now func() Time
-	// Wall reads the time of day, for callers' deadlines and for logs only.
+	// Wall reads the time of day. It is used only for callers' deadlines and for logs.
 	Wall func() time.Time
 }
 
-// System returns the clock of the host. Now is CLOCK_BOOTTIME: unlike the runtime's
-// monotonic clock it also counts the time in which the host was suspended, so that a
-// process that is resumed sees its leases as lapsed.
+// System returns the clock of the host. Now reads CLOCK_BOOTTIME, which unlike the monotonic clock of the
+// Go runtime includes the time for which the host was suspended. After a resume, a process therefore sees
+// that its leases have expired.
 func System() Clock {
 	return Clock{Now: bootTime, Wall: time.Now}
 }
 
-// bootTime falls back to the runtime's monotonic clock where the kernel has no boot time.
+// bootTime reads CLOCK_BOOTTIME, or the monotonic clock of the Go runtime if the kernel doesn't support
+// that.
 func bootTime() Time {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
--- a/pkg/clock/clock_test.go
+++ b/pkg/clock/clock_test.go
@@ -7,8 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// The monotonic clock stands still while a host is suspended. A lease that is judged by it would still hold when the host goes on, seconds
-// after another one has taken over. On a host that was never suspended the two clocks are alike, so the reading is compared with both.
+// CLOCK_MONOTONIC stops while a host is suspended. If it determined the expiry of leases, a resumed host
+// would consider its leases valid although another host has taken over meanwhile. On a host that was never
+// suspended both clocks show the same time, so the reading is compared with both.
 func TestLeasesAreJudgedByAClockThatCountsSuspension(t *testing.T) {
 	g := NewWithT(t)
 	read := func(id int32) int64 {
--- a/pkg/clock/doc.go
+++ b/pkg/clock/doc.go
@@ -1,9 +1,9 @@
-// Package clock is the one notion of time that decisions use: milliseconds on a clock
-// that never steps back and that goes on while the process or its host is suspended.
+// Package clock provides the time on which all decisions are based: milliseconds on a clock that never
+// steps back and that also advances while the process or its host is suspended.
 //
-// Leases and grants are judged on this clock and never on the time of day, because the
-// time of day can be set. The origin is arbitrary, so a Time means nothing to another
-// process; between processes only durations travel.
+// The expiry of leases and grants is determined by this clock and never by the time of day, because the
+// time of day can be changed. The origin is arbitrary, so a Time is meaningless to other processes;
+// processes exchange only durations.
 //
 // # Usage
 //
@@ -12,10 +12,10 @@
 //	// … ask for a grant of 1200 ms …
 //	validUntil := sent.Add(1200 * time.Millisecond)
 //	if c.Now() >= validUntil {
-//		// no authority any more
+//		// the grant has expired
 //	}
 //
-// Tests build a Clock from a function of their own and move it by hand:
+// Tests create a Clock from their own function and advance it explicitly:
 //
 //	var now clock.Time
 //	c := clock.Clock{Now: func() clock.Time { return now }}
--- a/pkg/clock/every.go
+++ b/pkg/clock/every.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Every calls f again and again, a period apart, until ctx ends. It is the loop of a duty.
+// Every calls f once per period until ctx ends. The first call is after one period.
 func Every(ctx context.Context, period time.Duration, f func()) {
 	t := time.NewTicker(period)
 	defer t.Stop()
--- a/pkg/clock/sleep.go
+++ b/pkg/clock/sleep.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sleep waits for a duration, but not beyond the end of ctx.
+// Sleep waits for a duration, or until ctx ends if that is earlier.
 func Sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/pkg/procconf/doc.go
+++ b/pkg/procconf/doc.go
@@ -1,6 +1,6 @@
-// Package procconf reads the settings of one process from a TOML file and checks them
-// whole before anything starts. These are the settings that differ from host to host:
-// addresses, hall, limits. What operators declare for the cell is package settings.
+// Package procconf reads the settings of a single process from a TOML file and validates all of them
+// before the process starts any work. They differ from host to host: addresses, hall, limits. The settings
+// of the whole cell, which operators declare once, are in package settings.
 //
 // # Usage
 //
--- a/pkg/procconf/procconf.go
+++ b/pkg/procconf/procconf.go
@@ -24,11 +24,13 @@
 	LogLevel       string           `toml:"log_level"`
 	Limits         Limits           `toml:"limits"`
 	Times          Times            `toml:"times"`
-	// Routes has addresses as keys; the TOML library takes texts only.
+	// Routes maps addresses to addresses. Its keys are strings because the TOML library supports no other
+	// type of key.
 	Routes map[string]netip.AddrPort `toml:"routes"`
 }
 
-// RouteTable returns the routes by address. Load has checked them.
+// RouteTable returns the routes with parsed keys. It omits keys that are no address; Parse reports them as
+// errors.
 func (c Entry) RouteTable() map[netip.AddrPort]netip.AddrPort {
 	table := make(map[netip.AddrPort]netip.AddrPort, len(c.Routes))
 	for from, to := range c.Routes {
@@ -39,18 +41,18 @@
 	return table
 }
 
-// Limits bounds what one process takes and asks.
+// Limits are the limits of one process on its load on the store, on request size and on memory.
 type Limits struct {
 	StoreReadsPerSecond  float64 `toml:"store_reads_per_s"`
 	StoreWritesPerSecond float64 `toml:"store_writes_per_s"`
-	// CellWritesPerSecond is the part of the store's write rate that all processes of the
-	// cell together may use for batch requests.
+	// CellWritesPerSecond is the rate of store writes that all processes of the cell together may use for
+	// batch requests.
 	CellWritesPerSecond float64 `toml:"cell_writes_per_s"`
 	MaxBodyKB           int64   `toml:"max_body_kb"`
 	MemoryMB            int64   `toml:"memory_mb"`
 }
 
-// Times are the terms of leases and time limits.
+// Times are lease durations, intervals and time limits.
 type Times struct {
 	TaskLease   tomlfile.Duration `toml:"task_lease"`
 	ReportEvery tomlfile.Duration `toml:"report_every"`
@@ -58,7 +60,7 @@
 	LeaveGrace  tomlfile.Duration `toml:"leave_grace"`
 }
 
-// DefaultEntry returns the settings of an entry host that have a default.
+// DefaultEntry returns the default settings of an entry host. Settings without a default are zero.
 func DefaultEntry() Entry {
 	return Entry{
 		LogLevel: "info",
@@ -73,8 +75,8 @@
 	}
 }
 
-// Load reads and checks the settings of an entry host. The error names every fault with
-// file, line and key.
+// Load reads and validates the settings of an entry host. The error lists every invalid setting with file,
+// line and key.
 func Load(path string) (Entry, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -83,7 +85,7 @@
 	return Parse(path, string(text))
 }
 
-// Parse is Load for a text that was read already.
+// Parse is like Load for a text already read; path is used only in error messages.
 func Parse(path, text string) (Entry, error) {
 	cfg := DefaultEntry()
 	var faults []string
@@ -103,15 +105,16 @@
 	return cfg, nil
 }
 
+// checks are the conditions that the settings of an entry host must satisfy.
 var checks = []struct {
 	key  string
 	ok   func(Entry) bool
 	text string
 }{
-	{"id", func(c Entry) bool { return c.ID != "" }, "is needed"},
-	{"hall", func(c Entry) bool { return c.Hall != "" && !strings.Contains(string(c.Hall), "/") }, "is needed, without a slash"},
-	{"callers_address", func(c Entry) bool { return c.CallersAddress.IsValid() }, `is needed, such as "10.0.0.7:8080"`},
-	{"peer_address", func(c Entry) bool { return c.PeerAddress.IsValid() }, `is needed, such as "10.0.0.7:8081"`},
+	{"id", func(c Entry) bool { return c.ID != "" }, "is required"},
+	{"hall", func(c Entry) bool { return c.Hall != "" && !strings.Contains(string(c.Hall), "/") }, "is required, without a slash"},
+	{"callers_address", func(c Entry) bool { return c.CallersAddress.IsValid() }, `is required, such as "10.0.0.7:8080"`},
+	{"peer_address", func(c Entry) bool { return c.PeerAddress.IsValid() }, `is required, such as "10.0.0.7:8081"`},
 	{"peer_address", func(c Entry) bool { return c.PeerAddress != c.CallersAddress }, "must differ from callers_address"},
 	{"store", func(c Entry) bool { return len(c.Store) > 0 }, "needs at least one address"},
 	{"log_level", func(c Entry) bool { _, err := logrus.ParseLevel(c.LogLevel); return err == nil }, `must be "debug", "info", "warning" or "error"`},
--- a/pkg/procconf/procconf_test.go
+++ b/pkg/procconf/procconf_test.go
@@ -30,7 +30,7 @@
 	for name, c := range map[string]struct{ text, want string }{
 		"unknown key":   {whole + "calers_address = 3\n", `e.toml:6: calers_address: unknown key, did you mean "callers_address"?`},
 		"unknown table": {whole + "[limit]\n", `e.toml:6: limit: unknown key, did you mean "limits"?`},
-		"missing":       {"hall = \"h\"\n", `e.toml:1: id: is needed`},
+		"missing":       {"hall = \"h\"\n", `e.toml:1: id: is required`},
 		"wrong address": {"id = \"a\"\ncallers_address = \"here\"\n", `e.toml:2: callers_address`},
 		"wrong unit":    {whole + "[times]\ntask_lease = \"12\"\n", `e.toml:7: times.task_lease: "12" is not a duration`},
 		"lease short":   {whole + "[times]\ntask_lease = \"3s\"\n", `e.toml:7: times.task_lease: must be three times report_every or more`},
--- a/pkg/settings/check.go
+++ b/pkg/settings/check.go
@@ -10,7 +10,8 @@
 
 const maxRetries = 5
 
-// checkNarrowing refuses a clause that names halls which a final clause above excludes.
+// checkNarrowing adds a fault for each hall that the Allow list of a clause admits although a final clause
+// of a higher level excludes it.
 func (b *builder) checkNarrowing(w Workload, c Clause) {
 	for _, upper := range w.Place.Clauses {
 		if !upper.Final {
@@ -18,16 +19,16 @@
 		}
 		for _, h := range b.tree.Layout.Halls {
 			site := Site{Region: h.Region, Hall: h.Name}
-			named := len(c.Allow) > 0 && c.refusal(site, true) == ""
-			if refused := upper.refusal(site, true); named && refused != "" {
+			allowed := len(c.Allow) > 0 && c.refusal(site, true) == ""
+			if reason := upper.refusal(site, true); allowed && reason != "" {
 				b.faultOnce(c.Level, "rules.place.allow",
-					fmt.Sprintf("hall %s widens a final place rule: %s", h.Name, refused))
+					fmt.Sprintf("hall %s widens a final place rule: %s", h.Name, reason))
 			}
 		}
 	}
 }
 
-// check is one thing that must be true of a workload.
+// workloadCheck is a condition that each workload must satisfy.
 type check struct {
 	key  string
 	ok   func(Workload) bool
@@ -36,7 +37,7 @@
 
 var workloadChecks = []check{
 	{"kind", func(w Workload) bool { return w.Kind == KindService || w.Kind == KindBatch }, `must be "service" or "batch"`},
-	{"team", func(w Workload) bool { return w.Team != "" }, "is needed"},
+	{"team", func(w Workload) bool { return w.Team != "" }, "is required"},
 	{"instances", func(w Workload) bool { return (w.Kind == KindService) == (w.Instances > 0) }, "a service needs one or more, a batch workload none"},
 	{"slots", func(w Workload) bool { return w.Slots > 0 }, "must be above zero"},
 	{"tasks", func(w Workload) bool { return w.Tasks > 0 && (w.Kind == KindBatch || w.Tasks == 1) }, "must be above zero, and is for batch workloads only"},
@@ -65,7 +66,7 @@
 	}
 }
 
-// levelOf returns the file in which the value of a key stands.
+// sourceFile returns the file that sets the value of a key, or the workload's own file for a default.
 func levelOf(w Workload, key string) string {
 	if level, ok := w.From[key]; ok {
 		return level
@@ -73,6 +74,7 @@
 	return w.File
 }
 
+// checkPlace adds a fault if no hall satisfies the place rule of a workload.
 func (b *builder) checkPlace(w Workload) {
 	for _, h := range b.tree.Layout.Halls {
 		if ok, _ := w.Place.AllowsHall(h); ok {
@@ -84,7 +86,8 @@
 	}
 }
 
-// checkQuotas adds up what the services of each team need all the time.
+// checkQuotas adds a fault for each team whose services together need more resources than its quota. Batch
+// workloads are not counted, since they don't run all the time.
 func (b *builder) checkQuotas() {
 	used := map[string]cell.Resources{}
 	for _, w := range b.tree.Sorted() {
--- a/pkg/settings/difference.go
+++ b/pkg/settings/difference.go
@@ -8,65 +8,67 @@
 	"foldarch.dev/foldarch/pkg/cell"
 )
 
-// DocumentChange is one file that differs between two sets of documents.
+// DocumentChange describes a file that differs between two sets of documents.
 type DocumentChange struct {
 	File string
 	What string // "added", "removed" or "changed"
 }
 
-// WorkloadChange is one workload that a change reaches.
+// WorkloadChange describes a workload whose effective settings differ between two trees.
 type WorkloadChange struct {
 	Workload string
 	What     string   // "added", "removed" or "changed"
-	Details  []string // for a changed one, "key: old -> new"
+	Details  []string // only if changed: "key: old -> new" for each key
 }
 
-// Difference is what lies between two sets of settings.
+// Difference is the set of changes between two sets of settings.
 type Difference struct {
 	Documents []DocumentChange
 	Workloads []WorkloadChange
 }
 
-// CompareDocuments lists the files that differ, by name.
+// CompareDocuments lists the files that differ, ordered by name.
 func CompareDocuments(old, new map[string]string) []DocumentChange {
 	var changes []DocumentChange
 	for _, file := range unionOfKeys(old, new) {
 		before, had := old[file]
 		after, has := new[file]
-		if what := whatHappened(had, has, before == after); what != "" {
-			changes = append(changes, DocumentChange{file, what})
+		if kind := whatHappened(had, has, before == after); kind != "" {
+			changes = append(changes, DocumentChange{file, kind})
 		}
 	}
 	return changes
 }
 
-// CompareTrees lists the workloads that a change reaches, by name.
+// CompareTrees lists the workloads that were added, removed or changed, ordered by name.
 func CompareTrees(old, new *Tree) []WorkloadChange {
 	var changes []WorkloadChange
 	for _, name := range unionOfKeys(old.Workloads, new.Workloads) {
 		before, had := old.Workloads[name]
 		after, has := new.Workloads[name]
 		details := compareWorkloads(before, after)
-		what := whatHappened(had, has, len(details) == 0)
-		if what == "" {
+		kind := whatHappened(had, has, len(details) == 0)
+		if kind == "" {
 			continue
 		}
-		if what != "changed" {
+		if kind != "changed" {
 			details = nil
 		}
-		changes = append(changes, WorkloadChange{name, what, details})
+		changes = append(changes, WorkloadChange{name, kind, details})
 	}
 	return changes
 }
 
-// CheckLayout refuses a change of the cell's shape that would move the home of keys.
+// CheckLayout returns an error if the set of shards differs between two layouts, since that would move
+// keys to another home shard. The first layout of a cell is always accepted.
 func CheckLayout(old, new cell.Layout) error {
 	if slices.Equal(old.Shards(), new.Shards()) || len(old.Halls) == 0 {
 		return nil
 	}
-	return fmt.Errorf("%s: hall: the halls and their shards decide where keys are at home and can't be changed in a cell that runs", rootFile)
+	return fmt.Errorf("%s: hall: halls and their shards determine the home shard of each key and can't be changed in a running cell", rootFile)
 }
 
+// changeKind returns "added", "removed" or "changed", or "" if nothing changed.
 func whatHappened(had, has, same bool) string {
 	switch {
 	case !had && has:
@@ -88,7 +90,7 @@
 	return slices.Sorted(maps.Keys(all))
 }
 
-// Values lists the effective value of every key of a workload, in a fixed order.
+// Values lists the effective value of each key of a workload, in a fixed order.
 func (w Workload) Values() []KeyValue {
 	return []KeyValue{
 		{"kind", string(w.Kind)}, {"team", w.Team},
@@ -102,7 +104,7 @@
 	}
 }
 
-// KeyValue is one key of a workload and its effective value.
+// KeyValue is a key of a workload and its effective value.
 type KeyValue struct {
 	Key   string
 	Value string
@@ -110,10 +112,10 @@
 
 func compareWorkloads(before, after Workload) []string {
 	var details []string
-	new := after.Values()
+	newValues := after.Values()
 	for i, old := range before.Values() {
-		if old.Value != new[i].Value {
-			details = append(details, fmt.Sprintf("%s: %s -> %s", old.Key, old.Value, new[i].Value))
+		if old.Value != newValues[i].Value {
+			details = append(details, fmt.Sprintf("%s: %s -> %s", old.Key, old.Value, newValues[i].Value))
 		}
 	}
 	return details
--- a/pkg/settings/directory.go
+++ b/pkg/settings/directory.go
@@ -9,27 +9,27 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ReadDirectory reads all TOML files of a directory tree, by path with slashes. Files and
-// directories whose name begins with a dot are passed over. Symbolic links are refused,
-// so that a tree can't contain itself.
+// ReadDirectory reads all TOML files of a directory tree. The result maps each file's path relative to
+// dir, with slashes, to its text. Files and directories whose names begin with a dot are skipped.
+// Symbolic links are an error, because through them a tree could contain itself.
 func ReadDirectory(dir string) (map[string]string, error) {
 	docs := map[string]string{}
-	err := filepath.WalkDir(dir, func(p string, entry fs.DirEntry, err error) error {
+	err := filepath.WalkDir(dir, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
-		hidden := strings.HasPrefix(entry.Name(), ".") && p != dir
+		hidden := strings.HasPrefix(entry.Name(), ".") && path != dir
 		switch {
 		case hidden && entry.IsDir():
 			return filepath.SkipDir
 		case hidden || entry.IsDir():
 			return nil
 		case entry.Type()&fs.ModeSymlink != 0:
-			return errors.Newf("%s is a symbolic link, which a tree must not contain", p)
-		case !strings.HasSuffix(p, suffix):
+			return errors.Newf("%s is a symbolic link; a settings directory must not contain any", path)
+		case !strings.HasSuffix(path, suffix):
 			return nil
 		}
-		return readInto(docs, dir, p)
+		return readInto(docs, dir, path)
 	})
 	if err != nil {
 		return nil, errors.Wrapf(err, "read settings directory %s", dir)
@@ -37,12 +37,13 @@
 	return docs, nil
 }
 
-func readInto(docs map[string]string, dir, p string) error {
-	text, err := os.ReadFile(p)
+// readDocument reads one file into docs, under its path relative to dir.
+func readInto(docs map[string]string, dir, path string) error {
+	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	name, err := filepath.Rel(dir, p)
+	name, err := filepath.Rel(dir, path)
 	if err != nil {
 		return err
 	}
--- a/pkg/settings/doc.go
+++ b/pkg/settings/doc.go
@@ -1,19 +1,19 @@
-// Package settings reads a tree of operators' declarations and works out which rules
-// hold for each workload.
+// Package settings reads the operators' declarations for a cell and computes the effective rules of
+// each workload.
 //
-// A tree is a directory of TOML files, kept in version control by the operators:
+// The declarations are a directory tree of TOML files, which operators keep in version control:
 //
-//	cell.toml                 the root: halls, teams and their quotas, rules for all
+//	cell.toml                 the root: halls, teams and their quotas, rules for all workloads
 //	baseball/group.toml       rules for the group baseball
 //	baseball/scoring.toml     the workload scoring
 //	baseball/kbo/group.toml   a group within the group
 //
-// Rules flow down. A lower level overrides a key of a higher one. A place rule that is
-// marked final stays in force below: a lower level may narrow it and never widen it.
+// Rules are inherited from the root through the groups down to the workload. A lower level overrides
+// single keys of a higher level. A place rule marked final also applies to all lower levels, which may
+// narrow it but not widen it.
 //
-// The package is pure: it maps texts to a Tree or to a list of faults, each with file,
-// line and key. How a tree is kept in the platform store is the matter of package
-// revision.
+// Parse does no I/O: it turns the texts of the files into a Tree or a list of faults, each with file,
+// line and key. Package revision stores declarations in the platform store.
 //
 // # Usage
 //
@@ -23,5 +23,5 @@
 //		fmt.Println(f) // baseball/scoring.toml:7: rules.windw: unknown key, did you mean "window"?
 //	}
 //	w := tree.Workloads["scoring"]
-//	w.From["rules.window"] // "baseball/group.toml"
+//	w.SourceFiles["rules.window"] // "baseball/group.toml"
 package settings
--- a/pkg/settings/document.go
+++ b/pkg/settings/document.go
@@ -2,7 +2,7 @@
 
 import "foldarch.dev/foldarch/pkg/tomlfile"
 
-// File names with a meaning of their own.
+// Reserved file names, and the suffix of all files that are read.
 const (
 	rootFile  = "cell.toml"
 	groupFile = "group.toml"
--- a/pkg/settings/fault.go
+++ b/pkg/settings/fault.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// Fault is one thing that is wrong with a tree.
+// Fault is one error in the declarations.
 type Fault struct {
 	File string
-	Line int // from 1; 0 when the fault belongs to no line
+	Line int // from 1; 0 if the fault belongs to no line
 	Key  string
 	Text string
 }
--- a/pkg/settings/inherit.go
+++ b/pkg/settings/inherit.go
@@ -6,7 +6,8 @@
 	"foldarch.dev/foldarch/pkg/tomlfile"
 )
 
-// inherit lays the rules of one level over what the levels above have set.
+// applyRules overrides the rules of w, inherited from higher levels, with those of a lower level. The
+// level is the file in which they stand.
 func (b *builder) inherit(w *Workload, level string, rules rulesDocument) {
 	override(w, level, "rules.class", rules.Class, func(v string) { w.Class = Class(v) })
 	override(w, level, "rules.policy", rules.Policy, func(v string) { w.Policy = Policy(v) })
@@ -21,6 +22,7 @@
 	override(w, level, "rules.place", rules.Place, func(v placeDocument) { b.inheritPlace(w, level, v) })
 }
 
+// setIfPresent sets a rule and records its source file, unless value is nil.
 func override[T any](w *Workload, level, key string, value *T, set func(T)) {
 	if value == nil {
 		return
@@ -53,6 +55,7 @@
 	return list
 }
 
+// inLayout reports whether any hall of the cell matches a selector by region or hall.
 func (b *builder) known(s Selector) bool {
 	for _, h := range b.tree.Layout.Halls {
 		if s.matches(Site{Region: h.Region, Hall: h.Name}) {
@@ -62,7 +65,8 @@
 	return false
 }
 
-// faultOnce is for rules that many workloads inherit: each fault is told once.
+// addFaultOnce adds a fault unless it is already listed. A rule inherited by many workloads is checked for
+// each of them but should be reported once.
 func (b *builder) faultOnce(file, key, text string) {
 	for _, f := range b.faults {
 		if f.File == file && f.Key == key && f.Text == text {
--- a/pkg/settings/place.go
+++ b/pkg/settings/place.go
@@ -9,10 +9,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// SelectorKind says what a Selector looks at.
+// SelectorKind is the worker property that a Selector compares.
 type SelectorKind string
 
-// The kinds of selector.
+// Selector kinds, as they are written in place rules.
 const (
 	ByRegion SelectorKind = "region"
 	ByHall   SelectorKind = "hall"
@@ -42,7 +42,7 @@
 	return Selector{}, errors.Newf("%q is not of the form region:NAME, hall:NAME, rack:NAME or label:NAME", text)
 }
 
-// Site is where a worker stands, as place rules see it.
+// Site is the location and the labels of a worker, as far as place rules use them.
 type Site struct {
 	Region string
 	Hall   cell.Hall
@@ -63,18 +63,18 @@
 	}
 }
 
-// ofHall says whether the selector can be judged from the hall alone.
+// isHallWide reports whether the selector matches either all sites of a hall or none of them.
 func (s Selector) ofHall() bool {
 	return s.Kind == ByRegion || s.Kind == ByHall
 }
 
-// Clause is the place rule of one level. A site satisfies it when it matches one of
+// Clause is the place rule of one level. A site satisfies it if it matches at least one selector of
 // Allow (or Allow is empty) and none of Forbid.
 type Clause struct {
-	Level  string
+	Level  string // file in which the rule stands
 	Allow  []Selector
 	Forbid []Selector
-	Final  bool
+	Final  bool // lower levels can't replace the clause
 }
 
 // Place is the place rule of a workload: a site must satisfy every clause.
@@ -82,7 +82,7 @@
 	Clauses []Clause
 }
 
-// Allows says whether a task may run at a site, and if not, which clause turned it down.
+// Allows reports whether a task may run at a site and, if not, which clause rejects the site.
 func (p Place) Allows(site Site) (bool, string) {
 	for _, c := range p.Clauses {
 		if reason := c.refusal(site, false); reason != "" {
@@ -92,7 +92,8 @@
 	return true, ""
 }
 
-// AllowsHall says whether some worker of a hall might do, judged by the hall alone.
+// AllowsHall reports whether a worker of a hall could satisfy the rule, and if not, which clause rejects
+// the hall. Selectors by rack or label are assumed to be satisfied by some worker.
 func (p Place) AllowsHall(h cell.HallLayout) (bool, string) {
 	site := Site{Region: h.Region, Hall: h.Name}
 	for _, c := range p.Clauses {
@@ -103,6 +104,8 @@
 	return true, ""
 }
 
+// rejection returns why the clause rejects a site, or "" if it doesn't. With hallOnly, the site is a
+// whole hall, and selectors by rack or label can't lead to a rejection.
 func (c Clause) refusal(site Site, hallOnly bool) string {
 	for _, s := range c.Forbid {
 		if s.matches(site) && (s.ofHall() || !hallOnly) {
@@ -120,8 +123,8 @@
 	return fmt.Sprintf("%s allows only %s", c.Level, joinSelectors(c.Allow))
 }
 
-// below returns the place rule in force under a further level: the clauses that are
-// final stay, the others are replaced.
+// withClause returns the place rule that applies after a lower level adds its clause: final clauses of
+// higher levels are kept, the others are replaced.
 func (p Place) below(c Clause) Place {
 	var kept []Clause
 	for _, upper := range p.Clauses {
@@ -132,7 +135,7 @@
 	return Place{Clauses: append(kept, c)}
 }
 
-// String returns the clauses as "level: allow a, b; forbid c".
+// String returns the clauses in the form "allow a, b; forbid c", joined by "and".
 func (p Place) String() string {
 	if len(p.Clauses) == 0 {
 		return "anywhere"
--- a/pkg/settings/settings_test.go
+++ b/pkg/settings/settings_test.go
@@ -68,8 +68,8 @@
 	}))
 }
 
-// A workload never may run where a final rule above it does not allow, whatever the lower
-// levels say.
+// A workload must never be allowed in a hall that a final place rule of a higher level excludes, whatever
+// the lower levels declare.
 func TestNoLowerLevelWidensAFinalRule(t *testing.T) {
 	selectors := []string{"region:r", "region:q", "hall:h1", "hall:h2", "hall:h3"}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -86,20 +86,20 @@
 		}
 		tree, faults := Parse(docs)
 		if len(faults) > 0 {
-			return // refused as a whole
+			return // Parse rejects the whole tree
 		}
 		w := tree.Workloads["x"]
 		for _, h := range tree.Layout.Halls {
 			site := Site{Region: h.Region, Hall: h.Name}
 			allowed, _ := w.Place.Allows(site)
 			if allowed && w.Place.Clauses[0].refusal(site, false) != "" {
-				rt.Fatalf("hall %s is allowed against the final rule: %s", h.Name, w.Place)
+				rt.Fatalf("hall %s is allowed although the final rule excludes it: %s", h.Name, w.Place)
 			}
 		}
 	})
 }
 
-// list writes a list of strings as TOML does.
+// tomlList formats strings as a TOML array.
 func list(texts []string) string {
 	quoted := make([]string, 0, len(texts))
 	for _, text := range texts {
--- a/pkg/settings/tree.go
+++ b/pkg/settings/tree.go
@@ -10,7 +10,7 @@
 	"foldarch.dev/foldarch/pkg/tomlfile"
 )
 
-// Tree is a whole set of settings that has no faults.
+// Tree is a complete, valid set of settings.
 type Tree struct {
 	Layout        cell.Layout
 	Quotas        map[string]cell.Resources // by team
@@ -18,7 +18,7 @@
 	Workloads     map[string]Workload
 }
 
-// Sorted lists the workloads by name.
+// SortedWorkloads lists the workloads ordered by name.
 func (t *Tree) Sorted() []Workload {
 	list := make([]Workload, 0, len(t.Workloads))
 	for _, name := range slices.Sorted(maps.Keys(t.Workloads)) {
@@ -27,8 +27,8 @@
 	return list
 }
 
-// Parse builds the tree from its documents, by path with slashes. It returns all faults
-// at once; with faults there is no tree.
+// Parse builds the tree from its documents, which are keyed by their paths with slashes. It returns all
+// faults it finds; if there are any, the tree is nil.
 func Parse(docs map[string]string) (*Tree, []Fault) {
 	b := &builder{docs: docs, groups: map[string]groupDocument{}, tree: &Tree{
 		Quotas:    map[string]cell.Resources{},
@@ -46,7 +46,7 @@
 	return b.tree, nil
 }
 
-// builder carries what Parse has found so far.
+// builder holds the intermediate results of Parse.
 type builder struct {
 	docs   map[string]string
 	root   cellDocument
@@ -60,15 +60,15 @@
 	b.faults = append(b.faults, Fault{File: file, Line: line, Key: key, Text: text})
 }
 
-// decode reports whether the document could be read; unknown keys alone don't hinder.
-// What rests on a document that could not be read is not judged.
+// decode reports whether the document could be decoded; unknown keys are faults but don't prevent that.
+// Callers skip the checks that depend on a document that could not be decoded.
 func (b *builder) decode(file string, target any) bool {
-	read := true
+	decoded := true
 	for _, p := range tomlfile.Decode(b.docs[file], target) {
 		b.faults = append(b.faults, Fault{File: file, Line: p.Line, Key: p.Key, Text: p.Text})
-		read = read && !p.Unread
+		decoded = decoded && !p.Unread
 	}
-	return read
+	return decoded
 }
 
 func (b *builder) readRoot() bool {
@@ -183,8 +183,7 @@
 	return slices.Sorted(maps.Keys(b.docs))
 }
 
-// ancestors lists a directory and those above it, topmost first, without the root:
-// "a/b" gives "a", "a/b".
+// ancestors lists a directory and its parents except the root, topmost first: "a/b" gives "a", "a/b".
 func ancestors(dir string) []string {
 	if dir == "." || dir == "/" {
 		return nil
--- a/pkg/settings/workload.go
+++ b/pkg/settings/workload.go
@@ -7,19 +7,19 @@
 	"foldarch.dev/foldarch/pkg/cell"
 )
 
-// Kind says how a workload runs.
+// Kind is the kind of a workload.
 type Kind string
 
-// The kinds of workload.
+// Workload kinds.
 const (
-	KindService Kind = "service" // runs all the time, in instances
-	KindBatch   Kind = "batch"   // runs once for each request
+	KindService Kind = "service" // a number of instances that run all the time
+	KindBatch   Kind = "batch"   // tasks that are started for each batch request
 )
 
-// Class orders what starts first.
+// Class is the priority class of a workload.
 type Class string
 
-// The classes, most urgent first.
+// Priority classes, most urgent first.
 const (
 	ClassUrgent     Class = "urgent"
 	ClassService    Class = "service"
@@ -27,10 +27,11 @@
 	ClassBestEffort Class = "best-effort"
 )
 
-// classes lists the classes by rank.
+// classes lists the priority classes by rank.
 var classes = []Class{ClassUrgent, ClassService, ClassBatch, ClassBestEffort}
 
-// Rank returns 0 for the most urgent class and more for others.
+// Rank returns 0 for the most urgent class and higher numbers for less urgent ones. Unknown classes rank
+// last.
 func (c Class) Rank() int {
 	for i, known := range classes {
 		if c == known {
@@ -40,16 +41,16 @@
 	return len(classes)
 }
 
-// Policy says how a task is placed among the workers that would do.
+// Policy determines which of the suitable workers a task is placed on.
 type Policy string
 
-// The policies.
+// Placement policies.
 const (
-	PolicyPack   Policy = "pack"
-	PolicySpread Policy = "spread"
+	PolicyPack   Policy = "pack"   // fill as few workers as possible
+	PolicySpread Policy = "spread" // distribute tasks over workers
 )
 
-// Defaults of the rules; docs/settings.md lists them.
+// Default values, listed in docs/settings.md.
 const (
 	DefaultTimeLimit = 30 * time.Second
 	DefaultDrain     = 30 * time.Second
@@ -59,7 +60,7 @@
 	DefaultSlots     = 8
 )
 
-// Workload is a service or a kind of batch request with the rules in force for it.
+// Workload is a service or a type of batch request, with its effective rules.
 type Workload struct {
 	Name string
 	File string
@@ -67,36 +68,36 @@
 	Team string
 	// Instances is the number of tasks of a service in the whole cell.
 	Instances int
-	// Slots is how many requests one instance takes at a time.
+	// Slots is how many requests one instance handles at a time.
 	Slots int
-	// Tasks is how many tasks one batch request starts together, all or none.
+	// Tasks is how many tasks one batch request starts as a gang: all together or none.
 	Tasks int
 
 	Class      Class
 	Policy     Policy
 	Repeatable bool
-	Window     time.Duration // a batch request should be done this long after it was taken in
-	TimeLimit  time.Duration // longest time that one request or batch task may run
-	Drain      time.Duration // longest time that an instance which stops may go on
+	Window     time.Duration // target time from the acceptance of a batch request to its end
+	TimeLimit  time.Duration // maximum run time of a request or a batch task
+	Drain      time.Duration // maximum time that a stopping instance may keep running
 	Retries    int
 	MaxBody    int64 // bytes
-	Queue      int   // requests that may wait in one shard
+	Queue      int   // maximum number of requests waiting in a shard
 	Place      Place
 	Resources  cell.Resources
 
-	// From tells for each key from which file its value came; defaults are absent.
+	// SourceFiles maps each key to the file that sets its value. Keys with a default value are absent.
 	From map[string]string
 }
 
-// Instance is one task of a service and the shard that runs it.
+// Instance is a task of a service and the shard that runs it.
 type Instance struct {
 	Task  string
 	Shard cell.ShardID
 }
 
-// InstancesOf divides the instances of a service over the halls where it may run, in
-// turn, and within a hall over its shards. The division follows from the settings alone,
-// so that owners need not agree on it.
+// DistributeInstances assigns the instances of a service round-robin to the halls where it may run, and
+// within a hall round-robin to its shards. The result depends on the settings only, so owners compute
+// the same assignment without coordination.
 func InstancesOf(w Workload, layout cell.Layout) []Instance {
 	var halls []cell.HallLayout
 	for _, h := range layout.Halls {
--- a/pkg/tomlfile/decode.go
+++ b/pkg/tomlfile/decode.go
@@ -12,19 +12,21 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Problem is one thing that is wrong with a text.
+// Problem is an error in a TOML text.
 type Problem struct {
 	Line int // from 1
 	Key  string
 	Text string
-	// Unread says that the decoder stopped there, so that the target is not to be used.
+	// Fatal means that decoding stopped at this problem and the target must not be used.
 	Unread bool
 }
 
+// typeErrorPattern extracts line, key and message from the TOML library's text for a value of a wrong
+// type. The library provides them in no other form.
 var typeFault = regexp.MustCompile(`line (\d+) \(last key "([^"]*)"\): (.*)`)
 
-// Decode decodes text into the struct that target points to. It returns all unknown
-// keys, or the one fault of syntax or type that stopped the decoder.
+// Decode decodes text into the struct that target points to. It returns either all unknown keys, or the
+// single encoding, syntax or type error that stopped decoding.
 func Decode(text string, target any) []Problem {
 	if !utf8.ValidString(text) {
 		return []Problem{{Line: firstInvalidLine(text), Text: "the text is not UTF-8", Unread: true}}
@@ -50,7 +52,6 @@
 	if errors.As(err, &parse) {
 		return Problem{Line: parse.Position.Line, Key: parse.LastKey, Text: parse.Message, Unread: true}
 	}
-	// The library tells of a wrong type in a text only.
 	if m := typeFault.FindStringSubmatch(err.Error()); m != nil {
 		line, _ := strconv.Atoi(m[1])
 		return Problem{Line: line, Key: m[2], Text: m[3], Unread: true}
@@ -67,8 +68,9 @@
 	return 1
 }
 
-// LineOf returns the line, from 1, on which a dotted key is set in a TOML text, or 1 when
-// it is not found. For the key of a table it is the line of the table's header.
+// LineOf returns the line, counted from 1, that sets a dotted key in a TOML text. For a table it is the line
+// of the table's header. If the text doesn't set the key, LineOf returns the line of the innermost table
+// around it that the text has, or else 1.
 func LineOf(text, dotted string) int {
 	table := ""
 	for i, raw := range strings.Split(text, "\n") {
@@ -85,8 +87,8 @@
 			return i + 1
 		}
 	}
-	if at := strings.LastIndex(dotted, "."); at > 0 {
-		return LineOf(text, dotted[:at])
+	if dot := strings.LastIndex(dotted, "."); dot > 0 {
+		return LineOf(text, dotted[:dot])
 	}
 	return 1
 }
@@ -98,7 +100,7 @@
 	return table + "." + name
 }
 
-// knownKeys collects the names of all keys of a struct type and of the structs in it.
+// knownKeys collects the TOML keys of a struct type and of all types nested in it.
 func knownKeys(t reflect.Type) []string {
 	switch t.Kind() {
 	case reflect.Pointer, reflect.Slice, reflect.Map:
@@ -118,6 +120,7 @@
 	return keys
 }
 
+// suggestion returns a hint with the known key most similar to key, or "" if none is similar enough.
 func suggestion(key string, known []string) string {
 	best, bestDistance := "", len(key)/2+1
 	for _, k := range known {
@@ -131,7 +134,7 @@
 	return fmt.Sprintf(", did you mean %q?", best)
 }
 
-// editDistance is the Levenshtein distance of two short words.
+// editDistance returns the Levenshtein distance of two strings.
 func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
--- a/pkg/tomlfile/doc.go
+++ b/pkg/tomlfile/doc.go
@@ -1,6 +1,6 @@
-// Package tomlfile decodes a TOML text into a struct and reports every unknown key with
-// its line and the nearest known key. The TOML library finds unknown keys but keeps no
-// line for them, so the package looks the line up in the text.
+// Package tomlfile decodes a TOML text into a struct and reports each unknown key with its line and the
+// most similar known key. The TOML library reports unknown keys without their lines, so the package
+// searches the text for them.
 //
 // # Usage
 //
--- a/pkg/tomlfile/duration.go
+++ b/pkg/tomlfile/duration.go
@@ -6,10 +6,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Duration is a time.Duration that is written as a text with a unit, such as "90s".
+// Duration is a time.Duration that is written in TOML as a string with a unit, such as "90s".
 type Duration time.Duration
 
-// UnmarshalText reads a duration; it must be above zero and have a unit.
+// UnmarshalText parses a duration, which must be above zero and have a unit.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
--- a/pkg/upkeep/doc.go
+++ b/pkg/upkeep/doc.go
@@ -1,16 +1,19 @@
-// Package upkeep decides when each machine of a wave of upkeep goes down for it.
+// Package upkeep schedules the maintenance of machines, which is requested in waves.
 //
-// A wave names machines that all have to get their upkeep within its duration, at most so
-// many at once. A machine is first closed for new tasks and emptied (the caller does that),
-// then sent into upkeep. The package is pure: what is known of the machines goes in with a
-// clock reading, and Plan tells what to do next. A new owner begins with nothing: the order
-// for a machine that had its upkeep already is answered as done and changes nothing.
+// A wave lists machines that must all be maintained within its duration, with a limit on how
+// many may be unavailable at a time. Each machine is first closed for new tasks and drained by
+// the caller, then ordered into upkeep. The package does no I/O: the caller passes in the list
+// of machines and the current time, and Plan returns the next actions.
+//
+// The planner's progress is not stored. A new owner starts without it and may order a machine
+// into upkeep a second time; the platform then answers that the order was already carried out
+// and does nothing.
 //
 // # Usage
 //
 //	p := upkeep.New()
-//	p.PutWave(wave, now)
+//	p.AddWave(wave, now)
 //	p.SetMachines(machines)
-//	plan := p.Plan(now)         // plan.Close, plan.Order, plan.Show
-//	p.Ordered(order, true, now) // the platform has taken the order
+//	plan := p.Plan(now)             // plan.CloseWorkers, plan.Orders, plan.StateUpdates
+//	p.RecordOrder(order, true, now) // the platform has acknowledged the order
 package upkeep
--- a/pkg/upkeep/missing_test.go
+++ b/pkg/upkeep/machine_list_test.go
@@ -6,12 +6,13 @@
 	. "github.com/onsi/gomega"
 )
 
-// The list of machines comes in pages, which are not of one moment, so a list may miss a machine. One that a single list missed counted as having left
-// for good, and the wave was shown as completed without its upkeep though the next list had it. Found by a review, without a play of it.
+// The pages of a machine list are read at different times, so one list may omit a machine that still
+// exists. If such a machine counted as removed, the wave would be completed without its upkeep although
+// the next list has it again.
 func TestMachineThatOneListMissesIsNotDone(t *testing.T) {
 	g := NewWithT(t)
 	p := newPlanner(3)
-	p.SetMachines(machines(Up, Up)) // without m3
+	p.SetMachines(machines(Up, Up)) // m3 is missing
 	p.Plan(100)
 	p.SetMachines(machines(Up, Up, Up))
 	var ordered []MachineID
--- a/pkg/upkeep/plan.go
+++ b/pkg/upkeep/plan.go
@@ -11,10 +11,10 @@
 // MachineID names a machine.
 type MachineID string
 
-// MachineState says what a machine does.
+// MachineState is the operating state of a machine as the platform reports it.
 type MachineState string
 
-// The states of machines.
+// Machine states; the values are the platform's.
 const (
 	Up     MachineState = "up"
 	Moving MachineState = "moving"
@@ -27,30 +27,33 @@
 	ID     MachineID
 	Pool   string
 	State  MachineState
-	Worker string // name of the one that runs on it
+	Worker string // ID of the worker that runs on the machine
 }
 
-// Wave is a request for the upkeep of machines.
+// Wave is an operator's request for the upkeep of a set of machines.
 type Wave struct {
 	Number   int64
 	Machines []MachineID
 	Duration time.Duration
-	// AtOnce is how many of its machines may be down at the same time.
+	// MaxUnavailable is how many machines of the wave may be unavailable at the same time.
 	AtOnce int
 }
 
-// goneAfter is in how many lists in a row a machine is missing that has left for good. Its pages are not of one moment, so that one list may miss a machine.
+// missingListsUntilGone is the number of consecutive lists without a machine after which it counts
+// as removed. The pages of a list are read at different times, so one list may omit a machine that
+// still exists.
 const goneAfter = 2
 
-// settleFor is how long a machine whose order was taken may go on being listed as up before
-// it counts as one that had its upkeep already.
+// orderSettleTime is how long a machine may still be listed as up after its order. If the platform
+// acknowledged the order, the machine then counts as maintained before; otherwise the order counts
+// as lost.
 const settleFor = 3 * time.Second
 
-// emptyShare is the part of a machine's share of the wave's time in which it may be emptied
-// before what still runs there is moved.
+// drainShare is the fraction of a machine's share of the wave's duration that is left for its
+// running tasks to end; after that they are moved.
 const emptyShare = 0.5
 
-// Planner plans all waves. It is not safe for concurrent use.
+// Planner schedules the upkeep of all waves. It is not safe for concurrent use.
 type Planner struct {
 	waves    map[int64]*wave
 	machines map[MachineID]Machine
@@ -65,20 +68,20 @@
 }
 
 type progress struct {
-	closedAt  clock.Time // 0 before
-	orderedAt clock.Time // 0 before
-	answered  bool       // the platform has said that it takes the order, or has taken it
+	closedAt  clock.Time // 0 until the machine's worker is closed
+	orderedAt clock.Time // 0 while no order is outstanding
+	answered  bool       // the platform answered that it accepts the order or has carried it out before
 	wasDown   bool
-	missing   int // plans in a row by whose lists it was not there
+	missing   int // consecutive calls of Plan whose machine list lacked the machine
 	done      bool
 }
 
-// New returns a planner without waves.
+// New returns a planner that has no waves.
 func New() *Planner {
 	return &Planner{waves: map[int64]*wave{}, machines: map[MachineID]Machine{}}
 }
 
-// PutWave takes in a wave; it is known only once.
+// AddWave adds a wave. A wave whose number is already known is ignored.
 func (p *Planner) PutWave(w Wave, now clock.Time) {
 	if _, ok := p.waves[w.Number]; ok {
 		return
@@ -86,14 +89,14 @@
 	p.waves[w.Number] = &wave{Wave: w, since: now, progress: map[MachineID]*progress{}}
 }
 
-// Finish takes in that a wave was completed by a former owner.
+// MarkCompleted records that a previous owner has completed a wave.
 func (p *Planner) Finish(number int64) {
 	if w, ok := p.waves[number]; ok {
 		w.shown = Completed
 	}
 }
 
-// Active says whether there is a wave that has not been completed.
+// HasActiveWave reports whether any wave is not completed.
 func (p *Planner) Active() bool {
 	for _, w := range p.waves {
 		if w.shown != Completed {
@@ -103,7 +106,7 @@
 	return false
 }
 
-// SetMachines takes in the list of all machines.
+// SetMachines replaces the list of all machines.
 func (p *Planner) SetMachines(machines []Machine) {
 	clear(p.machines)
 	for _, m := range machines {
@@ -112,37 +115,37 @@
 	p.listed = true
 }
 
-// What a wave shows as its state.
+// Wave states, as operators read them.
 const (
 	Running   = "running"
 	Completed = "completed"
 )
 
-// Order sends a machine into upkeep.
+// Order is an order that sends a machine into upkeep.
 type Order struct {
 	Machine Machine
 	Wave    int64
-	// Force says that there is no more time to wait until the machine is empty.
+	// Force means that the time for draining is over: the order need not wait for tasks to end.
 	Force bool
 }
 
-// Show is a state that a wave has to show.
+// StateUpdate is a state of a wave that the caller has to store.
 type Show struct {
 	Wave  int64
 	State string
 }
 
-// Plan is what to do next.
+// Plan lists the actions that are due.
 type Plan struct {
-	// Close names the workers that are to get no more tasks; what they run may end.
+	// CloseWorkers lists the workers that must get no new tasks; their running tasks may end.
 	Close []string
-	// Orders are for machines that are closed; they wait until the machine is empty unless
-	// they are forced.
+	// Orders are for machines whose workers are closed. The caller holds an order back until the
+	// machine is empty, unless the order is forced.
 	Orders []Order
 	Shows  []Show
 }
 
-// Plan decides what to do next.
+// Plan returns the actions that are due. Before the first SetMachines there are none.
 func (p *Planner) Plan(now clock.Time) Plan {
 	var out Plan
 	if !p.listed {
@@ -157,94 +160,96 @@
 }
 
 func (p *Planner) planWave(w *wave, now clock.Time, out *Plan) {
-	down, left := 0, 0
+	unavailable, remaining := 0, 0
 	for _, id := range w.Machines {
-		m, stays := p.machines[id]
-		x := w.of(id)
-		if !stays {
-			if x.missing++; x.missing < goneAfter {
-				left++
+		m, listed := p.machines[id]
+		pr := w.of(id)
+		if !listed {
+			if pr.missing++; pr.missing < goneAfter {
+				remaining++
 			}
 			continue
 		}
-		x.missing = 0
-		x.observe(m, now)
-		if m.State != Up || x.orderedAt != 0 && !x.done {
-			down++
+		pr.missing = 0
+		pr.observe(m, now)
+		if m.State != Up || pr.orderedAt != 0 && !pr.done {
+			unavailable++
 		}
-		if !x.done {
-			left++
+		if !pr.done {
+			remaining++
 		}
 	}
-	if left == 0 {
+	if remaining == 0 {
 		out.Shows = append(out.Shows, Show{w.Number, Completed})
 		return
 	}
 	if w.shown == "" {
 		out.Shows = append(out.Shows, Show{w.Number, Running})
 	}
-	p.next(w, down, now, out)
+	p.next(w, unavailable, now, out)
 }
 
-// next closes machines and sends them into upkeep, as many at once as the wave allows.
-func (p *Planner) next(w *wave, down int, now clock.Time, out *Plan) {
+// orderMachines closes machines and orders them into upkeep until MaxUnavailable machines of the wave
+// are unavailable. The parameter unavailable counts those that already are.
+func (p *Planner) next(w *wave, unavailable int, now clock.Time, out *Plan) {
 	share := time.Duration(float64(w.Duration) * float64(max(w.AtOnce, 1)) / float64(len(w.Machines)))
 	for _, id := range w.Machines {
-		x, m := w.of(id), p.machines[id]
-		if x.done || x.orderedAt != 0 || m.State != Up { // one that is missing has no state
+		pr, m := w.of(id), p.machines[id]
+		if pr.done || pr.orderedAt != 0 || m.State != Up { // a machine missing from the list has an empty state
 			continue
 		}
-		if down >= max(w.AtOnce, 1) {
+		if unavailable >= max(w.AtOnce, 1) {
 			return
 		}
-		down++
-		if x.closedAt == 0 {
-			x.closedAt = now
+		unavailable++
+		if pr.closedAt == 0 {
+			pr.closedAt = now
 		}
 		out.Close = append(out.Close, m.Worker)
-		force := now.Sub(x.closedAt) > time.Duration(emptyShare*float64(share))
+		force := now.Sub(pr.closedAt) > time.Duration(emptyShare*float64(share))
 		out.Orders = append(out.Orders, Order{Machine: m, Wave: w.Number, Force: force})
 	}
 }
 
 func (w *wave) of(id MachineID) *progress {
-	x, ok := w.progress[id]
+	pr, ok := w.progress[id]
 	if !ok {
-		x = &progress{}
-		w.progress[id] = x
+		pr = &progress{}
+		w.progress[id] = pr
 	}
-	return x
+	return pr
 }
 
-// observe takes in the state in which a machine is listed.
-func (x *progress) observe(m Machine, now clock.Time) {
-	if x.orderedAt == 0 {
+// observe updates the progress of an ordered machine from its listed state.
+func (pr *progress) observe(m Machine, now clock.Time) {
+	if pr.orderedAt == 0 {
 		return
 	}
 	if m.State == Upkeep || m.State == Down {
-		x.wasDown = true
+		pr.wasDown = true
 	}
-	settled := now.Sub(x.orderedAt) > settleFor
+	settled := now.Sub(pr.orderedAt) > settleFor
 	switch {
 	case m.State != Up:
-	case x.wasDown, settled && x.answered:
-		x.done = true
+	case pr.wasDown, settled && pr.answered:
+		pr.done = true
 	case settled:
-		x.orderedAt = 0 // the order was lost, so that it is given again
+		pr.orderedAt = 0 // the order was lost; the next plan repeats it
 	}
 }
 
-// Ordered takes in that a machine was ordered into its upkeep. Without an answer the platform may have taken the order.
-func (p *Planner) Ordered(o Order, answered bool, now clock.Time) {
+// RecordOrder records that an order was sent. acknowledged is false if the platform did not answer or
+// answered with an error; the order may have been carried out even then.
+func (p *Planner) Ordered(o Order, acknowledged bool, now clock.Time) {
 	w, ok := p.waves[o.Wave]
 	if !ok {
 		return
 	}
-	x := w.of(o.Machine.ID)
-	x.orderedAt, x.answered = now, answered
+	pr := w.of(o.Machine.ID)
+	pr.orderedAt, pr.answered = now, acknowledged
 }
 
-// Shown takes in that a wave shows a state.
+// RecordState records that a wave's state has been stored.
 func (p *Planner) Shown(s Show) {
 	if w, ok := p.waves[s.Wave]; ok {
 		w.shown = s.State
--- a/pkg/upkeep/plan_test.go
+++ b/pkg/upkeep/plan_test.go
@@ -17,9 +17,9 @@
 	return out
 }
 
-func newPlanner(atOnce int) *Planner {
+func newPlanner(maxUnavailable int) *Planner {
 	p := New()
-	p.PutWave(Wave{Number: 1, Machines: []MachineID{"m1", "m2", "m3"}, Duration: 30 * time.Second, AtOnce: atOnce}, 0)
+	p.PutWave(Wave{Number: 1, Machines: []MachineID{"m1", "m2", "m3"}, Duration: 30 * time.Second, AtOnce: maxUnavailable}, 0)
 	return p
 }
 
@@ -37,7 +37,7 @@
 	g.Expect(plan.Shows).To(Equal([]Show{{1, Running}}))
 	p.Shown(plan.Shows[0])
 	p.Ordered(plan.Orders[0], true, 100)
-	g.Expect(p.Plan(200).Orders).To(BeEmpty(), "the list may be old")
+	g.Expect(p.Plan(200).Orders).To(BeEmpty(), "the machine list may be older than the order")
 	p.SetMachines(machines(Upkeep, Up, Up))
 	g.Expect(p.Plan(300).Orders).To(BeEmpty())
 	p.SetMachines(machines(Up, Up, Up))
@@ -56,7 +56,7 @@
 	p := newPlanner(1)
 	p.SetMachines(machines(Up, Up, Up))
 	g.Expect(p.Plan(100).Orders[0].Force).To(BeFalse())
-	g.Expect(p.Plan(100 + 6000).Orders[0].Force).To(BeTrue(), "each machine has 10 s")
+	g.Expect(p.Plan(100 + 6000).Orders[0].Force).To(BeTrue(), "each machine has 10 s, and 5 s of them for draining")
 }
 
 func TestWaveIsCompletedWhenAllHadTheirUpkeepOrAreGone(t *testing.T) {
@@ -80,19 +80,20 @@
 	p := newPlanner(3)
 	p.SetMachines(machines(Up, Up, Up))
 	for _, o := range p.Plan(100).Orders {
-		p.Ordered(o, true, 100) // answered as done
+		p.Ordered(o, true, 100) // the platform answers that it was carried out before
 	}
 	g.Expect(p.Plan(100 + 3500).Shows).To(Equal([]Show{{1, Completed}}))
 }
 
-// An order without an answer may not have been carried out: it is given again, and its machine counts as down until then.
+// An order without an answer may or may not have been carried out. It is repeated after orderSettleTime,
+// and its machine counts as unavailable until then.
 func TestOrderWithoutAnAnswerIsGivenAgain(t *testing.T) {
 	g := NewWithT(t)
 	p := newPlanner(1)
 	p.SetMachines(machines(Up, Up, Up))
 	first := p.Plan(100).Orders[0]
 	p.Ordered(first, false, 100)
-	g.Expect(p.Plan(200).Orders).To(BeEmpty(), "it may be carried out yet")
+	g.Expect(p.Plan(200).Orders).To(BeEmpty(), "the order may still be carried out")
 	again := p.Plan(100 + 3500).Orders
 	g.Expect(again).To(HaveLen(1))
 	g.Expect(again[0].Machine.ID).To(Equal(first.Machine.ID))
