--- a/pkg/dialer/dialer.go
+++ b/pkg/dialer/dialer.go
@@ -22,16 +22,16 @@
 	bytes   metrics.Counter
 }
 
-// New returns a dialer with a table of routes and a time limit for each connection. The
-// bytes that pass its connections are counted in bytes.
+// New returns a dialer with a table of routes and a time limit for opening a connection. The counter bytes
+// adds up all bytes sent and received on its connections.
 func New(routes map[netip.AddrPort]netip.AddrPort, timeout time.Duration, bytes metrics.Counter) *Dialer {
 	return &Dialer{routes: routes, timeout: timeout, bytes: bytes}
 }
 
-// Dial opens a connection to an address, by way of its route if there is one.
+// Dial opens a connection to an address, or to the address that its route gives instead.
 func (d *Dialer) Dial(ctx context.Context, address netip.AddrPort) (net.Conn, error) {
-	if via, ok := d.routes[address]; ok {
-		address = via
+	if routed, ok := d.routes[address]; ok {
+		address = routed
 	}
 	nd := net.Dialer{Timeout: d.timeout}
 	conn, err := nd.DialContext(ctx, "tcp", address.String())
@@ -41,9 +41,9 @@
 	return &meteredConn{conn, d.bytes}, nil
 }
 
-// Transport returns an HTTP transport that dials through d and keeps up to idle unused
-// connections to each host.
-func (d *Dialer) Transport(idle int) *http.Transport {
+// Transport returns an HTTP transport that opens its connections with d and keeps up to maxIdle idle
+// connections per host.
+func (d *Dialer) Transport(maxIdle int) *http.Transport {
 	return &http.Transport{
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
 			target, err := netip.ParseAddrPort(address)
@@ -52,21 +52,21 @@
 			}
 			return d.Dial(ctx, target)
 		},
-		MaxIdleConnsPerHost: idle,
+		MaxIdleConnsPerHost: maxIdle,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}
 }
 
-// NotSent says whether an HTTP exchange failed before anything was sent: the connection
-// could not be opened.
+// NotSent reports whether an HTTP request failed before anything was sent, because no connection could be
+// opened.
 func NotSent(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// Refused says whether the host answered that nothing listens on the port. On a host that
-// answers at all this shows that the process which had the port has ended.
+// ConnectionRefused reports whether the host refused the connection because nothing listens on the port. It
+// proves that the host is up and that the process that listened on the port has ended.
 func Refused(err error) bool {
 	return NotSent(err) && errors.Is(err, syscall.ECONNREFUSED)
 }
--- a/pkg/logring/doc.go
+++ b/pkg/logring/doc.go
@@ -1,6 +1,6 @@
-// Package logring has the log of a process that never blocks: lines go through a bounded
-// ring to a writer of their own. Lines that find the ring full are dropped and counted, and
-// the count is written when there is room again.
+// Package logring provides a log writer that never blocks its callers. Lines are put into a bounded buffer,
+// and a background goroutine writes them to the output. Lines that arrive while the buffer is full are
+// dropped and counted; the count is logged with the next write.
 //
 // # Usage
 //
--- a/pkg/logring/writer.go
+++ b/pkg/logring/writer.go
@@ -10,27 +10,27 @@
 
 const (
 	closeTimeout = 200 * time.Millisecond
-	// gatherFor is how long lines are gathered for one write of up to maxWrite bytes. A pipe
-	// takes that many at once, so that lines are not torn apart.
+	// batchDelay is how long lines are collected for one write of at most maxWriteBytes. A write of that size
+	// to a pipe is atomic, so lines are not split.
 	gatherFor = 20 * time.Millisecond
 	maxWrite  = 4000
 )
 
-// Writer takes lines and writes them in the background.
+// Writer writes log lines in the background. It is safe for concurrent use.
 type Writer struct {
 	ring    chan []byte
 	dropped atomic.Int64
 	done    chan struct{}
 }
 
-// New returns a writer with room for size lines.
+// New returns a writer that buffers up to size lines.
 func New(out io.Writer, size int) *Writer {
 	w := &Writer{ring: make(chan []byte, size), done: make(chan struct{})}
 	go w.run(out)
 	return w
 }
 
-// Write takes one line. It never fails and never waits.
+// Write adds a line to the buffer, or drops it if the buffer is full. It never fails and never blocks.
 func (w *Writer) Write(line []byte) (int, error) {
 	select {
 	case w.ring <- append([]byte(nil), line...):
@@ -40,12 +40,12 @@
 	return len(line), nil
 }
 
-// Dropped is how many lines were dropped and not yet told of in the log.
+// Dropped returns the number of dropped lines that have not been reported in the log.
 func (w *Writer) Dropped() int64 {
 	return w.dropped.Load()
 }
 
-// Close writes what is in the ring, as far as the output takes it soon.
+// Close writes the buffered lines and stops the writer. It waits at most twice closeTimeout for the output.
 func (w *Writer) Close() {
 	select {
 	case w.ring <- nil:
@@ -58,7 +58,8 @@
 	}
 }
 
-// run gathers lines for a moment, so that one system call writes several.
+// run writes the buffered lines until the writer is closed. It collects lines for batchDelay, so that one
+// system call writes several.
 func (w *Writer) run(out io.Writer) {
 	defer close(w.done)
 	var buffer bytes.Buffer
@@ -83,7 +84,8 @@
 	}
 }
 
-// drain takes what is in the ring; it says whether the writer stays open.
+// drain moves all lines from the ring to buffer, which it flushes before it would exceed maxWriteBytes. It
+// reports whether the writer is still open.
 func (w *Writer) drain(buffer *bytes.Buffer, flush func()) bool {
 	for {
 		select {
--- a/pkg/logring/writer_test.go
+++ b/pkg/logring/writer_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// slowOutput blocks until it is released.
+// slowOutput blocks each write until release is closed.
 type slowOutput struct {
 	mu      sync.Mutex
 	release chan struct{}
--- a/pkg/program/doc.go
+++ b/pkg/program/doc.go
@@ -1,7 +1,6 @@
-// Package program holds what the programs have in common: their exit codes and how they
-// complain.
+// Package program holds what all foldarch programs share: exit codes and error output.
 //
 // # Usage
 //
-//	return program.Complain(os.Stderr, "foldarch-entry", err, program.ExitUsage)
+//	return program.ReportError(os.Stderr, "foldarch-entry", err, program.ExitUsage)
 package program
--- a/pkg/trace/generate.go
+++ b/pkg/trace/generate.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Generate writes a trace from a seed; the same seed gives the same trace.
+// Generate generates a trace. The same name and seed always give the same trace.
 func Generate(name Name, seed uint64) []Event {
 	g := &generator{rng: rand.New(rand.NewPCG(seed, uint64(len(name))))}
 	switch name {
@@ -31,7 +31,8 @@
 	g.events = append(g.events, e)
 }
 
-// poisson calls f at random moments, rate a second, from begin to end.
+// poisson calls f for the events of a Poisson process of rate events per second between begin and end. It
+// passes the time of each event in milliseconds.
 func (g *generator) poisson(begin, end time.Duration, rate float64, f func(at int64)) {
 	for at := begin.Seconds(); ; {
 		at += g.rng.ExpFloat64() / rate
@@ -42,13 +43,13 @@
 	}
 }
 
-// skewed returns a duration in ms about a mean, with a long tail.
+// skewedMS returns a random duration in milliseconds with the given mean and a long tail.
 func (g *generator) skewed(mean float64) int64 {
 	return int64(mean*0.6 + mean*0.4*g.rng.ExpFloat64())
 }
 
-// The Hanbit morning lasts two minutes of recorded time: steady stat sheets, games whose
-// ticks come in bursts at each goal, and recaps after them.
+// The Hanbit trace compresses a morning into two minutes: requests for stat sheets at a constant rate, and
+// games in which each goal causes a burst of score ticks, followed by requests for recaps.
 const (
 	hanbitLength = 2 * time.Minute
 	hanbitGames  = 6
@@ -64,6 +65,7 @@
 	}
 }
 
+// game adds the requests caused by the goals of one game.
 func (g *generator) game(game int, begin time.Duration) {
 	const goals = 3
 	for goal := range goals {
@@ -77,8 +79,8 @@
 	}
 }
 
-// The Association day is pressed into four minutes of recorded time: fits all day, alloy
-// screens in sweeps, lookups, and publications that must run once.
+// The Association trace compresses a day into four minutes: fits and lookups at a constant rate, alloy screens
+// in sweeps, and publications, which must not be executed more than once.
 const associationLength = 4 * time.Minute
 
 func (g *generator) association() {
--- a/pkg/trace/trace.go
+++ b/pkg/trace/trace.go
@@ -12,42 +12,42 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Name names a bundled trace.
+// Name is the name of a bundled trace.
 type Name string
 
-// The bundled traces.
+// Names of the bundled traces.
 const (
 	Hanbit      Name = "hanbit"
 	Association Name = "association"
 )
 
-// BundledSeed is the seed of the bundled traces.
+// BundledSeed is the seed from which the bundled traces were generated.
 const BundledSeed = 1
 
-// Event is one request.
+// Event is one request of a trace.
 type Event struct {
-	AtMS     int64  `json:"at_ms"` // since the begin of the trace
+	AtMS     int64  `json:"at_ms"` // since the start of the trace
 	Workload string `json:"workload"`
 	Batch    bool   `json:"batch,omitempty"`
 	Caller   string `json:"caller"`
 	Key      string `json:"key,omitempty"`
 	Class    string `json:"class,omitempty"`
-	WorkMS   int64  `json:"work_ms"`               // how long the back end works on it
-	LimitMS  int64  `json:"limit_ms,omitempty"`    // of no use after so long
-	Once     bool   `json:"once,omitempty"`        // not repeatable
-	Team     string `json:"team,omitempty"`        // of a batch request
-	Size     int64  `json:"cpu_millis,omitempty"`  // of a batch request
-	Memory   int64  `json:"memory_mb,omitempty"`   // of a batch request
-	Window   int64  `json:"window_ms,omitempty"`   // of a batch request
-	Accel    int64  `json:"accelerator,omitempty"` // of a batch request
+	WorkMS   int64  `json:"work_ms"`               // how long the endpoint or task works on it
+	LimitMS  int64  `json:"limit_ms,omitempty"`    // time limit of a call
+	Once     bool   `json:"once,omitempty"`        // must not be executed more than once
+	Team     string `json:"team,omitempty"`        // batch requests only
+	Size     int64  `json:"cpu_millis,omitempty"`  // batch requests only
+	Memory   int64  `json:"memory_mb,omitempty"`   // batch requests only
+	Window   int64  `json:"window_ms,omitempty"`   // batch requests only
+	Accel    int64  `json:"accelerator,omitempty"` // batch requests only
 }
 
-// At returns when the request came, since the begin of the trace.
+// At returns the time of the request since the start of the trace.
 func (e Event) At() time.Duration {
 	return time.Duration(e.AtMS) * time.Millisecond
 }
 
-// Body is the request's body: the stand-ins work as long as it says.
+// Body returns the request body. The stand-in services parse it to learn how long to work on the request.
 func (e Event) Body() string {
 	once := ""
 	if e.Once && e.Batch {
@@ -59,7 +59,7 @@
 //go:embed *.jsonl
 var files embed.FS
 
-// Bundled returns a bundled trace in the order of time.
+// Bundled returns a bundled trace, ordered by time.
 func Bundled(name Name) ([]Event, error) {
 	text, err := files.ReadFile(string(name) + ".jsonl")
 	if err != nil {
@@ -68,7 +68,7 @@
 	return Read(bytes.NewReader(text))
 }
 
-// Read reads a trace of one JSON object a line.
+// Read reads a trace in the JSON Lines format: one event per line.
 func Read(r io.Reader) ([]Event, error) {
 	var events []Event
 	scanner := bufio.NewScanner(r)
@@ -84,7 +84,7 @@
 	return events, errors.Wrap(scanner.Err(), "trace")
 }
 
-// Write writes a trace that Read reads.
+// Write writes a trace in the format that Read expects.
 func Write(w io.Writer, events []Event) error {
 	encoder := json.NewEncoder(w)
 	for _, e := range events {
--- a/pkg/trace/trace_test.go
+++ b/pkg/trace/trace_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/gomega"
 )
 
-var update = flag.Bool("update", false, "write the bundled traces anew")
+var update = flag.Bool("update", false, "rewrite the bundled traces from the generator")
 
 func TestBundledTracesAreWhatTheGeneratorWrites(t *testing.T) {
 	for _, name := range []Name{Hanbit, Association} {
--- a/pkg/traffic/doc.go
+++ b/pkg/traffic/doc.go
@@ -1,13 +1,15 @@
-// Package traffic counts the bytes of a process's connections, by what they are for.
+// Package traffic counts the bytes sent and received on a process's connections, by purpose. Operators use the
+// counters to find out what uses the bandwidth of a host's link.
 //
-// A Meter has two counters in a registry of figures, "bytes.NAME.sent" and "bytes.NAME.received". They count what is written to and read from
-// the connections, with the heads of messages and without those of the network. So an operator sees what fills a host's link.
+// A Meter has two counters in a metrics registry, "bytes.NAME.sent" and "bytes.NAME.received". They count the
+// bytes written to and read from the connections. These include application protocol headers, but not those of
+// TCP, IP and the link layer.
 //
 // # Usage
 //
 //	m := traffic.New("store", registry)
-//	conn = m.Conn(conn)             // counts what goes over it
-//	listener = m.Listener(listener) // counts what goes over the connections that it accepts
+//	conn = m.Conn(conn)             // counts the bytes of the connection
+//	listener = m.Listener(listener) // counts the bytes of all accepted connections
 //
 // A nil Meter counts nothing.
 package traffic
--- a/pkg/traffic/meter.go
+++ b/pkg/traffic/meter.go
@@ -11,7 +11,7 @@
 	sent, received metrics.Counter
 }
 
-// New returns a Meter whose counters stand in a registry under a name.
+// New returns a Meter whose counters are registered in r under the given name.
 func New(name string, r metrics.Registry) *Meter {
 	return &Meter{
 		sent:     metrics.GetOrRegisterCounter("bytes."+name+".sent", r),
@@ -19,7 +19,7 @@
 	}
 }
 
-// Conn returns a connection that is counted.
+// Conn returns a connection that counts the bytes of c.
 func (m *Meter) Conn(c net.Conn) net.Conn {
 	if m == nil {
 		return c
@@ -27,7 +27,7 @@
 	return &conn{c, m}
 }
 
-// Listener returns a listener whose connections are counted.
+// Listener returns a listener that counts the bytes of all connections that l accepts.
 func (m *Meter) Listener(l net.Listener) net.Listener {
 	if m == nil {
 		return l
@@ -40,14 +40,14 @@
 	meter *Meter
 }
 
-// Read reads and counts.
+// Read reads from the connection and counts the bytes.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.meter.received.Inc(int64(n))
 	return n, err
 }
 
-// Write writes and counts.
+// Write writes to the connection and counts the bytes.
 func (c *conn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.meter.sent.Inc(int64(n))
@@ -59,7 +59,7 @@
 	meter *Meter
 }
 
-// Accept accepts a connection that is counted.
+// Accept accepts a connection whose bytes are counted.
 func (l *listener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
