--- a/pkg/settings/difference.go
+++ b/pkg/settings/difference.go
@@ -68,7 +68,7 @@
 	return fmt.Errorf("%s: hall: halls and their shards determine the home shard of each key and can't be changed in a running cell", rootFile)
 }
 
-// changeKind returns "added", "removed" or "changed", or "" if nothing changed.
+// changeType returns "added", "removed" or "changed", or "" if nothing changed.
 func whatHappened(had, has, same bool) string {
 	switch {
 	case !had && has:
--- a/pkg/settings/tree.go
+++ b/pkg/settings/tree.go
@@ -18,7 +18,7 @@
 	Workloads     map[string]Workload
 }
 
-// SortedWorkloads lists the workloads ordered by name.
+// Sorted lists the workloads ordered by name.
 func (t *Tree) Sorted() []Workload {
 	list := make([]Workload, 0, len(t.Workloads))
 	for _, name := range slices.Sorted(maps.Keys(t.Workloads)) {
--- a/pkg/trace/trace.go
+++ b/pkg/trace/trace.go
@@ -49,11 +49,11 @@
 
 // Body returns the request body. The stand-in services parse it to learn how long to work on the request.
 func (e Event) Body() string {
-	once := ""
+	option := ""
 	if e.Once && e.Batch {
-		once = " not-repeatable"
+		option = " not-repeatable"
 	}
-	return fmt.Sprintf("ms=%d%s %s", e.WorkMS, once, e.Key)
+	return fmt.Sprintf("ms=%d%s %s", e.WorkMS, option, e.Key)
 }
 
 //go:embed *.jsonl
--- a/pkg/upkeep/plan.go
+++ b/pkg/upkeep/plan.go
@@ -238,15 +238,15 @@
 	}
 }
 
-// RecordOrder records that an order was sent. acknowledged is false if the platform did not answer or
+// RecordOrder records that an order was sent. answered is false if the platform did not answer or
 // answered with an error; the order may have been carried out even then.
-func (p *Planner) Ordered(o Order, acknowledged bool, now clock.Time) {
+func (p *Planner) Ordered(o Order, answered bool, now clock.Time) {
 	w, ok := p.waves[o.Wave]
 	if !ok {
 		return
 	}
 	pr := w.of(o.Machine.ID)
-	pr.orderedAt, pr.answered = now, acknowledged
+	pr.orderedAt, pr.answered = now, answered
 }
 
 // RecordState records that a wave's state has been stored.
