--- a/pkg/cli/apply.go
+++ b/pkg/cli/apply.go
@@ -13,7 +13,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ApplyCommand puts a directory in force.
+// ApplyCommand replaces the settings in force with the declarations of a directory.
 type ApplyCommand struct {
 	storeFlags
 	Dir     string         `arg:"" help:"Directory of declarations."`
@@ -25,12 +25,12 @@
 	Timeout time.Duration  `default:"30s" help:"How long --wait waits."`
 }
 
-// Help gives an example.
+// Help returns the detailed help text with an example; kong calls it.
 func (ApplyCommand) Help() string {
 	return "The settings are changed as a whole or not at all. When someone else changed them since,\nthe command is refused and names the other change.\n\nExample:\n\n  foldarch apply --store 127.0.0.1:7000 --note \"more scoring\" declarations\n  revision 8 is in force"
 }
 
-// Run applies the directory and, if asked to, waits until it is in force.
+// Run applies the directory. With --wait it returns only when every live process uses the new revision.
 func (c ApplyCommand) Run(e *env) error {
 	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout+c.Timeout)
 	defer cancel()
@@ -41,11 +41,11 @@
 	if err != nil {
 		return err
 	}
-	book, err := c.openBook(e.clk)
+	repository, err := c.openBook(e.clk)
 	if err != nil {
 		return err
 	}
-	current, err := loadCurrent(ctx, book)
+	current, err := loadCurrent(ctx, repository)
 	if err != nil {
 		return err
 	}
@@ -53,15 +53,15 @@
 		return err
 	}
 	if c.Base >= 0 && c.Base != current.head.Revision {
-		return moved(ctx, book, c.Base)
+		return moved(ctx, repository, c.Base)
 	}
 	if len(settings.CompareDocuments(current.docs, docs)) == 0 {
 		fmt.Fprintf(e.out, "nothing differs from revision %d\n", current.head.Revision)
 		return nil
 	}
-	next, err := book.Apply(ctx, current.head, docs, revision.Change{Author: c.Author, Note: c.Note})
+	next, err := repository.Apply(ctx, current.head, docs, revision.Change{Author: c.Author, Note: c.Note})
 	if errors.Is(err, store.ErrConflict) {
-		return moved(ctx, book, current.head.Revision)
+		return moved(ctx, repository, current.head.Revision)
 	}
 	if err != nil {
 		return errors.Wrap(err, "nothing was changed")
@@ -73,9 +73,11 @@
 	return waitInForce(ctx, e, c.Entry, next.Revision, c.Timeout)
 }
 
-// moved names the change that came first.
-func moved(ctx context.Context, book *revision.Book, base int64) error {
-	commits, err := book.History(ctx, 1)
+// conflictError returns the error for an operator whose change is based on revision base although another
+// change was accepted since. It names that change's revision, author, time and note if the history can be
+// read.
+func moved(ctx context.Context, repository *revision.Book, base int64) error {
+	commits, err := repository.History(ctx, 1)
 	if err != nil || len(commits) == 0 {
 		return errors.Newf("the settings have moved on from revision %d; nothing was changed", base)
 	}
@@ -84,7 +86,8 @@
 		base, other.Revision, other.Author, other.At.Format(time.RFC3339), other.Note)
 }
 
-// waitInForce asks an entry host until it and every process it hears of have a revision.
+// waitUntilInForce polls the status of an entry host until that host and all its live peers have at least the
+// given revision, or until limit has passed.
 func waitInForce(ctx context.Context, e *env, address netip.AddrPort, revision int64, limit time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -92,23 +95,26 @@
 	if err != nil {
 		return errors.Wrap(err, "entry host")
 	}
-	behind := "no answer"
+	outdated := "no answer"
 	for ctx.Err() == nil {
 		status, err := client.ReadCellStatus(ctx)
 		if err == nil {
-			if behind = processBehind(status, revision); behind == "" {
+			if outdated = processBehind(status, revision); outdated == "" {
 				fmt.Fprintf(e.out, "revision %d is in force in %d processes\n", revision, 1+len(status.Peers))
 				return nil
 			}
 		}
 		_ = store.Pause(ctx, 1)
 	}
-	return errors.Newf("revision %d is accepted, but not in force everywhere after %s: %s", revision, limit, behind)
+	return errors.Newf("revision %d is accepted, but not in force everywhere after %s: %s", revision, limit, outdated)
 }
 
-// liveAge is how old a beat of a live process may be.
+// maxLivePeerAge is the age of the last heartbeat above which a peer counts as dead: waitUntilInForce does
+// not wait for it.
 const liveAge = 15 * time.Second
 
+// describeOutdated returns a text about the first process, the entry host itself or a live peer, that has an
+// older revision, or "" if there is none.
 func processBehind(s *entryapi.ProcessStatus, revision int64) string {
 	if s.Revision < revision {
 		return fmt.Sprintf("%s has revision %d", s.ID, s.Revision)
--- a/pkg/cli/doc.go
+++ b/pkg/cli/doc.go
@@ -1,6 +1,6 @@
-// Package cli is the program foldarch, with which operators declare what the cell is to
-// run, and look in. Each subcommand stands in a file of its own, in the same order: the
-// struct with its flags and help, then Run. The table of all is the struct Program.
+// Package cli implements the program foldarch, with which operators declare what a cell runs and inspect it.
+// Each subcommand has a file of its own, which holds the struct with its flags, the method Help and the
+// method Run. The struct Program lists all subcommands.
 //
 // # Usage
 //
--- a/pkg/cli/drain.go
+++ b/pkg/cli/drain.go
@@ -8,19 +8,20 @@
 	"github.com/cockroachdb/errors"
 )
 
-// DrainCommand makes a host leave.
+// DrainCommand makes a worker or an entry host leave the cell.
 type DrainCommand struct {
 	entryFlags
 	Kind string `arg:"" enum:"worker,entry" help:"What leaves: worker or entry."`
 	ID   string `arg:"" help:"Its id."`
 }
 
-// Help gives an example.
+// Help returns the detailed help text with an example; kong calls it.
 func (DrainCommand) Help() string {
 	return "Example:\n\n  foldarch drain --entry 127.0.0.1:8080 worker seoul-1-w3"
 }
 
-// Run sends the command.
+// Run sends the command to an entry host. It returns when the command is accepted, not when the target has
+// left.
 func (c DrainCommand) Run(e *env) error {
 	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	defer cancel()
--- a/pkg/cli/explain.go
+++ b/pkg/cli/explain.go
@@ -8,18 +8,19 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ExplainCommand tells why a workload runs where it does.
+// ExplainCommand shows the rules of a workload and the placement decisions about its tasks.
 type ExplainCommand struct {
 	entryFlags
 	Workload string `arg:"" help:"Name of the workload."`
 }
 
-// Help gives an example.
+// Help returns the detailed help text with an example; kong calls it.
 func (ExplainCommand) Help() string {
 	return "Example:\n\n  foldarch explain --entry 127.0.0.1:8080 scoring"
 }
 
-// Run prints the rules and decisions.
+// Run prints a table of the rules with the level each came from and a table of the decisions, or both as
+// JSON.
 func (c ExplainCommand) Run(e *env) error {
 	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	defer cancel()
--- a/pkg/cli/history.go
+++ b/pkg/cli/history.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// HistoryCommand lists revisions, the one in force first.
+// HistoryCommand lists the revisions of the settings, the one in force first.
 type HistoryCommand struct {
 	storeFlags
 	Count int `short:"n" default:"20" help:"How many."`
 }
 
-// Help gives an example.
+// Help returns the detailed help text with an example; kong calls it.
 func (HistoryCommand) Help() string {
 	return "Example:\n\n  foldarch history --store 127.0.0.1:7000\n  REVISION  AT                    AUTHOR        FILES  NOTE"
 }
 
-// Run prints the table.
+// Run prints one line for each revision.
 func (c HistoryCommand) Run(e *env) error {
 	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	defer cancel()
-	book, err := c.openBook(e.clk)
+	repository, err := c.openBook(e.clk)
 	if err != nil {
 		return err
 	}
-	commits, err := book.History(ctx, c.Count)
+	commits, err := repository.History(ctx, c.Count)
 	if err != nil {
 		return err
 	}
--- a/pkg/cli/job.go
+++ b/pkg/cli/job.go
@@ -4,7 +4,7 @@
 	"net/netip"
 )
 
-// JobCommand is the table of what can be done with jobs on the platform.
+// JobCommand lists the subcommands for jobs on the platform.
 type JobCommand struct {
 	Show      JobShowCommand      `cmd:"" default:"withargs" help:"Show what the owner of the pool knows of a job, and what it waits for."`
 	Submit    JobSubmitCommand    `cmd:"" help:"Hand in a job of steps."`
@@ -14,12 +14,12 @@
 	Queue     JobQueueCommand     `cmd:"" help:"Count the jobs of a queue that have not begun."`
 }
 
-// hostFlag names an entry host on the platform.
+// hostFlag is the flag --host, the operators' address of an entry host on the platform.
 type hostFlag struct {
 	Host netip.AddrPort `required:"" env:"FOLDARCH_HOST" help:"Operators' address of any entry host, such as 10.1.0.13:9100." placeholder:"ADDRESS"`
 }
 
-// jobArgument names a job.
+// jobArgument is the job id as a positional argument.
 type jobArgument struct {
 	ID string `arg:"" help:"The job's id, 16 hexadecimal digits."`
 }
--- a/pkg/cli/job_cancel.go
+++ b/pkg/cli/job_cancel.go
@@ -6,18 +6,18 @@
 	"foldarch.dev/foldarch/pkg/jobapi/jobsapi"
 )
 
-// JobCancelCommand ends a job.
+// JobCancelCommand cancels a job.
 type JobCancelCommand struct {
 	hostFlag
 	jobArgument
 }
 
-// Help gives an example.
+// Help returns the detailed help text with an example; kong calls it.
 func (JobCancelCommand) Help() string {
 	return "Example:\n\n  foldarch job cancel --host 10.1.0.13:9100 5c0e7a21d94b36f8"
 }
 
-// Run has the job cancelled.
+// Run cancels the job and prints its state.
 func (c JobCancelCommand) Run(e *env) error {
 	return c.call(e, c.ID, func(ctx context.Context, client *jobsapi.Client) (*jobsapi.JobStatus, error) {
 		return client.CancelJob(ctx, jobsapi.CancelJobParams{ID: jobsapi.JobID(c.ID)})
--- a/pkg/cli/job_client.go
+++ b/pkg/cli/job_client.go
@@ -9,13 +9,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// open returns a client of the host's API of jobs.
+// newClient returns a client of the job API at the host's address.
 func (f hostFlag) open() (*jobsapi.Client, error) {
 	client, err := jobsapi.NewClient("http://" + f.Host.String())
 	return client, errors.Wrap(err, "entry host")
 }
 
-// call makes one call about a job and prints its state.
+// callJobAPI checks the job id, makes one call of the job API with do, and prints the state of the job.
 func (f hostFlag) call(e *env, id string, do func(context.Context, *jobsapi.Client) (*jobsapi.JobStatus, error)) error {
 	if _, err := job.ParseID(id); err != nil {
 		return err
@@ -34,7 +34,8 @@
 	return err
 }
 
-// problemError puts an answer that is not a success into words.
+// problemError turns a problem response of the job API into an error with its name, code and message. Other
+// errors are returned as they are.
 func problemError(err error) error {
 	var p *jobsapi.ProblemStatusCodeWithHeaders
 	if !errors.As(err, &p) {
--- a/pkg/cli/job_customers.go
+++ b/pkg/cli/job_customers.go
@@ -9,18 +9,18 @@
 	"foldarch.dev/foldarch/pkg/dispatch"
 )
 
-// JobCustomersCommand lists the customers with what they have running and waiting.
+// JobCustomersCommand lists the customers with their running and waiting work.
 type JobCustomersCommand struct {
 	hostFlag
 	JSON bool `help:"Print JSON."`
 }
 
-// Help gives an example.
+// Help returns the detailed help text with an example; kong calls it.
 func (JobCustomersCommand) Help() string {
 	return "Those that have most running come first. A quota of - is no limit.\n\nExample:\n\n  foldarch job customers --host 10.1.0.13:9100"
 }
 
-// Run asks the host, and the owner if that is another one.
+// Run prints a table of the customers, or JSON.
 func (c JobCustomersCommand) Run(e *env) error {
 	body, err := c.askOwner("/customers")
 	if err != nil {
@@ -29,16 +29,16 @@
 	return printAnswer(e, body, c.JSON, printCustomers)
 }
 
-func printCustomers(w io.Writer, rows []dispatch.CustomerStatus) {
+func printCustomers(w io.Writer, customers []dispatch.CustomerStatus) {
 	fmt.Fprintf(w, "%-20s %8s %7s %18s %20s %6s %8s %10s %9s\n", "CUSTOMER", "WEIGHT", "SHARE", "CORES OF QUOTA", "MEMORY MB OF QUOTA", "JOBS", "WAITING", "FOR QUOTA", "ADVICE S")
-	for _, r := range rows {
+	for _, r := range customers {
 		fmt.Fprintf(w, "%-20.20s %8g %6.1f%% %18s %20s %6d %8d %10d %9.1f\n", r.Name, r.Weight, 100*r.Share,
 			ofQuota(r.Used.CPUMillis/cell.MillisPerCPU, r.Quota.CPUMillis/cell.MillisPerCPU), ofQuota(r.Used.MemoryMB, r.Quota.MemoryMB),
 			r.Jobs, r.Waiting, r.AwaitQuota, (time.Duration(r.AdviceMs) * time.Millisecond).Seconds())
 	}
 }
 
-// ofQuota is such as "812/4344", or "812/-" without a limit.
+// formatQuotaUse returns a text such as "812/4344", or "812/-" if quota is 0, which means no limit.
 func ofQuota(used, quota int64) string {
 	if quota == 0 {
 		return fmt.Sprintf("%d/-", used)
--- a/pkg/cli/job_queue.go
+++ b/pkg/cli/job_queue.go
@@ -7,18 +7,18 @@
 	"foldarch.dev/foldarch/pkg/jobapi/jobsapi"
 )
 
-// JobQueueCommand counts what waits in a queue.
+// JobQueueCommand counts the jobs of a queue that have not begun.
 type JobQueueCommand struct {
 	hostFlag
 	Name string `arg:"" help:"The queue, as the configuration names it."`
 }
 
-// Help gives an example.
+// Help returns the detailed help text with an example; kong calls it.
 func (JobQueueCommand) Help() string {
 	return "Example:\n\n  foldarch job queue --host 10.1.0.13:9100 fits"
 }
 
-// Run asks for the count.
+// Run prints the count.
 func (c JobQueueCommand) Run(e *env) error {
 	client, err := c.open()
 	if err != nil {
--- a/pkg/cli/job_show.go
+++ b/pkg/cli/job_show.go
@@ -9,19 +9,19 @@
 	"github.com/cockroachdb/errors"
 )
 
-// JobShowCommand tells what the owner of the pool knows of a job on the platform.
+// JobShowCommand shows what the owner of the pool knows of a job on the platform.
 type JobShowCommand struct {
 	hostFlag
 	jobArgument
 	JSON bool `help:"Print JSON."`
 }
 
-// Help gives an example.
+// Help returns the detailed help text with an example; kong calls it.
 func (JobShowCommand) Help() string {
 	return "Example:\n\n  foldarch job --host 10.1.0.13:9100 5c0e7a21d94b36f8"
 }
 
-// Run asks the host, and the owner if that is another one.
+// Run prints the state of the job, its steps and their runs, or JSON.
 func (c JobShowCommand) Run(e *env) error {
 	id, err := job.ParseID(c.ID)
 	if err != nil {
@@ -34,7 +34,8 @@
 	return printAnswer(e, body, c.JSON, printExplanation)
 }
 
-// timeLeft is such as ", 812 ms left" or ", 90 ms late"; empty for what has no objective.
+// formatTimeLeft returns a text such as ", 812 ms left", or ", 90 ms late" for a negative ms. It returns ""
+// for 0, which is the value of a step without a time objective.
 func timeLeft(ms int64) string {
 	switch {
 	case ms > 0:
--- a/pkg/cli/job_submit.go
+++ b/pkg/cli/job_submit.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// JobSubmitCommand hands in a job.
+// JobSubmitCommand submits a job to a queue.
 type JobSubmitCommand struct {
 	hostFlag
 	Queue string `required:"" help:"The queue, as the configuration names it." placeholder:"NAME"`
@@ -18,14 +18,14 @@
 	File string `arg:"" help:"The job in JSON (JobRequest in api/jobs.yaml); - for standard input."`
 }
 
-// Help gives an example.
+// Help returns the detailed help text with an example; kong calls it.
 func (JobSubmitCommand) Help() string {
 	return "Handing in the same id again changes nothing.\n\nExample:\n\n" +
 		"  echo '{\"spec\":\"alloy 7\",\"steps\":[{\"count\":4,\"cpu_millis\":500,\"memory_mb\":256}]}' |\n" +
 		"    foldarch job submit --host 10.1.0.13:9100 --queue fits 5c0e7a21d94b36f8 -"
 }
 
-// Run hands the job in.
+// Run submits the job and prints its state.
 func (c JobSubmitCommand) Run(e *env) error {
 	request, err := readJobRequest(c.File)
 	if err != nil {
@@ -44,7 +44,7 @@
 	return p
 }
 
-// readJobRequest reads a job from a file, or from standard input if the file is "-".
+// readJobRequest reads and validates a job from a file, or from standard input if file is "-".
 func readJobRequest(file string) (*jobsapi.JobRequest, error) {
 	in := os.Stdin
 	if file != "-" {
--- a/pkg/cli/local.go
+++ b/pkg/cli/local.go
@@ -13,12 +13,12 @@
 	Seed     uint64        `default:"1" help:"Seed of the recorded traffic."`
 }
 
-// Help gives an example.
+// Help returns the detailed help text with an example; kong calls it.
 func (LocalCommand) Help() string {
 	return "Example:\n\n  foldarch local --trace hanbit --duration 10s"
 }
 
-// Run runs the cell and prints what happened.
+// Run runs the cell with recorded traffic and prints the results.
 func (c LocalCommand) Run(e *env) error {
 	return local.Run(e.out, local.Options{Trace: c.Trace, Duration: c.Duration, Seed: c.Seed})
 }
--- a/pkg/cli/ask_owner.go
+++ b/pkg/cli/owner_query.go
@@ -13,7 +13,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// askOwner reads what only the owner of the pool tells, from the host or, if that is another one, from the owner.
+// queryOwner reads an operators' path that only the owner of the pool answers. It asks the host of the flag
+// first; if that host names another one as the owner (status 421), queryOwner asks the owner, at the same
+// port.
 func (f hostFlag) askOwner(path string) ([]byte, error) {
 	status, body, err := readOperators(f.Host, path)
 	if err != nil {
@@ -35,8 +37,9 @@
 	return body, nil
 }
 
-// printAnswer prints an answer of the owner as it is, indented, or in words.
-func printAnswer[T any](e *env, body []byte, asJSON bool, inWords func(io.Writer, T)) error {
+// printResponse prints the JSON response of the owner: as indented JSON if asJSON is set, otherwise with
+// printText.
+func printAnswer[T any](e *env, body []byte, asJSON bool, printText func(io.Writer, T)) error {
 	var x T
 	if err := json.Unmarshal(body, &x); err != nil {
 		return errors.Wrap(err, "answer")
@@ -46,11 +49,11 @@
 		encoder.SetIndent("", "  ")
 		return encoder.Encode(x)
 	}
-	inWords(e.out, x)
+	printText(e.out, x)
 	return nil
 }
 
-// readOperators reads a path at the operators' address of a host.
+// getFromHost sends a GET request to the operators' address of a host.
 func readOperators(host netip.AddrPort, path string) (status int, body []byte, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	defer cancel()
--- a/pkg/cli/plan.go
+++ b/pkg/cli/plan.go
@@ -12,18 +12,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// PlanCommand compares a directory with the settings in force.
+// PlanCommand shows what ApplyCommand would change.
 type PlanCommand struct {
 	storeFlags
 	Dir string `arg:"" help:"Directory of declarations."`
 }
 
-// Help gives an example.
+// Help returns the detailed help text with an example; kong calls it.
 func (PlanCommand) Help() string {
 	return "Example:\n\n  foldarch plan --store 127.0.0.1:7000 declarations\n  changed  baseball/group.toml\n  scoring: changed\n    rules.queue: 256 -> 64"
 }
 
-// Run prints the difference.
+// Run prints the differences between the directory and the settings in force.
 func (c PlanCommand) Run(e *env) error {
 	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	defer cancel()
@@ -31,11 +31,11 @@
 	if err != nil {
 		return err
 	}
-	book, err := c.openBook(e.clk)
+	repository, err := c.openBook(e.clk)
 	if err != nil {
 		return err
 	}
-	current, err := loadCurrent(ctx, book)
+	current, err := loadCurrent(ctx, repository)
 	if err != nil {
 		return err
 	}
@@ -46,26 +46,27 @@
 	return nil
 }
 
-// inForce is what the store holds as in force.
+// currentSettings are the settings in force, as the platform store holds them.
 type inForce struct {
 	head revision.Head
 	docs map[string]string
 	tree *settings.Tree
 }
 
-func loadCurrent(ctx context.Context, book *revision.Book) (inForce, error) {
-	head, err := book.Head(ctx)
+// loadCurrentSettings reads the settings in force. Before the first apply (revision 0) they are empty.
+func loadCurrent(ctx context.Context, repository *revision.Book) (inForce, error) {
+	head, err := repository.Head(ctx)
 	if err != nil {
 		return inForce{}, err
 	}
 	if head.Revision == 0 {
 		return inForce{docs: map[string]string{}, tree: &settings.Tree{}}, nil
 	}
-	commit, err := book.Commit(ctx, head.Commit)
+	commit, err := repository.Commit(ctx, head.Commit)
 	if err != nil {
 		return inForce{}, err
 	}
-	docs, err := book.Documents(ctx, commit, nil)
+	docs, err := repository.Documents(ctx, commit, nil)
 	if err != nil {
 		return inForce{}, err
 	}
@@ -94,7 +95,7 @@
 	}
 }
 
-// filesOf lists the files of a commit.
+// commitFiles returns the sorted paths of the files of a commit.
 func filesOf(c revision.Commit) []string {
 	return slices.Sorted(maps.Keys(c.Files))
 }
--- a/pkg/cli/program.go
+++ b/pkg/cli/program.go
@@ -23,7 +23,7 @@
 	commandTimeout = 30 * time.Second
 )
 
-// Program is the table of subcommands.
+// Program lists the subcommands.
 type Program struct {
 	Validate ValidateCommand `cmd:"" help:"Check a directory of declarations and name every fault."`
 	Plan     PlanCommand     `cmd:"" help:"Show what apply would change, and which workloads it reaches."`
@@ -39,24 +39,24 @@
 	Local    LocalCommand    `cmd:"" help:"Run a small cell in this process with recorded traffic."`
 }
 
-// env is what every subcommand is given.
+// commandEnv is passed to the method Run of every subcommand.
 type env struct {
 	out io.Writer
 	clk clock.Clock
 }
 
-// storeFlags name the platform store.
+// storeFlags are the flags of the subcommands that use the platform store directly.
 type storeFlags struct {
 	Store []netip.AddrPort `required:"" env:"FOLDARCH_STORE" help:"Addresses of the platform store, such as 10.0.0.1:7000." placeholder:"ADDRESS"`
 }
 
-// entryFlags name an entry host.
+// entryFlags are the flags of the subcommands that call an entry host.
 type entryFlags struct {
 	Entry netip.AddrPort `required:"" env:"FOLDARCH_ENTRY" help:"Callers' address of an entry host, such as 10.0.0.7:8080." placeholder:"ADDRESS"`
 	JSON  bool           `help:"Print JSON."`
 }
 
-// Main runs the program and returns its exit code.
+// Main runs the program foldarch and returns its exit code.
 func Main(args []string, out, errOut io.Writer) int {
 	var p Program
 	parser, err := kong.New(&p, kong.Name(programName),
@@ -79,7 +79,7 @@
 	return program.ExitOK
 }
 
-// openStore returns the client of the platform store.
+// openStore returns a client of the platform store.
 func (f storeFlags) openStore(clk clock.Clock) (*store.Store, error) {
 	s, err := store.New(store.Config{
 		Addresses: f.Store, CallTimeout: storeTimeout, ReadsPerSecond: storeRate, WritesPerSecond: storeRate,
@@ -87,6 +87,7 @@
 	return s, errors.Wrap(err, "platform store")
 }
 
+// openRepository returns the repository of the settings' revisions in the platform store.
 func (f storeFlags) openBook(clk clock.Clock) (*revision.Book, error) {
 	s, err := f.openStore(clk)
 	if err != nil {
--- a/pkg/cli/release.go
+++ b/pkg/cli/release.go
@@ -11,19 +11,20 @@
 	"github.com/google/uuid"
 )
 
-// ReleaseCommand frees a shard by an operator's word.
+// ReleaseCommand frees a shard whose owner and successor the operator confirms to have ended.
 type ReleaseCommand struct {
 	storeFlags
 	Shard     string `arg:"" help:"Shard, such as seoul-1/0."`
 	HostsGone bool   `required:"" help:"You have made sure that the hosts of the owner and the successor are switched off."`
 }
 
-// Help tells what the operator vouches for.
+// Help returns the detailed help text, which tells what the operator has to make sure of; kong calls it.
 func (ReleaseCommand) Help() string {
 	return "A shard whose owner and successor were lost without a trace (power, network) stays without an\nowner, because foldarch can't tell them from processes that are cut off and still serve. Release\nit only when both hosts are certainly off: otherwise work may run twice.\n\nExample:\n\n  foldarch release --store 127.0.0.1:7000 --hosts-gone seoul-1/0"
 }
 
-// Run writes a record without holders.
+// Run writes an ownership record with the next epoch and without owner and successor, so that any entry host
+// can claim the shard.
 func (c ReleaseCommand) Run(e *env) error {
 	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	defer cancel()
--- a/pkg/cli/rollback.go
+++ b/pkg/cli/rollback.go
@@ -9,34 +9,34 @@
 	"github.com/cockroachdb/errors"
 )
 
-// RollbackCommand makes an old revision a new one.
+// RollbackCommand applies the files of an earlier revision as a new revision.
 type RollbackCommand struct {
 	storeFlags
 	Revision int64  `arg:"" help:"Revision whose files to put in force again."`
 	Author   string `default:"operator" env:"USER" help:"Who makes the change."`
 }
 
-// historyDepth is how far back a rollback looks.
+// maxRollbackCommits is how many of the latest commits a rollback searches for its revision.
 const historyDepth = 1000
 
-// Help gives an example.
+// Help returns the detailed help text with an example; kong calls it.
 func (RollbackCommand) Help() string {
 	return "Example:\n\n  foldarch rollback --store 127.0.0.1:7000 6\n  revision 9 is accepted, with the files of revision 6"
 }
 
-// Run applies the files of the old revision.
+// Run applies the files of the earlier revision.
 func (c RollbackCommand) Run(e *env) error {
 	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	defer cancel()
-	book, err := c.openBook(e.clk)
+	repository, err := c.openBook(e.clk)
 	if err != nil {
 		return err
 	}
-	head, err := book.Head(ctx)
+	head, err := repository.Head(ctx)
 	if err != nil {
 		return err
 	}
-	commits, err := book.History(ctx, historyDepth)
+	commits, err := repository.History(ctx, historyDepth)
 	if err != nil {
 		return err
 	}
@@ -44,14 +44,14 @@
 		if commit.Revision != c.Revision {
 			continue
 		}
-		docs, err := book.Documents(ctx, commit, nil)
+		docs, err := repository.Documents(ctx, commit, nil)
 		if err != nil {
 			return err
 		}
 		note := fmt.Sprintf("rollback to revision %d", c.Revision)
-		next, err := book.Apply(ctx, head, docs, revision.Change{Author: c.Author, Note: note})
+		next, err := repository.Apply(ctx, head, docs, revision.Change{Author: c.Author, Note: note})
 		if errors.Is(err, store.ErrConflict) {
-			return moved(ctx, book, head.Revision)
+			return moved(ctx, repository, head.Revision)
 		}
 		if err != nil {
 			return err
--- a/pkg/cli/status.go
+++ b/pkg/cli/status.go
@@ -10,17 +10,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// StatusCommand shows what one entry host knows.
+// StatusCommand shows the state of the cell as one entry host knows it.
 type StatusCommand struct {
 	entryFlags
 }
 
-// Help gives an example.
+// Help returns the detailed help text with an example; kong calls it.
 func (StatusCommand) Help() string {
 	return "Example:\n\n  foldarch status --entry 127.0.0.1:8080"
 }
 
-// Run prints the tables, or JSON.
+// Run prints a table of the shards and one of the peers, or JSON.
 func (c StatusCommand) Run(e *env) error {
 	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	defer cancel()
@@ -39,6 +39,7 @@
 	return nil
 }
 
+// newClient returns a client of the entry host's API.
 func (f entryFlags) open() (*entryapi.Client, error) {
 	client, err := entryapi.NewClient("http://" + f.Entry.String())
 	return client, errors.Wrap(err, "entry host")
@@ -62,7 +63,7 @@
 	}
 }
 
-// printJSON writes a value of the API as indented JSON.
+// printJSON writes a value of the entry API as JSON on one line.
 func printJSON(w io.Writer, v json.Marshaler) error {
 	text, err := v.MarshalJSON()
 	if err != nil {
--- a/pkg/cli/validate.go
+++ b/pkg/cli/validate.go
@@ -7,17 +7,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ValidateCommand checks a directory and needs no cell.
+// ValidateCommand checks a directory of declarations without contacting a cell.
 type ValidateCommand struct {
 	Dir string `arg:"" help:"Directory of declarations."`
 }
 
-// Help gives an example.
+// Help returns the detailed help text with an example; kong calls it.
 func (ValidateCommand) Help() string {
 	return "Example:\n\n  foldarch validate declarations\n  baseball/scoring.toml:7: rules.windw: unknown key, did you mean \"window\"?"
 }
 
-// Run prints every fault, or what the tree holds.
+// Run prints every fault, or the number of workloads and halls if there is none.
 func (c ValidateCommand) Run(e *env) error {
 	_, tree, err := readTree(e, c.Dir)
 	if err != nil {
@@ -27,7 +27,8 @@
 	return nil
 }
 
-// readTree reads a directory and prints its faults.
+// readDeclarations reads and parses a directory of declarations. It prints every fault and returns an error
+// if there is any.
 func readTree(e *env, dir string) (map[string]string, *settings.Tree, error) {
 	docs, err := settings.ReadDirectory(dir)
 	if err != nil {
--- a/pkg/load/doc.go
+++ b/pkg/load/doc.go
@@ -1,16 +1,15 @@
-// Package load drives a running cell with recorded or generated traffic and measures what
-// callers see.
+// Package load sends recorded or generated traffic to a running cell and measures what callers see.
 //
-// The driver is open-loop: each request is sent at its time whether or not earlier ones
-// were answered, and waiting is measured from that time, so that a slow answer does not
-// hide the ones behind it (coordinated omission). Every caller's answer is compared with
-// what it sent.
+// The driver is open-loop: it sends each request at its scheduled time whether or not earlier requests were
+// answered, and measures the waiting time from the scheduled time. A slow answer therefore does not hide the
+// delay of the requests after it (coordinated omission). The driver checks that each answer to a call ends
+// with the body that was sent.
 //
 // # Usage
 //
 //	r := load.Run(ctx, load.Target{Entries: addresses}, events, load.Options{Speed: 10})
 //	r.Print(os.Stdout)
 //
-// An experiment in TOML describes arrivals and mixes; see Experiment. Results are written
-// as JSON by Save and compared by Compare; package loadcli draws them.
+// The type Experiment describes generated traffic in TOML. Result.Save writes a result as JSON, Compare
+// compares two results, and package loadcli plots one.
 package load
--- a/pkg/load/driver.go
+++ b/pkg/load/driver.go
@@ -20,30 +20,37 @@
 )
 
 const (
-	idleConns    = 256
-	callTimeout  = 30 * time.Second
-	pollFirst    = 20 * time.Millisecond
-	pollMost     = 500 * time.Millisecond
+	idleConns   = 256
+	callTimeout = 30 * time.Second
+
+	// The state of a batch request is polled at intervals that grow from initialPollInterval to
+	// maxPollInterval.
+	pollFirst = 20 * time.Millisecond
+	pollMost  = 500 * time.Millisecond
+
 	submitTries  = 20
 	resubmitWait = 250 * time.Millisecond
 )
 
-// Target names the entry hosts of the cell.
+// Target is the cell that requests are sent to.
 type Target struct {
+	// Entries are the callers' addresses of the entry hosts. Each request goes to a random one.
 	Entries []netip.AddrPort
 }
 
-// Options say how to drive.
+// Options control how Run sends the events.
 type Options struct {
-	// Speed presses time together: 10 sends what was recorded in 10 s in one.
+	// Speed divides the recorded times: 10 sends in one second what was recorded in 10 s. 0 means 1.
 	Speed float64
-	// KeepWork leaves the work of each request as recorded; otherwise it is pressed too.
+	// KeepRecordedWork leaves the work duration of each request as recorded. Otherwise it is divided by Speed
+	// too.
 	KeepWork bool
-	// Settle is how long to wait for batch requests after the last event.
+	// BatchGrace is how long, in addition to its work duration, an accepted batch request may take before it
+	// is recorded as batch_open.
 	Settle time.Duration
 }
 
-// driver is one run.
+// driver is the state of one call of Run.
 type driver struct {
 	target Target
 	opt    Options
@@ -54,7 +61,8 @@
 	result *Result
 }
 
-// Run sends the events and returns what came of them.
+// Run sends the events, waits for their outcomes and returns the result. When ctx ends, it sends no further
+// events.
 func Run(ctx context.Context, target Target, events []trace.Event, opt Options) *Result {
 	if opt.Speed <= 0 {
 		opt.Speed = 1
@@ -78,6 +86,7 @@
 	return d.result
 }
 
+// waitUntil reports whether the time came before ctx ended.
 func waitUntil(ctx context.Context, at time.Time) bool {
 	t := time.NewTimer(time.Until(at))
 	defer t.Stop()
@@ -156,6 +165,7 @@
 	return resp.StatusCode, string(body), err
 }
 
+// problemName returns the name of the problem in the body of an error response.
 func problemName(body string) string {
 	var p entryapi.Problem
 	if err := p.UnmarshalJSON([]byte(body)); err != nil {
@@ -164,7 +174,7 @@
 	return p.Name
 }
 
-// runBatch submits a request until it is kept or refused for good, and polls its end.
+// runBatch submits a batch request, polls its state until it has ended, and records the outcome.
 func (d *driver) runBatch(ctx context.Context, e trace.Event, due time.Time) {
 	id, name := d.submit(ctx, e)
 	if id == "" {
@@ -198,6 +208,8 @@
 	d.result.add(e, o)
 }
 
+// submitBatch tries to submit a batch request until it is accepted, at most maxSubmitAttempts times. It
+// returns the id of the accepted request, or the name of the last problem.
 func (d *driver) submit(ctx context.Context, e trace.Event) (id, name string) {
 	text, err := json.Marshal(map[string]string{"workload": e.Workload, "payload": e.Body()})
 	if err != nil {
--- a/pkg/load/experiment.go
+++ b/pkg/load/experiment.go
@@ -14,61 +14,66 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Experiment describes a load in TOML.
+// Experiment describes generated traffic in TOML.
 type Experiment struct {
 	Entries  []netip.AddrPort  `toml:"entries"`
 	Duration tomlfile.Duration `toml:"duration"`
 	Seed     uint64            `toml:"seed"`
-	Settle   tomlfile.Duration `toml:"settle"` // wait for batch requests after the last one
+	Settle   tomlfile.Duration `toml:"settle"` // Options.BatchGrace of the run
 	Loads    []Load            `toml:"load"`
 }
 
-// Load is one stream of requests with random arrivals (Poisson).
+// Load is one stream of requests to a workload with Poisson arrivals.
 type Load struct {
-	Workload string            `toml:"workload"`
-	Batch    bool              `toml:"batch"`
-	Rate     float64           `toml:"rate"` // requests a second
-	Callers  int               `toml:"callers"`
-	Class    string            `toml:"class"`
-	Work     tomlfile.Duration `toml:"work"` // mean; the stand-ins work as long as the request says
+	Workload string  `toml:"workload"`
+	Batch    bool    `toml:"batch"`
+	Rate     float64 `toml:"rate"` // requests a second
+	Callers  int     `toml:"callers"`
+	Class    string  `toml:"class"`
+	// Work is the mean work duration, which each request tells the stand-ins: half of it is fixed, the other
+	// half is drawn from an exponential distribution.
+	Work     tomlfile.Duration `toml:"work"`
 	Deadline tomlfile.Duration `toml:"deadline"`
 	Window   tomlfile.Duration `toml:"window"`
 	Once     bool              `toml:"once"`
 	Keyed    bool              `toml:"keyed"`
-	Begin    tomlfile.Duration `toml:"begin"` // since the begin of the run; 0 is the begin
-	End      tomlfile.Duration `toml:"end"`   // 0 is the end of the run
+	// Begin and End, since the start of the run, limit the arrival times. With End 0, they continue to its
+	// end.
+	Begin tomlfile.Duration `toml:"begin"`
+	End   tomlfile.Duration `toml:"end"`
 }
 
-// ReadExperiment reads and checks an experiment; the error names file, line and key.
+// ReadExperiment reads and validates an experiment. An error names the file, line and key of each problem.
 func ReadExperiment(path string) (Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return Experiment{}, errors.Wrap(err, "experiment")
 	}
 	var e Experiment
-	var faults []string
+	var problems []string
 	for _, p := range tomlfile.Decode(string(text), &e) {
-		faults = append(faults, fmt.Sprintf("%s:%d: %s: %s", path, p.Line, p.Key, p.Text))
+		problems = append(problems, fmt.Sprintf("%s:%d: %s: %s", path, p.Line, p.Key, p.Text))
 	}
-	complain := func(wrong bool, key, what string) {
-		if wrong && len(faults) == 0 {
-			faults = append(faults, fmt.Sprintf("%s:%d: %s: %s", path, tomlfile.LineOf(string(text), key), key, what))
+	addProblem := func(wrong bool, key, what string) {
+		if wrong && len(problems) == 0 {
+			problems = append(problems, fmt.Sprintf("%s:%d: %s: %s", path, tomlfile.LineOf(string(text), key), key, what))
 		}
 	}
-	complain(len(e.Entries) == 0, "entries", "needs the callers' address of an entry host")
-	complain(e.Duration == 0, "duration", "is needed")
-	complain(len(e.Loads) == 0, "load", "needs at least one [[load]]")
+	addProblem(len(e.Entries) == 0, "entries", "needs the callers' address of an entry host")
+	addProblem(e.Duration == 0, "duration", "is needed")
+	addProblem(len(e.Loads) == 0, "load", "needs at least one [[load]]")
 	for _, l := range e.Loads {
-		complain(l.Workload == "", "load", "needs a workload")
-		complain(l.Rate <= 0, "load.rate", "must be above zero")
+		addProblem(l.Workload == "", "load", "needs a workload")
+		addProblem(l.Rate <= 0, "load.rate", "must be above zero")
 	}
-	if len(faults) > 0 {
-		return Experiment{}, errors.New(strings.Join(faults, "\n"))
+	if len(problems) > 0 {
+		return Experiment{}, errors.New(strings.Join(problems, "\n"))
 	}
 	return e, nil
 }
 
-// Events draws the arrivals; the same experiment gives the same events.
+// Events generates the requests of all streams in the order of their times. The same experiment, with the
+// same seed, gives the same events.
 func (e Experiment) Events() []trace.Event {
 	var events []trace.Event
 	for i, l := range e.Loads {
--- a/pkg/load/result.go
+++ b/pkg/load/result.go
@@ -14,36 +14,38 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Histograms count microseconds from 1 to ten minutes with two significant digits.
+// The histograms of waiting times count microseconds, from 1 µs to ten minutes.
 const (
 	histogramLowest  = 1
 	histogramHighest = int64(10 * time.Minute / time.Microsecond)
 	histogramDigits  = 2
 )
 
-// outcome is what came of one request.
+// outcome is the outcome of one request.
 type outcome struct {
-	name   string
-	took   time.Duration
-	waited time.Duration // beyond the work itself
-	at     time.Duration // since the begin of the run
-	late   bool          // after its window
+	name   string        // such as "ok", "batch_done", "connection_lost", or the name of a problem
+	took   time.Duration // since the scheduled time; 0 unless the call succeeded or the batch request ended
+	waited time.Duration // latency without the work duration
+	at     time.Duration // since the start of the run; 0 if latency is 0
+	late   bool          // a batch request ended after its window
 }
 
-// Result is what a run came to.
+// Result is the result of a run.
 type Result struct {
 	Seconds   float64              `json:"seconds"`
 	Workloads map[string]*Workload `json:"workloads"`
-	// Timeline counts by second of the run.
+	// Timeline has one element for each second of the run. All requests with latency 0 count as refused in
+	// the first second, because their outcomes have no completion time.
 	Timeline []Second `json:"timeline"`
 }
 
-// Workload sums up one workload.
+// Workload summarizes the requests to one workload.
 type Workload struct {
 	Sent   int            `json:"sent"`
 	ByName map[string]int `json:"by_name"`
 	Late   int            `json:"late"`
-	// Milliseconds that requests which ran waited beyond their own work.
+	// WaitP50, WaitP99 and WaitMax are in milliseconds: the latency without the work duration of the requests
+	// that ran.
 	WaitP50 float64 `json:"wait_p50_ms"`
 	WaitP99 float64 `json:"wait_p99_ms"`
 	WaitMax float64 `json:"wait_max_ms"`
@@ -51,7 +53,7 @@
 	waits *hdrhistogram.Histogram
 }
 
-// Second sums up one second of a run.
+// Second summarizes one second of a run.
 type Second struct {
 	Done      int     `json:"done"`
 	Refused   int     `json:"refused"`
@@ -98,12 +100,12 @@
 	return float64(d.Microseconds()) / 1000
 }
 
-// Done counts the requests that ran to their end.
+// Done returns the number of requests that ran to completion.
 func (w *Workload) Done() int {
 	return w.ByName["ok"] + w.ByName["batch_done"]
 }
 
-// Print writes a table that fits 100 columns.
+// Print writes a table with one line for each workload; without the last column it fits 100 columns.
 func (r *Result) Print(w io.Writer) {
 	fmt.Fprintf(w, "%-12s %7s %7s %6s %10s %10s %10s  %s\n", "WORKLOAD", "SENT", "DONE", "LATE", "WAIT P50", "WAIT P99", "WAIT MAX", "OTHERS")
 	for _, name := range slices.Sorted(maps.Keys(r.Workloads)) {
@@ -113,6 +115,7 @@
 	}
 }
 
+// formatOtherOutcomes lists the outcomes that Done does not count, with their numbers.
 func (w *Workload) others() string {
 	text := ""
 	for _, name := range slices.Sorted(maps.Keys(w.ByName)) {
@@ -126,7 +129,7 @@
 	return text
 }
 
-// Save writes the result as JSON.
+// Save writes the result to a file as JSON.
 func (r *Result) Save(path string) error {
 	text, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
@@ -135,7 +138,7 @@
 	return errors.Wrap(os.WriteFile(path, append(text, '\n'), 0o600), "write result")
 }
 
-// ReadResult reads a result that Save wrote.
+// ReadResult reads a result that Result.Save wrote.
 func ReadResult(path string) (*Result, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -148,7 +151,8 @@
 	return &r, nil
 }
 
-// Compare writes two results side by side, as ratios of the second to the first.
+// Compare writes a table that compares b with a: the numbers of completed requests, and the ratios of the
+// waiting times of b to those of a. Workloads that only b has are left out.
 func Compare(w io.Writer, a, b *Result) {
 	fmt.Fprintf(w, "%-12s %10s %10s %12s %12s\n", "WORKLOAD", "DONE A", "DONE B", "P50 B/A", "P99 B/A")
 	for _, name := range slices.Sorted(maps.Keys(a.Workloads)) {
@@ -161,6 +165,7 @@
 	}
 }
 
+// ratioOrZero returns a/b, or 0 if b is 0.
 func quotient(a, b float64) float64 {
 	if b == 0 {
 		return 0
--- a/pkg/loadcli/doc.go
+++ b/pkg/loadcli/doc.go
@@ -1,5 +1,5 @@
-// Package loadcli is the program foldarch-load: it runs an experiment of package load,
-// writes the result as JSON, draws it, and compares two results.
+// Package loadcli implements the program foldarch-load, which runs an experiment of package load, writes the
+// result as JSON, plots it, and compares two results.
 //
 // # Usage
 //
--- a/pkg/loadcli/main.go
+++ b/pkg/loadcli/main.go
@@ -15,6 +15,7 @@
 
 const programName = "foldarch-load"
 
+// commandLine lists the subcommands.
 type commandLine struct {
 	Run     runCommand     `cmd:"" help:"Run an experiment and write its result."`
 	Compare compareCommand `cmd:"" help:"Compare two results."`
@@ -54,7 +55,8 @@
 	return program.ExitOK
 }
 
-// Run runs the experiment; an interrupt ends it early with what was measured.
+// Run runs the experiment and prints its result. An interrupt (SIGINT or SIGTERM) ends the run early; what
+// was measured until then is printed and saved.
 func (c runCommand) Run(out io.Writer) error {
 	e, err := load.ReadExperiment(c.Experiment)
 	if err != nil {
@@ -75,7 +77,7 @@
 	return nil
 }
 
-// Run compares two results.
+// Run prints the comparison of the two results.
 func (c compareCommand) Run(out io.Writer) error {
 	a, err := load.ReadResult(c.A)
 	if err != nil {
--- a/pkg/loadcli/plot.go
+++ b/pkg/loadcli/plot.go
@@ -14,7 +14,8 @@
 	plotHeight = 12 * vg.Centimeter
 )
 
-// Plot draws goodput, refusals and the worst wait by second into a PNG or SVG file.
+// Plot writes a PNG or SVG file that shows, for each second of the run, the completed requests, the refused
+// requests and the longest waiting time.
 func Plot(r *load.Result, path string) error {
 	p := plot.New()
 	p.Title.Text = "foldarch-load"
--- a/pkg/local/cell.go
+++ b/pkg/local/cell.go
@@ -37,7 +37,7 @@
 	capacity = cell.Resources{CPUMillis: 16000, MemoryMB: 65536}
 )
 
-// localCell is a cell in this process.
+// localCell is a cell whose entry hosts and stand-ins all run in this process.
 type localCell struct {
 	out       io.Writer
 	farm      *standin.Farm
@@ -48,12 +48,13 @@
 	running   sync.WaitGroup
 }
 
+// startCell starts the stand-ins and the entry hosts. The caller has to call close.
 func start(out io.Writer) (*localCell, error) {
-	farm, err := standin.StartFarm(standin.FarmConfig{Workers: standin.Uniform(halls, workersPerHall, capacity)})
+	standIns, err := standin.StartFarm(standin.FarmConfig{Workers: standin.Uniform(halls, workersPerHall, capacity)})
 	if err != nil {
 		return nil, err
 	}
-	c := &localCell{out: out, farm: farm, log: &decisionCounter{}}
+	c := &localCell{out: out, farm: standIns, log: &decisionCounter{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	c.cancel = cancel
 	if err := c.startEntries(ctx); err != nil {
@@ -61,10 +62,11 @@
 		return nil, err
 	}
 	fmt.Fprintf(out, "a cell of %d entry hosts and %d workers in %d halls, on the loopback\n",
-		len(c.processes), len(farm.Workers), len(halls))
+		len(c.processes), len(standIns.Workers), len(halls))
 	return c, nil
 }
 
+// startEntries starts entryHostsPerHall entry hosts in each hall.
 func (c *localCell) startEntries(ctx context.Context) error {
 	addresses, err := freeAddresses(2 * hostsPerHall * len(halls))
 	if err != nil {
@@ -82,7 +84,7 @@
 			cfg.CallersAddress, cfg.PeerAddress = addresses[at], addresses[at+1]
 			cfg.Store, cfg.Peers = []netip.AddrPort{c.farm.StoreAddress()}, peers
 			cfg.Times.LeaveGrace = tomlfile.Duration(leaveGrace)
-			cfg.Limits.MemoryMB = 1024 // one process for all
+			cfg.Limits.MemoryMB = 1024 // all entry hosts share this process
 			if err := c.startEntry(ctx, cfg); err != nil {
 				return err
 			}
@@ -106,13 +108,15 @@
 	return nil
 }
 
-// Ports are taken from below the range that the kernel uses for outgoing connections.
+// The ports of the entry hosts are below the range from which the kernel takes local ports of outgoing
+// connections, so that no such connection takes a port between findFreeAddresses and the start of the entry
+// host.
 const (
 	firstPort = 30000
 	lastPort  = 32000
 )
 
-// freeAddresses finds ports of the loopback that nobody listens on.
+// findFreeAddresses returns n loopback addresses with ports that nothing listens on.
 func freeAddresses(n int) ([]netip.AddrPort, error) {
 	var addresses []netip.AddrPort
 	for port := firstPort; port < lastPort && len(addresses) < n; port++ {
@@ -128,6 +132,7 @@
 	return addresses, nil
 }
 
+// close stops the entry hosts, waits for them to end, and stops the stand-ins.
 func (c *localCell) stop() {
 	c.cancel()
 	c.running.Wait()
@@ -142,7 +147,7 @@
 	return list
 }
 
-// apply puts the embedded declarations in force.
+// applyDeclarations puts the embedded declarations in force.
 func (c *localCell) apply() error {
 	docs, err := documents()
 	if err != nil {
@@ -160,7 +165,7 @@
 	return err
 }
 
-// waitReady waits until every instance of every service runs.
+// waitUntilReady waits until all instances of all services run, at most readyTimeout.
 func (c *localCell) waitReady() error {
 	docs, err := documents()
 	if err != nil {
@@ -183,6 +188,7 @@
 	return errors.Newf("%d of %d instances run after %s", c.endpoints(), wanted, readyTimeout)
 }
 
+// countEndpoints returns the number of endpoints that the entry hosts route to.
 func (c *localCell) endpoints() int {
 	n := 0
 	for _, p := range c.processes {
@@ -193,13 +199,14 @@
 	return n
 }
 
-// decisionCounter is a log that counts decisions instead of printing them.
+// decisionCounter is a logrus hook that counts the log events of placement and routing decisions.
 type decisionCounter struct {
 	mu         sync.Mutex
 	placements int
 	routes     int
 }
 
+// newLogger returns a logger that prints nothing and whose events are counted.
 func (d *decisionCounter) newLog() *logrus.Entry {
 	l := logrus.New()
 	l.SetOutput(io.Discard)
@@ -207,12 +214,12 @@
 	return logrus.NewEntry(l)
 }
 
-// Levels is for logrus.Hook.
+// Levels implements logrus.Hook.
 func (d *decisionCounter) Levels() []logrus.Level {
 	return []logrus.Level{logrus.InfoLevel}
 }
 
-// Fire is for logrus.Hook.
+// Fire implements logrus.Hook.
 func (d *decisionCounter) Fire(e *logrus.Entry) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/pkg/local/doc.go
+++ b/pkg/local/doc.go
@@ -1,6 +1,6 @@
-// Package local runs a small cell in one process on the loopback: stand-ins for the
-// platform, six entry hosts in three halls, and recorded traffic. It is what `make run`
-// shows, and the quickest way to see foldarch decide.
+// Package local runs a small cell in one process on the loopback interface: stand-ins for the platform store
+// and the workers, six entry hosts in three halls, and recorded traffic. `make run` runs it, to show foldarch
+// at work without an installation.
 //
 // # Usage
 //
--- a/pkg/local/run.go
+++ b/pkg/local/run.go
@@ -14,19 +14,21 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Options say what to run.
+// Options control what Run does.
 type Options struct {
-	Trace    string // "hanbit", "association" or "all"
-	Duration time.Duration
-	Seed     uint64
+	Trace    string        // "hanbit", "association" or "all"
+	Duration time.Duration // how long each trace is played; a trace that is shorter keeps its recorded speed
+	Seed     uint64        // seed of the traces; for trace.BundledSeed the bundled files are used
 }
 
+// batchGrace is the load.Options.BatchGrace of the runs.
 const settle = 20 * time.Second
 
 //go:embed declarations
 var declarations embed.FS
 
-// Run starts a cell, sends recorded traffic, and prints what happened.
+// Run starts a cell, sends it recorded traffic, and prints the results. It returns an error if the run log of
+// the stand-ins shows a violated invariant.
 func Run(out io.Writer, opt Options) error {
 	c, err := start(out)
 	if err != nil {
@@ -55,6 +57,7 @@
 	return []trace.Name{trace.Name(name)}
 }
 
+// playTrace sends the requests of a trace, sped up to fit the duration of the options, and prints the result.
 func (c *localCell) play(name trace.Name, opt Options) error {
 	events, err := trace.Bundled(name)
 	if opt.Seed != trace.BundledSeed {
@@ -71,7 +74,7 @@
 	return nil
 }
 
-// printPlacement tells what the owners placed, and how full their workers are.
+// printShards prints the number of tasks and the CPU use of each shard, and the numbers of decisions.
 func (c *localCell) printPlacement() {
 	fmt.Fprintf(c.out, "\n%-12s %-12s %6s %8s %6s %10s\n", "SHARD", "OWNER", "EPOCH", "WORKERS", "TASKS", "CPU IN USE")
 	for _, p := range c.processes {
@@ -85,22 +88,23 @@
 	fmt.Fprintf(c.out, "\n%d placements and %d routings decided\n", placements, routes)
 }
 
-// printVerdict asks the stand-ins' ledger whether every promise was kept.
+// printViolations prints the number of runs and of violated invariants in the run log of the stand-ins. It
+// returns an error if there are violations.
 func (c *localCell) printVerdict() error {
 	v := c.farm.Ledger.Judge()
 	fmt.Fprintf(c.out, "%d runs in the back ends' ledger; violations: ", v.Runs)
-	broken := 0
-	for _, promise := range standin.Promises() {
-		broken += v.Violations[promise]
+	violations := 0
+	for _, invariant := range standin.Promises() {
+		violations += v.Violations[invariant]
 	}
-	fmt.Fprintln(c.out, broken)
-	if broken > 0 {
-		return errors.Newf("promises were broken: %v", v.Notes)
+	fmt.Fprintln(c.out, violations)
+	if violations > 0 {
+		return errors.Newf("invariants were violated: %v", v.Notes)
 	}
 	return nil
 }
 
-// documents returns the embedded declarations by path.
+// bundledDocuments returns the embedded declarations by their path.
 func documents() (map[string]string, error) {
 	docs := map[string]string{}
 	root, err := fs.Sub(declarations, "declarations")
--- a/pkg/replay/doc.go
+++ b/pkg/replay/doc.go
@@ -1,8 +1,8 @@
-// Package replay runs recorded events through the pure decisions of routing, placement and
-// keys, and writes one line for each decision. The same trace gives the same lines on
-// every run, byte for byte, so that a trace with its lines is a regression case.
+// Package replay applies the events of a trace to the packages routing, placement and keys, without network
+// or clock, and writes one line for each decision. The same trace gives the same lines on every run, byte for
+// byte, so that a trace with its expected lines is a regression test.
 //
-// A trace is one JSON object a line; each has a time in milliseconds and one event:
+// A trace has one JSON object on each line, with a time in milliseconds and one event:
 //
 //	{"at":0,"put_service":{"name":"scoring","queue":2}}
 //	{"at":0,"put_endpoint":{"service":"scoring","id":"e0","slots":1}}
--- a/pkg/replay/keys.go
+++ b/pkg/replay/keys.go
@@ -9,32 +9,35 @@
 	"github.com/cockroachdb/errors"
 )
 
-// use is one arrival of a key; times are milliseconds of the trace.
+// keyUse is the event that a request with an idempotency key arrives. Times are milliseconds of the trace.
 type use struct {
 	Caller string `json:"caller"`
 	Key    string `json:"key"`
-	Body   uint64 `json:"body"`
-	Issued int64  `json:"issued"` // 0 when the caller did not say
+	Body   uint64 `json:"body"`   // digest of the request's body
+	Issued int64  `json:"issued"` // 0 if the caller did not send the time
 	Once   bool   `json:"once"`
 	Limit  int64  `json:"limit"`
 }
 
-// errNoKey is the fault of an answer to a key that was not used.
-var errNoKey = errors.New("the key is not in use")
+// errNoKeysInUse is returned for the event "answer" if the key table is empty.
+var errNoKey = errors.New("no key is in use")
 
+// keyCompletion is the event that the request with a key was answered, or that it did not run.
 type end struct {
 	Caller string `json:"caller"`
 	Key    string `json:"key"`
 	Body   string `json:"body"`
 }
 
+// keyVerdictNames are the names of the verdicts, indexed by keys.Verdict.Kind.
 var verdicts = [...]string{"fresh", "in_progress", "answered", "answered_no_body", "reused", "unknown", "too_early", "full"}
 
-// wall maps the time of the trace to a time of day.
+// toWallTime converts a time of the trace to a wall-clock time: 0 is the Unix epoch.
 func wall(now clock.Time) time.Time {
 	return time.UnixMilli(int64(now))
 }
 
+// applyKeyEvent applies an event of package keys. It returns known = false if e is another event.
 func (p *player) playKeys(e event, now clock.Time) (known bool, err error) {
 	switch {
 	case e.Takeover:
@@ -54,6 +57,7 @@
 	return true, nil
 }
 
+// beginKey looks up a key on the arrival of its request and prints the verdict.
 func (p *player) use(u use, now clock.Time) {
 	k := keys.Use{
 		Key: keys.Key{Caller: u.Caller, Text: u.Key}, Digest: u.Body, NotRepeatable: u.Once,
--- a/pkg/replay/placement.go
+++ b/pkg/replay/placement.go
@@ -7,13 +7,14 @@
 	"foldarch.dev/foldarch/pkg/settings"
 )
 
-// amount is [processors in thousandths, memory in MB, accelerators].
+// resourceAmounts are CPU in thousandths of a processor, memory in MB, and accelerators.
 type amount [3]int64
 
 func (a amount) resources() cell.Resources {
 	return cell.Resources{CPUMillis: a[0], MemoryMB: a[1], Accelerators: a[2]}
 }
 
+// putWorker is the event that adds or updates a worker.
 type putWorker struct {
 	ID       string   `json:"id"`
 	Region   string   `json:"region"`
@@ -23,6 +24,7 @@
 	Capacity amount   `json:"capacity"`
 }
 
+// submitTask is the event that a task arrives.
 type submit struct {
 	ID       string   `json:"id"`
 	Workload string   `json:"workload"`
@@ -32,15 +34,17 @@
 	Need     amount   `json:"need"`
 	Deadline int64    `json:"deadline"`
 	Once     bool     `json:"once"`
-	Allow    []string `json:"allow"` // labels
+	Allow    []string `json:"allow"` // labels of workers; so are those of Forbid
 	Forbid   []string `json:"forbid"`
 }
 
+// setQuota is the event that replaces all quotas with that of one team.
 type quota struct {
 	Team   string `json:"team"`
 	Amount amount `json:"amount"`
 }
 
+// applyPlacementEvent applies an event of package placement. It returns known = false if e is another event.
 func (p *player) playPlacement(e event, now clock.Time) (known bool, err error) {
 	switch {
 	case e.PutWorker != nil:
@@ -84,8 +88,10 @@
 	}
 }
 
-func (p *player) next(most int, now clock.Time) {
-	for _, d := range p.placer.Next(now, most) {
+// printNextPlacements takes at most maxDecisions decisions from the placer and prints them. If tasks are
+// still waiting then, it prints their number.
+func (p *player) next(maxDecisions int, now clock.Time) {
+	for _, d := range p.placer.Next(now, maxDecisions) {
 		if d.Kind == placement.Preempt {
 			p.print(now, "task=%s decision=preempt worker=%s for=%s", d.Task.ID, d.Worker, d.For)
 			continue
--- a/pkg/replay/replay.go
+++ b/pkg/replay/replay.go
@@ -15,7 +15,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// event is one line of a trace; exactly one field besides At is set.
+// event is one line of a trace. Exactly one field besides AtMs is set.
 type event struct {
 	At int64 `json:"at"`
 
@@ -41,7 +41,7 @@
 	NotRun   *end `json:"not_run"`
 }
 
-// player is a replay under way.
+// replayer is the state of one call of Run.
 type player struct {
 	out      io.Writer
 	router   *routing.Router
@@ -50,14 +50,14 @@
 	requests map[string]*request
 }
 
-// request is a routing request with its name in the trace.
+// tracedRequest is a routing request with its id in the trace, and its endpoint once it was sent to one.
 type request struct {
 	id       string
 	request  routing.Request
 	endpoint *routing.Endpoint
 }
 
-// Run replays a trace and writes the decisions. An error names the line.
+// Run replays a trace and writes the decisions. An error names the line of the trace.
 func Run(in io.Reader, out io.Writer) error {
 	w := bufio.NewWriter(out)
 	p := &player{
@@ -85,9 +85,10 @@
 	return errors.Wrap(w.Flush(), "write decisions")
 }
 
+// applyEvent passes an event to the package that it belongs to.
 func (p *player) play(e event, now clock.Time) error {
-	for _, step := range []func(event, clock.Time) (bool, error){p.playRouting, p.playPlacement, p.playKeys} {
-		if known, err := step(e, now); known || err != nil {
+	for _, apply := range []func(event, clock.Time) (bool, error){p.playRouting, p.playPlacement, p.playKeys} {
+		if known, err := apply(e, now); known || err != nil {
 			return err
 		}
 	}
--- a/pkg/replay/routing.go
+++ b/pkg/replay/routing.go
@@ -8,11 +8,13 @@
 	"github.com/cockroachdb/errors"
 )
 
+// putService is the event that adds or updates a service.
 type putService struct {
 	Name  string `json:"name"`
 	Queue int    `json:"queue"`
 }
 
+// putEndpoint is the event that adds or updates an endpoint of a service.
 type putEndpoint struct {
 	Service   string `json:"service"`
 	ID        string `json:"id"`
@@ -20,11 +22,14 @@
 	Inherited bool   `json:"inherited"`
 }
 
+// updateOrphans is the event that an endpoint reports how many requests at most it runs for which the router
+// has no waiting caller; see routing.Router.UpdateOrphans.
 type foreign struct {
 	ID   string `json:"id"`
 	Most int    `json:"most"`
 }
 
+// arrive is the event that a request arrives.
 type arrive struct {
 	ID       string `json:"id"`
 	Service  string `json:"service"`
@@ -33,17 +38,20 @@
 	Deadline int64  `json:"deadline"`
 }
 
+// release is the event that a request which was sent to an endpoint ends.
 type release struct {
 	ID      string `json:"id"`
 	Outcome string `json:"outcome"`
 	Took    int64  `json:"took"`
 }
 
+// outcomesByName maps the outcome in the event release.
 var outcomes = map[string]routing.Outcome{
 	"served": routing.Served, "failed": routing.Failed, "lost": routing.Lost,
 	"refused": routing.Refused, "unreached": routing.Unreached, "unsent": routing.Unsent,
 }
 
+// applyRoutingEvent applies an event of package routing. It returns known = false if e is another event.
 func (p *player) playRouting(e event, now clock.Time) (known bool, err error) {
 	switch {
 	case e.PutService != nil:
@@ -87,6 +95,7 @@
 	return nil
 }
 
+// printRoutingDecisions prints decisions, and stores the endpoint of each request that was sent.
 func (p *player) decided(now clock.Time, decisions ...routing.Decision) {
 	for _, d := range decisions {
 		if d.Evicted != nil {
--- a/pkg/standin/admin.go
+++ b/pkg/standin/admin.go
@@ -7,58 +7,61 @@
 	"foldarch.dev/foldarch/pkg/store"
 )
 
-// WorkerFault is a command to one worker over the admin API.
+// WorkerFault is the body of POST /faults/worker of the admin API: it sets the state of one worker and how
+// many answers to commands the worker is to lose next.
 type WorkerFault struct {
 	Worker      string          `json:"worker"`
 	State       store.HostState `json:"state"`
 	LoseAnswers int             `json:"lose_answers"`
 }
 
-// AdminHandler lets tests that run the stand-ins as a process of their own switch faults
-// and read the ledger:
+// AdminHandler returns the admin API, over which tests that run the stand-ins as a separate process inject
+// faults and read the run log:
 //
 //	POST /faults/store   StoreFaults
 //	POST /faults/worker  WorkerFault
-//	GET  /verdict        Verdict
+//	GET  /verdict        CheckResult
 //	GET  /runs           []Run
 //	GET  /counts         StoreCounts
-func (f *Farm) AdminHandler() http.Handler {
+func (e *Farm) AdminHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /faults/store", func(w http.ResponseWriter, r *http.Request) {
 		var faults StoreFaults
 		if decode(w, r, &faults) {
-			f.Store.SetFaults(faults)
+			e.Store.SetFaults(faults)
 		}
 	})
 	mux.HandleFunc("POST /faults/worker", func(w http.ResponseWriter, r *http.Request) {
 		var fault WorkerFault
-		if decode(w, r, &fault) && !f.applyWorkerFault(fault) {
+		if decode(w, r, &fault) && !e.applyWorkerFault(fault) {
 			http.Error(w, "no worker "+fault.Worker, http.StatusNotFound)
 		}
 	})
-	mux.HandleFunc("GET /verdict", func(w http.ResponseWriter, _ *http.Request) { answer(w, f.Ledger.Judge()) })
-	mux.HandleFunc("GET /runs", func(w http.ResponseWriter, _ *http.Request) { answer(w, f.Ledger.Runs()) })
-	mux.HandleFunc("GET /counts", func(w http.ResponseWriter, _ *http.Request) { answer(w, f.Store.Counts()) })
+	mux.HandleFunc("GET /verdict", func(w http.ResponseWriter, _ *http.Request) { answer(w, e.Ledger.Judge()) })
+	mux.HandleFunc("GET /runs", func(w http.ResponseWriter, _ *http.Request) { answer(w, e.Ledger.Runs()) })
+	mux.HandleFunc("GET /counts", func(w http.ResponseWriter, _ *http.Request) { answer(w, e.Store.Counts()) })
 	return mux
 }
 
-func (f *Farm) applyWorkerFault(fault WorkerFault) bool {
-	w, ok := f.Workers[fault.Worker]
+// applyWorkerFault returns false if there is no such worker.
+func (e *Farm) applyWorkerFault(fault WorkerFault) bool {
+	w, ok := e.Workers[fault.Worker]
 	if !ok {
 		return false
 	}
 	w.LoseAnswers(fault.LoseAnswers)
 	switch fault.State {
 	case store.HostGone:
-		f.KillWorker(fault.Worker)
+		e.KillWorker(fault.Worker)
 	case store.HostLeaving:
-		f.DrainWorker(fault.Worker)
+		e.DrainWorker(fault.Worker)
 	case store.HostLive:
-		f.ReviveWorker(fault.Worker)
+		e.ReviveWorker(fault.Worker)
 	}
 	return true
 }
 
+// decodeBody decodes a JSON body into target. If that fails, it answers with status 400 and returns false.
 func decode(w http.ResponseWriter, r *http.Request, target any) bool {
 	if err := json.NewDecoder(r.Body).Decode(target); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
--- a/pkg/standin/doc.go
+++ b/pkg/standin/doc.go
@@ -1,19 +1,19 @@
-// Package standin holds small stand-ins for what lies outside of foldarch: the platform
-// store with its host list, the workers, and the endpoints of services. Tests and the
-// try-out cell run against them; nothing of it is for production.
+// Package standin implements test doubles (stand-ins) of the systems around foldarch: the platform store with
+// its host list, the workers, and the endpoints of services. Tests and the cell of `foldarch local` run
+// against them. They are not meant for production.
 //
-// The stand-ins keep a Ledger of what ran where and when. The ledger is the judge of the
-// tests: promises are checked against the back ends' own record, never against what
-// foldarch says of itself. For that reason the workers and endpoints accept work beyond
-// their capacity and count it as a violation, where a real one would refuse.
+// The stand-ins record in a RunLog what ran where and when. Tests check the invariants of foldarch against
+// this record and not against what foldarch reports about itself. For this reason the workers and endpoints
+// accept work beyond their capacity and count it as a violation, where a real one would refuse it.
 //
-// Faults are switched on a running stand-in: the store can be down, slow, lose answers
-// after the effect, or refuse by rate; a worker can die, or leave.
+// Faults can be injected into running stand-ins: the store can be down or slow, lose answers to writes that
+// took effect, or refuse calls above a rate; a worker can be killed, or leave.
 //
 // # Usage
 //
-//	farm, err := standin.StartFarm(standin.FarmConfig{Workers: standin.Uniform(halls, 4, capacity)})
-//	defer farm.Close()
-//	farm.Store.SetFaults(standin.StoreFaults{Down: true})
-//	violations := farm.Ledger.Judge()
+//	workers := standin.UniformWorkers(halls, 4, capacity)
+//	env, err := standin.StartEnvironment(standin.EnvironmentConfig{Workers: workers})
+//	defer env.Close()
+//	env.Store.SetFaults(standin.StoreFaults{Down: true})
+//	violations := env.RunLog.Check().Violations
 package standin
--- a/pkg/standin/endpoint.go
+++ b/pkg/standin/endpoint.go
@@ -17,7 +17,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// leavingGrace is how long an endpoint that leaves may still be given new work.
+// leavingGrace is how long after the start of leaving an endpoint may still be sent calls without a
+// violation, because the entry hosts need time to learn of it. The endpoint refuses these calls.
 const leavingGrace = 3 * time.Second
 
 // EndpointConfig describes one stand-in endpoint.
@@ -28,8 +29,9 @@
 	CheckEpochs bool
 }
 
-// Endpoint is a stand-in for one instance of a service. A body such as "ms=20 text" is
-// answered after 20 ms with the endpoint's id and the body.
+// Endpoint is a stand-in for one instance of a service. A body such as "ms=20 text" is answered after 20 ms
+// with the endpoint's id and the body. The answer to a body that contains "lose-answer" is lost: the call
+// runs, but its connection is closed.
 type Endpoint struct {
 	cfg      EndpointConfig
 	ledger   *Ledger
@@ -45,13 +47,13 @@
 	inFlight map[*Run]bool
 }
 
-// StartEndpoint starts an endpoint on a free port of the loopback.
-func StartEndpoint(cfg EndpointConfig, ledger *Ledger) (*Endpoint, error) {
+// StartEndpoint starts an endpoint on a free port of the loopback interface.
+func StartEndpoint(cfg EndpointConfig, runLog *Ledger) (*Endpoint, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, errors.Wrapf(err, "endpoint %s", cfg.ID)
 	}
-	e := &Endpoint{cfg: cfg, ledger: ledger, listener: l, inFlight: map[*Run]bool{}}
+	e := &Endpoint{cfg: cfg, ledger: runLog, listener: l, inFlight: map[*Run]bool{}}
 	e.idle = sync.NewCond(&e.mu)
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+endpoint.HealthPath, e.health)
@@ -61,20 +63,20 @@
 	return e, nil
 }
 
-// Address returns where the endpoint listens.
+// Address returns the address of the endpoint.
 func (e *Endpoint) Address() netip.AddrPort {
 	return e.listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// Leave makes the endpoint say that it takes no new work.
+// Leave makes the endpoint report that it is leaving, and refuse new calls.
 func (e *Endpoint) Leave() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaving = time.Now()
 }
 
-// WaitIdle returns when no request is in flight, but not before the grace for those that
-// give out work to hear of the leaving.
+// WaitIdle returns when no call is in flight or the endpoint was stopped, but not before leavingGrace has
+// passed, in which the entry hosts learn that the endpoint is leaving.
 func (e *Endpoint) WaitIdle() {
 	time.Sleep(leavingGrace)
 	e.mu.Lock()
@@ -84,8 +86,9 @@
 	}
 }
 
-// Stop ends the endpoint at once. Requests in flight are cut, and counted as such unless
-// the worker was lost with them.
+// Stop stops the endpoint at once and interrupts the calls in flight. They count as violations if the task
+// ended by draining ("done") or by the end of its lease ("lapsed"), but not if it was stopped or its worker
+// was killed.
 func (e *Endpoint) Stop(outcome string) {
 	e.mu.Lock()
 	e.stopped = true
@@ -128,11 +131,14 @@
 	_, _ = fmt.Fprintf(w, "%s %s", e.cfg.ID, body)
 }
 
-// work goes on when the caller has gone: a real service would not notice either.
+// simulateWork takes the time d. It does not end early when the caller disconnects, since a real service may
+// not notice that either.
 func work(_ context.Context, d time.Duration) {
 	time.Sleep(d)
 }
 
+// beginCall starts to record a call, or returns the reason for which the endpoint refuses it. Calls beyond
+// the slots are accepted and counted as violations.
 func (e *Endpoint) begin(r *http.Request) (*Run, string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -168,7 +174,7 @@
 	e.idle.Broadcast()
 }
 
-// durationOf reads the "ms=N" at the start of a payload.
+// payloadDuration returns the N milliseconds of a payload that begins with "ms=N", or 0 for another payload.
 func durationOf(payload string) time.Duration {
 	var ms int64
 	if _, err := fmt.Sscanf(payload, "ms=%d", &ms); err != nil {
--- a/pkg/standin/main.go
+++ b/pkg/standin/main.go
@@ -21,13 +21,13 @@
 
 const programName = "foldarch-standin"
 
-// commandLine is the table of the program's commands.
+// commandLine lists the commands of the program.
 type commandLine struct {
 	Cell     cellCommand     `cmd:"" default:"withargs" help:"Stand-ins for a cell: store, workers and endpoints."`
 	Platform platformCommand `cmd:"" help:"An emulated platform: store, workers and settings of entry hosts."`
 }
 
-// cellCommand runs stand-ins for foldarch's own cell.
+// cellCommand runs the stand-ins of a cell: store, workers and endpoints.
 type cellCommand struct {
 	Store        netip.AddrPort `default:"127.0.0.1:7000" help:"Where the platform store listens."`
 	Admin        netip.AddrPort `default:"127.0.0.1:7001" help:"Where faults are switched and the ledger is read."`
@@ -59,12 +59,12 @@
 	return program.ExitOK
 }
 
-// streams are where a command writes.
+// streams are the outputs of a command.
 type streams struct {
 	out io.Writer
 }
 
-// Run starts the stand-ins and waits for a signal.
+// Run starts the stand-ins and the admin API, prints their addresses, and runs until SIGINT or SIGTERM.
 func (c cellCommand) Run(s streams) error {
 	var halls []cell.Hall
 	for _, h := range c.Halls {
@@ -74,24 +74,24 @@
 	for i := range workers {
 		workers[i].CheckEpochs = c.CheckEpochs
 	}
-	farm, err := StartFarm(FarmConfig{StoreAddress: c.Store, Workers: workers})
+	environment, err := StartFarm(FarmConfig{StoreAddress: c.Store, Workers: workers})
 	if err != nil {
 		return err
 	}
-	defer farm.Close()
+	defer environment.Close()
 	l, err := net.Listen("tcp", c.Admin.String())
 	if err != nil {
 		return err
 	}
-	admin := &http.Server{Handler: farm.AdminHandler(), ReadHeaderTimeout: adminHeaderTimeout}
+	admin := &http.Server{Handler: environment.AdminHandler(), ReadHeaderTimeout: adminHeaderTimeout}
 	go func() { _ = admin.Serve(l) }()
 	defer admin.Close()
-	fmt.Fprintf(s.out, "store %s admin %s workers %d\n", farm.StoreAddress(), l.Addr(), len(workers))
+	fmt.Fprintf(s.out, "store %s admin %s workers %d\n", environment.StoreAddress(), l.Addr(), len(workers))
 	awaitSignal()
 	return nil
 }
 
-// awaitSignal waits until the program is told to end.
+// waitForSignal returns on SIGINT or SIGTERM.
 func awaitSignal() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/pkg/standin/ledger.go
+++ b/pkg/standin/run_log.go
@@ -7,20 +7,21 @@
 	"time"
 )
 
-// Run is one execution of a request or a task, as the back end saw it.
+// Run is one execution of a request or a task, as the endpoint or worker that ran it saw it. The admin API
+// writes Runs as JSON under the Go names of the fields.
 type Run struct {
 	Kind          string // "call", "batch" or "service"
-	Key           string // the caller's key of a call, or the task's id
-	Where         string
+	Key           string // the idempotency key of a call, or the id of the task
+	Where         string // the id of the endpoint or worker
 	Start         time.Time
 	End           time.Time // zero while it runs
 	NotRepeatable bool
-	// Outcome is "running", "done", "cut" (stopped while in flight) or "lapsed" (its
-	// lease ended).
+	// Outcome is "running", "done", "cut" (a call whose endpoint was stopped), "lapsed" (the lease of the
+	// task expired), "killed" (the worker was killed), or worker.ResultStopped (the owner stopped the task).
 	Outcome string
 }
 
-// Ledger records what ran. It is safe for concurrent use.
+// RunLog records what ran on the stand-ins, and the violations that they saw. It is safe for concurrent use.
 type Ledger struct {
 	mu         sync.Mutex
 	runs       []*Run
@@ -28,12 +29,12 @@
 	notes      []string
 }
 
-// NewLedger returns an empty ledger.
+// NewRunLog returns an empty run log.
 func NewLedger() *Ledger {
 	return &Ledger{violations: map[string]int{}}
 }
 
-// Begin records that something started to run. The caller ends it with End.
+// Begin records the start of a run. The caller reports its end with End.
 func (l *Ledger) Begin(r Run) *Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -42,7 +43,7 @@
 	return &r
 }
 
-// End records that a run ended.
+// End records the end of a run. It has no effect on a run that has already ended.
 func (l *Ledger) End(r *Run, outcome string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -51,51 +52,53 @@
 	}
 }
 
-// Violation counts a broken promise that a back end saw by itself.
-func (l *Ledger) Violation(promise, note string) {
+// AddViolation counts a violation that a stand-in saw by itself.
+func (l *Ledger) Violation(invariant, note string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.violations[promise]++
+	l.violations[invariant]++
 	if len(l.notes) < maxNotes {
-		l.notes = append(l.notes, promise+": "+note)
+		l.notes = append(l.notes, invariant+": "+note)
 	}
 }
 
+// maxNotes limits the notes from AddViolation; the violations beyond it are still counted.
 const maxNotes = 50
 
-// The promises that the ledger judges.
+// The names of the invariants; they are the keys of CheckResult.Violations.
 const (
-	PromiseCapacity  = "capacity"
-	PromiseOnePlace  = "one_place"
-	PromiseOnce      = "at_most_once"
-	PromiseLeaving   = "leaving"
-	PromiseNotCut    = "not_cut"
+	PromiseCapacity  = "capacity"     // no worker or endpoint is given more than its capacity
+	PromiseOnePlace  = "one_place"    // no two runs of a key overlap in time
+	PromiseOnce      = "at_most_once" // what is not repeatable runs at most once
+	PromiseLeaving   = "leaving"      // a leaving endpoint is sent no calls after leavingGrace
+	PromiseNotCut    = "not_cut"      // no call is in flight when an endpoint ends by draining or with its lease
 	PromiseNotRun    = "not_run"
 	PromiseWhole     = "whole_answer"
 	PromiseConfigure = "configuration"
 )
 
-// Promises lists the promises in the order of the brief.
+// Invariants returns the names of the invariants in the order in which they are reported.
 func Promises() []string {
 	return []string{PromiseCapacity, PromiseOnePlace, PromiseWhole, PromiseNotRun,
 		PromiseOnce, PromiseLeaving, PromiseNotCut, PromiseConfigure}
 }
 
-// Verdict is what the ledger says after a test.
+// CheckResult is the result of RunLog.Check: the number of runs, the number of violations of each invariant,
+// and notes about them.
 type Verdict struct {
 	Runs       int            `json:"runs"`
 	Violations map[string]int `json:"violations"`
 	Notes      []string       `json:"notes"`
 }
 
-// Judge looks for runs of one key that overlap, and for more than one run of a key that
-// is not repeatable, and adds the violations counted by the back ends.
+// Check looks for runs of one key that overlap in time and for keys that are not repeatable but ran more than
+// once, and adds the violations that the stand-ins counted themselves.
 func (l *Ledger) Judge() Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	v := Verdict{Runs: len(l.runs), Violations: map[string]int{}, Notes: slices.Clone(l.notes)}
-	for promise, n := range l.violations {
-		v.Violations[promise] = n
+	for invariant, n := range l.violations {
+		v.Violations[invariant] = n
 	}
 	for key, runs := range l.byKey() {
 		if note := overlap(runs); note != "" {
@@ -108,12 +111,12 @@
 	return v
 }
 
-func (v *Verdict) add(promise, note string) {
-	v.Violations[promise]++
-	v.Notes = append(v.Notes, promise+": "+note)
+func (v *Verdict) add(invariant, note string) {
+	v.Violations[invariant]++
+	v.Notes = append(v.Notes, invariant+": "+note)
 }
 
-// Ran says how often a key ran.
+// RunCount returns how often a key ran.
 func (l *Ledger) Ran(key string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -145,7 +148,8 @@
 	return index
 }
 
-// overlap says where two runs were at the same time; the runs are in order of start.
+// describeOverlap returns a text about the first two successive runs that overlap in time, or "" if none do.
+// The runs have to be in the order of their starts.
 func overlap(runs []*Run) string {
 	for i := 1; i < len(runs); i++ {
 		before, after := runs[i-1], runs[i]
--- a/pkg/standin/store.go
+++ b/pkg/standin/store.go
@@ -13,29 +13,30 @@
 	"golang.org/x/time/rate"
 )
 
-// StoreFaults says how the store misbehaves. The zero value is a store in good health.
+// StoreFaults are the faults of the store. The zero value is a store without faults.
 type StoreFaults struct {
-	Down bool `json:"down"` // connections are closed before anything is done
-	// LoseAnswers of every so many writes: the write takes effect, the answer is lost.
+	Down bool `json:"down"` // connections are closed before a call takes effect
+	// With LoseEveryNthAnswer n > 0, every nth write takes effect but its answer is lost.
 	LoseAnswers int           `json:"lose_answers"`
-	Delay       time.Duration `json:"delay"`
-	// WritesPerSecond and ReadsPerSecond refuse calls above a rate; 0 is no limit.
+	Delay       time.Duration `json:"delay"` // before each call takes effect
+	// Writes and reads above these rates are refused with status 429; 0 means no limit.
 	WritesPerSecond float64 `json:"writes_per_second"`
 	ReadsPerSecond  float64 `json:"reads_per_second"`
 }
 
-// StoreCounts tells what the store was asked.
+// StoreCounts are the numbers of calls that the store has received, including those that failed by a fault.
 type StoreCounts struct {
 	Reads  int64 `json:"reads"`
 	Writes int64 `json:"writes"`
 }
 
-// Store is a stand-in for the platform's key-value service and host list.
+// Store is a stand-in for the key-value store and the host list of the platform. Items are kept in memory,
+// and deleted items stay as markers so that watchers learn of the deletion.
 type Store struct {
 	mu       sync.Mutex
 	items    map[string]storeapi.Item
 	revision int64
-	changed  chan struct{} // closed at each change
+	changed  chan struct{} // closed and replaced at each change, to wake up waiting ListValues calls
 	leases   map[int64]*storeLease
 	lastID   int64
 	faults   StoreFaults
@@ -51,7 +52,7 @@
 	ends time.Time
 }
 
-// NewStore returns an empty store; hosts gives its host list.
+// NewStore returns an empty store that gets its host list from hosts.
 func NewStore(hosts func() []storeapi.Host) *Store {
 	return &Store{
 		items: map[string]storeapi.Item{}, changed: make(chan struct{}),
@@ -60,7 +61,8 @@
 	}
 }
 
-// SetFaults makes the store misbehave from now on.
+// SetFaults replaces the faults of the store. Waiting ListValues calls are woken up, so that Down breaks them
+// off too.
 func (s *Store) SetFaults(f StoreFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,21 +72,21 @@
 	s.notify()
 }
 
-func limiter(perSecond float64) *rate.Limiter {
-	if perSecond <= 0 {
+func limiter(callsPerSecond float64) *rate.Limiter {
+	if callsPerSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 1)
 	}
-	return rate.NewLimiter(rate.Limit(perSecond), max(int(perSecond), 1))
+	return rate.NewLimiter(rate.Limit(callsPerSecond), max(int(callsPerSecond), 1))
 }
 
-// Counts returns how many calls the store has had.
+// Counts returns the numbers of calls so far.
 func (s *Store) Counts() StoreCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
 }
 
-// Handler returns the store's HTTP side, with its faults.
+// Handler returns the HTTP handler of the store, which applies the faults.
 func (s *Store) Handler() (http.Handler, error) {
 	inner, err := storeapi.NewServer(s)
 	if err != nil {
@@ -112,6 +114,8 @@
 	}
 }
 
+// admit counts a call and returns the faults that apply to it: lose says that its answer is to be lost, and
+// allowed is false if the call exceeds the rate limit.
 func (s *Store) admit(isWrite bool) (faults StoreFaults, lose, allowed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,14 +129,14 @@
 	return s.faults, lose, s.writes.Allow()
 }
 
-// discard is a response that nobody reads.
+// discardResponse is a http.ResponseWriter that drops the response, for calls whose answer is lost.
 type discard struct{ header http.Header }
 
 func (d discard) Header() http.Header         { return d.header }
 func (d discard) Write(p []byte) (int, error) { return len(p), nil }
 func (d discard) WriteHeader(int)             {}
 
-// ReadValue returns one item.
+// ReadValue implements storeapi.Handler. It returns one item.
 func (s *Store) ReadValue(_ context.Context, p storeapi.ReadValueParams) (*storeapi.Item, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,7 +148,8 @@
 	return &item, nil
 }
 
-// SwapValue writes a value if the expected revision stands.
+// SwapValue implements storeapi.Handler. It writes a value if the item has the expected revision (0 if it
+// must not exist).
 func (s *Store) SwapValue(_ context.Context, b *storeapi.Swap) (*storeapi.Written, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -162,7 +167,7 @@
 	return &storeapi.Written{Revision: s.revision}, nil
 }
 
-// DeleteValue removes a value if the expected revision stands.
+// DeleteValue implements storeapi.Handler. It deletes an item if it has the expected revision.
 func (s *Store) DeleteValue(_ context.Context, p storeapi.DeleteValueParams) (*storeapi.Written, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -174,7 +179,8 @@
 	return &storeapi.Written{Revision: s.revision}, nil
 }
 
-// ListValues lists the items that changed after a revision and may wait for one.
+// ListValues implements storeapi.Handler. It lists the items with a prefix that changed after a revision. If
+// there are none, it waits for one up to the time in the parameters.
 func (s *Store) ListValues(ctx context.Context, p storeapi.ListValuesParams) (*storeapi.Listing, error) {
 	timeout := time.After(time.Duration(p.WaitMs.Value) * time.Millisecond)
 	for {
@@ -201,8 +207,8 @@
 	s.expire()
 	listing := &storeapi.Listing{Revision: s.revision, Items: []storeapi.Item{}}
 	for key, item := range s.items {
-		dead := item.Deleted.Value && p.After.Value == 0
-		if strings.HasPrefix(key, p.Prefix) && item.Revision > p.After.Value && !dead {
+		skipDeleted := item.Deleted.Value && p.After.Value == 0
+		if strings.HasPrefix(key, p.Prefix) && item.Revision > p.After.Value && !skipDeleted {
 			listing.Items = append(listing.Items, item)
 		}
 	}
@@ -210,7 +216,7 @@
 	return listing, s.changed, s.faults.Down
 }
 
-// OpenLease opens a lease.
+// OpenLease implements storeapi.Handler.
 func (s *Store) OpenLease(_ context.Context, b *storeapi.LeaseTerm) (*storeapi.Lease, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -220,7 +226,7 @@
 	return &storeapi.Lease{ID: s.lastID, TTLMs: b.TTLMs}, nil
 }
 
-// RenewLease renews a lease.
+// RenewLease implements storeapi.Handler.
 func (s *Store) RenewLease(_ context.Context, p storeapi.RenewLeaseParams) (*storeapi.Lease, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -233,7 +239,7 @@
 	return &storeapi.Lease{ID: p.ID, TTLMs: lease.term.Milliseconds()}, nil
 }
 
-// CloseLease ends a lease.
+// CloseLease implements storeapi.Handler. It ends a lease and deletes its items.
 func (s *Store) CloseLease(_ context.Context, p storeapi.CloseLeaseParams) (*storeapi.Lease, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -241,12 +247,13 @@
 	return &storeapi.Lease{ID: p.ID}, nil
 }
 
-// ListHosts returns the host list.
+// ListHosts implements storeapi.Handler.
 func (s *Store) ListHosts(context.Context) (*storeapi.HostList, error) {
 	return &storeapi.HostList{Revision: 1, Hosts: s.hosts()}, nil
 }
 
-// NewError turns a refusal into its answer.
+// NewError implements storeapi.Handler. It turns an error of the other methods into a response; what is not a
+// refusal by this store counts as a malformed request.
 func (s *Store) NewError(_ context.Context, err error) *storeapi.RefusedStatusCode {
 	if refused, ok := err.(*storeapi.RefusedStatusCode); ok {
 		return refused
@@ -258,7 +265,7 @@
 	return &storeapi.RefusedStatusCode{StatusCode: status, Response: storeapi.Refusal{Reason: reason}}
 }
 
-// Tick ends the leases that have lapsed, so that watchers hear of it.
+// Tick ends the leases that have expired, so that watchers learn of it even when no call arrives.
 func (s *Store) Tick() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -274,6 +281,7 @@
 	}
 }
 
+// endLease removes a lease and deletes its items.
 func (s *Store) endLease(id int64) {
 	delete(s.leases, id)
 	for key, item := range s.items {
@@ -283,6 +291,7 @@
 	}
 }
 
+// currentRevision returns the revision of an item, or 0 if there is none.
 func (s *Store) standing(key string) int64 {
 	item := s.items[key]
 	if item.Deleted.Value {
--- a/pkg/standin/worker.go
+++ b/pkg/standin/worker.go
@@ -20,12 +20,12 @@
 	Rack     string
 	Labels   []string
 	Capacity cell.Resources
-	// CheckEpochs makes the endpoints on the worker refuse calls of a lower epoch.
+	// CheckEpochs makes the endpoints on the worker refuse calls with a lower epoch than they have seen.
 	CheckEpochs bool
 }
 
-// Worker is a stand-in worker. It refuses commands of a lower epoch or that come too
-// late, and ends a task when its lease lapses.
+// Worker is a stand-in worker. It refuses commands of an earlier epoch and commands that arrive after their
+// deadline, and ends a task when its lease expires.
 type Worker struct {
 	cfg         WorkerConfig
 	ledger      *Ledger
@@ -34,12 +34,12 @@
 
 	mu       sync.Mutex
 	tasks    map[string]*task
-	epochs   map[string]int64
-	sequence map[string]int64 // by shard, in its epoch
+	epochs   map[string]int64 // by shard: of the last commands
+	sequence map[string]int64 // by shard: of the last commands in the current epoch
 	draining bool
 	dead     bool
 	delay    time.Duration
-	loseNext int
+	loseNext int // commands that are still to lose their answer
 }
 
 type task struct {
@@ -54,23 +54,23 @@
 }
 
 // NewWorker returns a worker without tasks.
-func NewWorker(cfg WorkerConfig, ledger *Ledger) *Worker {
+func NewWorker(cfg WorkerConfig, runLog *Ledger) *Worker {
 	return &Worker{
-		cfg: cfg, ledger: ledger, incarnation: uuid.NewString(), started: time.Now(),
+		cfg: cfg, ledger: runLog, incarnation: uuid.NewString(), started: time.Now(),
 		tasks: map[string]*task{}, epochs: map[string]int64{}, sequence: map[string]int64{},
 	}
 }
 
-// Handler returns the worker's HTTP side.
+// Handler returns the HTTP handler of the worker, which applies the faults.
 func (w *Worker) Handler() (http.Handler, error) {
 	inner, err := workerapi.NewServer(w)
 	if err != nil {
 		return nil, err
 	}
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-		delay, lose, dead := w.admit(r.Method == http.MethodPost)
+		delay, lose, killed := w.admit(r.Method == http.MethodPost)
 		time.Sleep(delay)
-		if dead {
+		if killed {
 			panic(http.ErrAbortHandler)
 		}
 		if lose {
@@ -81,7 +81,9 @@
 	}), nil
 }
 
-func (w *Worker) admit(command bool) (delay time.Duration, lose, dead bool) {
+// admit returns the faults that apply to a call: lose says that its answer is to be lost, and killed that the
+// worker is killed and does not answer.
+func (w *Worker) admit(command bool) (delay time.Duration, lose, killed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if command && w.loseNext > 0 {
@@ -91,14 +93,14 @@
 	return w.delay, lose, w.dead
 }
 
-// LoseAnswers lets the next n commands take effect without an answer.
+// LoseNextAnswers makes the next n command calls take effect without an answer.
 func (w *Worker) LoseAnswers(n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.loseNext = n
 }
 
-// Kill ends all tasks and stops answering, like a host that lost its power.
+// Kill ends all tasks and makes the worker stop answering, like a host that lost its power.
 func (w *Worker) Kill() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -108,7 +110,7 @@
 	}
 }
 
-// Revive lets a killed worker answer again, empty and as a new incarnation.
+// Revive makes a killed worker answer again, without tasks and with a new incarnation id.
 func (w *Worker) Revive() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -117,21 +119,22 @@
 	w.tasks, w.epochs, w.sequence = map[string]*task{}, map[string]int64{}, map[string]int64{}
 }
 
-// Drain marks the worker as leaving.
+// Drain makes the worker report that it is draining.
 func (w *Worker) Drain() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.draining = true
 }
 
-// ReadStatus tells what the worker runs.
+// ReadStatus implements workerapi.Handler.
 func (w *Worker) ReadStatus(context.Context) (*workerapi.Status, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.status(), nil
 }
 
-// SendCommands carries out commands, or refuses them all.
+// SendCommands implements workerapi.Handler. It carries out all commands of a call, or refuses all with
+// Stale.
 func (w *Worker) SendCommands(_ context.Context, c *workerapi.Commands) (workerapi.SendCommandsRes, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -160,14 +163,15 @@
 	return w.status(), nil
 }
 
-// refuses says whether commands are of an old owner, old themselves, or too late.
+// isStale reports whether commands come from a previous owner (a lower epoch), are a repetition or older than
+// the last ones (the sequence), or arrive after their deadline.
 func (w *Worker) refuses(c *workerapi.Commands) bool {
 	known := w.epochs[c.Shard]
 	repeated := c.Epoch == known && c.Sequence <= w.sequence[c.Shard]
 	return c.Epoch < known || repeated || w.clock() > c.NotAfterMs
 }
 
-// Tick ends the tasks whose lease has lapsed.
+// Tick ends and forgets the tasks whose lease has expired.
 func (w *Worker) Tick() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -184,6 +188,7 @@
 	return t.state == workerapi.TaskStateRunning || t.state == workerapi.TaskStateDraining
 }
 
+// uptimeMs returns the clock of the worker: the milliseconds since it was created.
 func (w *Worker) clock() int64 {
 	return time.Since(w.started).Milliseconds()
 }
@@ -201,6 +206,8 @@
 	}
 }
 
+// startTask starts a task, also beyond the capacity of the worker. A task that the worker already has is not
+// started again.
 func (w *Worker) start(spec workerapi.TaskSpec, epoch int64) {
 	if _, ok := w.tasks[spec.ID]; ok {
 		return
@@ -222,6 +229,7 @@
 	go w.runBatch(t)
 }
 
+// checkCapacity records a violation if the running tasks, with the new task id, exceed the capacity.
 func (w *Worker) checkCapacity(id string) {
 	var used cell.Resources
 	for _, t := range w.tasks {
@@ -251,8 +259,8 @@
 	t.run = w.ledger.Begin(Run{Kind: "service", Key: t.spec.ID, Where: w.cfg.ID})
 }
 
-// runBatch runs a payload such as "ms=50 anything": it takes that long and gives the
-// payload back as its result.
+// runBatch runs a batch task. A payload such as "ms=50 text" takes 50 ms, and the result is "done: " and the
+// payload.
 func (w *Worker) runBatch(t *task) {
 	timer := time.NewTimer(durationOf(t.spec.Payload))
 	defer timer.Stop()
@@ -271,6 +279,8 @@
 	w.ledger.End(t.run, "done")
 }
 
+// drainTask makes the endpoint of a service task leave, and ends the task when the endpoint has no more
+// calls.
 func (w *Worker) drainTask(id string) {
 	t, ok := w.tasks[id]
 	if !ok || t.state != workerapi.TaskStateRunning {
@@ -278,7 +288,7 @@
 	}
 	t.state = workerapi.TaskStateDraining
 	if t.endpoint == nil {
-		return // a batch task goes on to its end
+		return // a batch task runs to its end
 	}
 	t.endpoint.Leave()
 	go func() {
@@ -292,7 +302,7 @@
 	}()
 }
 
-// endTask stops a task at once.
+// endTask stops a running task at once, with outcome as its result.
 func (w *Worker) endTask(id, outcome string) {
 	t := w.tasks[id]
 	if !t.running() {
