--- a/pkg/load/result.go
+++ b/pkg/load/result.go
@@ -26,7 +26,7 @@
 	name   string        // such as "ok", "batch_done", "connection_lost", or the name of a problem
 	took   time.Duration // since the scheduled time; 0 unless the call succeeded or the batch request ended
 	waited time.Duration // latency without the work duration
-	at     time.Duration // since the start of the run; 0 if latency is 0
+	at     time.Duration // since the start of the run; 0 if took is 0
 	late   bool          // a batch request ended after its window
 }
 
@@ -34,8 +34,8 @@
 type Result struct {
 	Seconds   float64              `json:"seconds"`
 	Workloads map[string]*Workload `json:"workloads"`
-	// Timeline has one element for each second of the run. All requests with latency 0 count as refused in
-	// the first second, because their outcomes have no completion time.
+	// Timeline has one element for each second of the run. All requests whose outcome.took is 0 count as
+	// refused in the first second, because their outcomes have no end time.
 	Timeline []Second `json:"timeline"`
 }
 
--- a/pkg/local/cell.go
+++ b/pkg/local/cell.go
@@ -50,11 +50,11 @@
 
 // startCell starts the stand-ins and the entry hosts. The caller has to call close.
 func start(out io.Writer) (*localCell, error) {
-	standIns, err := standin.StartFarm(standin.FarmConfig{Workers: standin.Uniform(halls, workersPerHall, capacity)})
+	farm, err := standin.StartFarm(standin.FarmConfig{Workers: standin.Uniform(halls, workersPerHall, capacity)})
 	if err != nil {
 		return nil, err
 	}
-	c := &localCell{out: out, farm: standIns, log: &decisionCounter{}}
+	c := &localCell{out: out, farm: farm, log: &decisionCounter{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	c.cancel = cancel
 	if err := c.startEntries(ctx); err != nil {
@@ -62,7 +62,7 @@
 		return nil, err
 	}
 	fmt.Fprintf(out, "a cell of %d entry hosts and %d workers in %d halls, on the loopback\n",
-		len(c.processes), len(standIns.Workers), len(halls))
+		len(c.processes), len(farm.Workers), len(halls))
 	return c, nil
 }
 
--- a/pkg/replay/keys.go
+++ b/pkg/replay/keys.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// keyUse is the event that a request with an idempotency key arrives. Times are milliseconds of the trace.
+// beginKey is the event that a request with an idempotency key arrives. Times are milliseconds of the trace.
 type use struct {
 	Caller string `json:"caller"`
 	Key    string `json:"key"`
--- a/pkg/replay/replay.go
+++ b/pkg/replay/replay.go
@@ -50,7 +50,7 @@
 	requests map[string]*request
 }
 
-// tracedRequest is a routing request with its id in the trace, and its endpoint once it was sent to one.
+// request is a routing request with its id in the trace, and its endpoint once it was sent to one.
 type request struct {
 	id       string
 	request  routing.Request
--- a/pkg/replay/routing.go
+++ b/pkg/replay/routing.go
@@ -29,7 +29,7 @@
 	Most int    `json:"most"`
 }
 
-// arrive is the event that a request arrives.
+// routeRequest is the event that a request arrives.
 type arrive struct {
 	ID       string `json:"id"`
 	Service  string `json:"service"`
@@ -38,14 +38,14 @@
 	Deadline int64  `json:"deadline"`
 }
 
-// release is the event that a request which was sent to an endpoint ends.
+// releaseRequest is the event that a request which was sent to an endpoint ends.
 type release struct {
 	ID      string `json:"id"`
 	Outcome string `json:"outcome"`
 	Took    int64  `json:"took"`
 }
 
-// outcomesByName maps the outcome in the event release.
+// outcomesByName maps the Outcome of a releaseRequest.
 var outcomes = map[string]routing.Outcome{
 	"served": routing.Served, "failed": routing.Failed, "lost": routing.Lost,
 	"refused": routing.Refused, "unreached": routing.Unreached, "unsent": routing.Unsent,
--- a/pkg/standin/endpoint.go
+++ b/pkg/standin/endpoint.go
@@ -48,12 +48,12 @@
 }
 
 // StartEndpoint starts an endpoint on a free port of the loopback interface.
-func StartEndpoint(cfg EndpointConfig, runLog *Ledger) (*Endpoint, error) {
+func StartEndpoint(cfg EndpointConfig, ledger *Ledger) (*Endpoint, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, errors.Wrapf(err, "endpoint %s", cfg.ID)
 	}
-	e := &Endpoint{cfg: cfg, ledger: runLog, listener: l, inFlight: map[*Run]bool{}}
+	e := &Endpoint{cfg: cfg, ledger: ledger, listener: l, inFlight: map[*Run]bool{}}
 	e.idle = sync.NewCond(&e.mu)
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+endpoint.HealthPath, e.health)
--- a/pkg/standin/store.go
+++ b/pkg/standin/store.go
@@ -16,7 +16,7 @@
 // StoreFaults are the faults of the store. The zero value is a store without faults.
 type StoreFaults struct {
 	Down bool `json:"down"` // connections are closed before a call takes effect
-	// With LoseEveryNthAnswer n > 0, every nth write takes effect but its answer is lost.
+	// With LoseAnswers n > 0, every nth write takes effect but its answer is lost.
 	LoseAnswers int           `json:"lose_answers"`
 	Delay       time.Duration `json:"delay"` // before each call takes effect
 	// Writes and reads above these rates are refused with status 429; 0 means no limit.
--- a/pkg/standin/worker.go
+++ b/pkg/standin/worker.go
@@ -54,9 +54,9 @@
 }
 
 // NewWorker returns a worker without tasks.
-func NewWorker(cfg WorkerConfig, runLog *Ledger) *Worker {
+func NewWorker(cfg WorkerConfig, ledger *Ledger) *Worker {
 	return &Worker{
-		cfg: cfg, ledger: runLog, incarnation: uuid.NewString(), started: time.Now(),
+		cfg: cfg, ledger: ledger, incarnation: uuid.NewString(), started: time.Now(),
 		tasks: map[string]*task{}, epochs: map[string]int64{}, sequence: map[string]int64{},
 	}
 }
@@ -68,9 +68,9 @@
 		return nil, err
 	}
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-		delay, lose, killed := w.admit(r.Method == http.MethodPost)
+		delay, lose, dead := w.admit(r.Method == http.MethodPost)
 		time.Sleep(delay)
-		if killed {
+		if dead {
 			panic(http.ErrAbortHandler)
 		}
 		if lose {
@@ -81,9 +81,9 @@
 	}), nil
 }
 
-// admit returns the faults that apply to a call: lose says that its answer is to be lost, and killed that the
+// admit returns the faults that apply to a call: lose says that its answer is to be lost, and dead that the
 // worker is killed and does not answer.
-func (w *Worker) admit(command bool) (delay time.Duration, lose, killed bool) {
+func (w *Worker) admit(command bool) (delay time.Duration, lose, dead bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if command && w.loseNext > 0 {
@@ -93,7 +93,7 @@
 	return w.delay, lose, w.dead
 }
 
-// LoseNextAnswers makes the next n command calls take effect without an answer.
+// LoseAnswers makes the next n command calls take effect without an answer.
 func (w *Worker) LoseAnswers(n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
