--- a/pkg/load/experiment.go
+++ b/pkg/load/experiment.go
@@ -43,7 +43,7 @@
 	End   tomlfile.Duration `toml:"end"`
 }
 
-// ReadExperiment reads and validates an experiment. An error names the file, line and key of each problem.
+// ReadExperiment reads and validates an experiment. An error names the file, line and key.
 func ReadExperiment(path string) (Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/pkg/load/result.go
+++ b/pkg/load/result.go
@@ -25,7 +25,7 @@
 type outcome struct {
 	name   string        // such as "ok", "batch_done", "connection_lost", or the name of a problem
 	took   time.Duration // since the scheduled time; 0 unless the call succeeded or the batch request ended
-	waited time.Duration // latency without the work duration
+	waited time.Duration // took without the work duration
 	at     time.Duration // since the start of the run; 0 if took is 0
 	late   bool          // a batch request ended after its window
 }
