--- a/bench/figures_test.go
+++ b/bench/figures_test.go
@@ -1,6 +1,6 @@
-// Package bench measures foldarch and writes bench/figures.txt, one "name value unit" a
-// line. Figures of speed are ratios within one run where they can be; baselines stand in
-// these test files.
+// Package bench measures foldarch and writes the figures to bench/figures.txt, one "name value unit" per
+// line. Where possible, speed is given as the ratio to a baseline of the same run. The baselines are
+// implemented in these files.
 package bench
 
 import (
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// figures collects what the benchmarks of one run found.
+// figures holds the lines measured in this run, by name.
 var figures = map[string]string{}
 
 func figure(b *testing.B, name string, value float64, unit string) {
@@ -30,7 +30,7 @@
 	os.Exit(code)
 }
 
-// writeFigures replaces the lines that were measured and keeps the others.
+// writeFigures writes figures.txt. It replaces the lines that were measured in this run and keeps the others.
 func writeFigures() error {
 	if len(figures) == 0 {
 		return nil
@@ -53,7 +53,7 @@
 	return os.WriteFile("figures.txt", []byte(strings.Join(lines, "\n")+"\n"), 0o600)
 }
 
-// quantile returns a quantile of values, which it sorts.
+// quantile sorts the values and returns their q-quantile.
 func quantile(values []float64, q float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/bench/placement_test.go
+++ b/bench/placement_test.go
@@ -38,7 +38,7 @@
 	return p
 }
 
-// mix draws tasks of one of three shapes of load.
+// taskMix draws the resources of a random task from one kind of load.
 type mix func(rng *rand.Rand) cell.Resources
 
 var mixes = map[string]mix{
@@ -66,7 +66,7 @@
 	}
 }
 
-// fillTo places tasks until n run, and returns the placer and the ids that run.
+// newFilledPlacer places tasks until n run and returns the placer and the IDs of the running tasks.
 func fillTo(list []placement.Worker, n int, rng *rand.Rand) (*placement.Placer, []string) {
 	p := newPlacer(list)
 	var running []string
@@ -80,23 +80,24 @@
 	return p, running
 }
 
-// churn ends a running task and places another, and returns the time of each placement.
+// churn ends a random running task and places a new one, n times. It returns the duration of each placement
+// in microseconds.
 func churn(p *placement.Placer, running []string, n int, policy settings.Policy, rng *rand.Rand) []float64 {
 	times := make([]float64, 0, n)
 	for i := range n {
-		at := rng.IntN(len(running))
-		p.End(running[at])
+		ended := rng.IntN(len(running))
+		p.End(running[ended])
 		t := task(1000000+i, cell.Resources{CPUMillis: 750, MemoryMB: 2048}, policy)
 		begin := time.Now()
 		p.Submit(t, clock.Time(i))
 		p.Next(clock.Time(i), 1)
 		times = append(times, float64(time.Since(begin).Nanoseconds())/1000)
-		running[at] = t.ID
+		running[ended] = t.ID
 	}
 	return times
 }
 
-// BenchmarkPlace measures one placement among 1,100 workers with 4,100 tasks.
+// BenchmarkPlace measures single placements among 1,100 workers with 4,100 tasks.
 func BenchmarkPlace(b *testing.B) {
 	for b.Loop() {
 		rng := rand.New(rand.NewPCG(3, 3))
@@ -122,8 +123,9 @@
 	}
 }
 
-// packed is the part of the fractional bound that was placed before the first refusal:
-// with a bound on each kind of resource, the tighter one counts.
+// packedShare places tasks until one does not fit and returns the used share of the total resources. Of the
+// shares of CPU and memory the larger one counts, since no placement could exceed that of the scarcer
+// resource.
 func packed(m mix, place func(need cell.Resources) bool, total cell.Resources, seed uint64) float64 {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	var used cell.Resources
@@ -137,10 +139,10 @@
 	return math.Max(float64(used.CPUMillis)/float64(total.CPUMillis), float64(used.MemoryMB)/float64(total.MemoryMB))
 }
 
-// scan is a baseline that looks at every worker.
+// scanPlacer is a baseline that checks every worker for each task.
 type scan struct {
 	free   []cell.Resources
-	better func(a, b cell.Resources) bool // nil takes the first
+	better func(a, b cell.Resources) bool // nil means the first worker that fits
 }
 
 func newScan(n int, better func(a, b cell.Resources) bool) *scan {
@@ -176,7 +178,7 @@
 	return a.DominantShare(workerSize) < b.DominantShare(workerSize)
 }
 
-// BenchmarkPacking fills 110 workers with three mixes until the first refusal.
+// BenchmarkPacking fills 110 workers with tasks of each mix until one does not fit.
 func BenchmarkPacking(b *testing.B) {
 	const n = 110
 	total := cell.Resources{CPUMillis: workerSize.CPUMillis * n, MemoryMB: workerSize.MemoryMB * n}
@@ -201,8 +203,8 @@
 	}
 }
 
-// BenchmarkFairness lets 150 teams with unlike needs ask for more than there is, and
-// compares what each has with the mean.
+// BenchmarkFairness submits tasks of 150 teams with different needs, more than fit in total, and compares the
+// largest dominant share of a team with the smallest.
 func BenchmarkFairness(b *testing.B) {
 	for b.Loop() {
 		const teams, n = 150, 110
--- a/bench/routing_test.go
+++ b/bench/routing_test.go
@@ -25,7 +25,8 @@
 	return r
 }
 
-// BenchmarkRoute measures one decision with its release, at three quarters of the slots.
+// BenchmarkRoute measures one routing decision and the release of its slot while three quarters of the slots
+// are taken.
 func BenchmarkRoute(b *testing.B) {
 	r := newRouter(1000)
 	const inFlight = benchEndpoints * benchSlots * 3 / 4
@@ -42,7 +43,7 @@
 		i = (i + 1) % inFlight
 	}
 	figure(b, "route_allocs", testing.AllocsPerRun(1000, decide), "allocs")
-	// The benchmarks run once each, so the number of decisions is fixed here.
+	// Benchmarks run with -benchtime 1x, so the number of decisions is fixed here.
 	const n = 1 << 20
 	for b.Loop() {
 		begin := time.Now()
@@ -53,19 +54,20 @@
 	}
 }
 
-// arrival is one request of a simulated load.
+// arrival is a request of a simulated load.
 type arrival struct {
-	at      clock.Time // microseconds in these simulations
-	work    int64
+	at      clock.Time // in microseconds, as all times of the simulations
+	work    int64      // time that an endpoint needs, in microseconds
 	class   routing.Class
 	request routing.Request
 }
 
-// load draws arrivals at a part of the slots' capacity; an eighth are ticks.
-func load(seed uint64, n int, part float64) []*arrival {
+// newLoad returns n random arrivals whose work takes the given share of the capacity of all slots. One in
+// eight is a tick, which is urgent.
+func load(seed uint64, n int, utilization float64) []*arrival {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	const meanWork = 20000.0
-	gap := meanWork / (part * benchEndpoints * benchSlots)
+	gap := meanWork / (utilization * benchEndpoints * benchSlots)
 	var at float64
 	list := make([]*arrival, 0, n)
 	for range n {
@@ -79,7 +81,7 @@
 	return list
 }
 
-// ending is a request that ends at a time.
+// completion is the end of a request that an endpoint runs.
 type ending struct {
 	at clock.Time
 	a  *arrival
@@ -99,7 +101,7 @@
 	return x
 }
 
-// served is what came of a simulated load.
+// simulationResult is the result of a simulated load.
 type served struct {
 	waits   map[routing.Class][]float64
 	done    map[routing.Class]int
@@ -111,7 +113,7 @@
 	return &served{waits: map[routing.Class][]float64{}, done: map[routing.Class]int{}, refused: map[routing.Class]int{}}
 }
 
-// simulate runs a load through the router; limit is how long a request is of use.
+// simulate runs a load through the router. Requests expire after limit.
 func simulate(list []*arrival, queue int, limit clock.Time) *served {
 	r := newRouter(queue)
 	s := newServed()
@@ -150,7 +152,8 @@
 	return s
 }
 
-// ideal is one shared queue in the order of arrival, urgent first, before all slots.
+// simulateIdeal runs a load through one queue that all slots share: urgent requests first, then in order of
+// arrival.
 func ideal(list []*arrival) *served {
 	s := newServed()
 	var busy endings
@@ -183,11 +186,11 @@
 	return s
 }
 
-// partitioned sends each request to one endpoint's own queue, in turn or at random, the
-// baselines without knowledge of the slots.
+// simulatePartitioned runs a load through one queue per endpoint. The function pick chooses the endpoint of
+// each request. It is the baseline of routers that do not know which slots are free.
 func partitioned(list []*arrival, pick func(i int) int) *served {
 	s := newServed()
-	var free [benchEndpoints][]clock.Time // when each slot is free
+	var free [benchEndpoints][]clock.Time // the time from which each slot is free
 	for e := range free {
 		free[e] = make([]clock.Time, benchSlots)
 	}
@@ -206,35 +209,37 @@
 	return s
 }
 
-// BenchmarkWaiting compares the wait at 95% load with one ideal queue and with baselines.
+// BenchmarkWaiting compares the waiting time at 95% load with that of one ideal queue, for the router and for
+// baselines without knowledge of the slots.
 func BenchmarkWaiting(b *testing.B) {
 	for b.Loop() {
-		const n, part, noLimit = 400000, 0.95, 1 << 50
-		ours, best := simulate(load(1, n, part), n, noLimit), ideal(load(1, n, part))
-		turn := partitioned(load(1, n, part), func(i int) int { return i % benchEndpoints })
+		const n, utilization, noLimit = 400000, 0.95, 1 << 50
+		ours, best := simulate(load(1, n, utilization), n, noLimit), ideal(load(1, n, utilization))
+		roundRobin := partitioned(load(1, n, utilization), func(i int) int { return i % benchEndpoints })
 		rng := rand.New(rand.NewPCG(5, 5))
-		random := partitioned(load(1, n, part), func(int) int { return rng.IntN(benchEndpoints) })
-		// A wait of one microsecond more keeps ratios of waits near zero readable.
+		random := partitioned(load(1, n, utilization), func(int) int { return rng.IntN(benchEndpoints) })
+		// One microsecond is added to each wait, since the ratio of waits near zero would say little.
 		ratio := func(s *served, class routing.Class) float64 {
 			return (quantile(s.waits[class], 0.99) + 1) / (quantile(best.waits[class], 0.99) + 1)
 		}
 		figure(b, "tick_wait_p99_ratio", ratio(ours, routing.Urgent), "x_ideal")
 		figure(b, "recap_wait_p99_ratio", ratio(ours, routing.Normal), "x_ideal")
-		figure(b, "recap_wait_p99_ratio_round_robin", ratio(turn, routing.Normal), "x_ideal")
+		figure(b, "recap_wait_p99_ratio_round_robin", ratio(roundRobin, routing.Normal), "x_ideal")
 		figure(b, "recap_wait_p99_ratio_random", ratio(random, routing.Normal), "x_ideal")
 	}
 }
 
-// BenchmarkOverload compares useful answers at twice the capacity with those at capacity.
+// BenchmarkOverload compares the rate of requests completed within their deadline at a load of twice the
+// capacity with that at a load equal to the capacity.
 func BenchmarkOverload(b *testing.B) {
 	for b.Loop() {
 		const n, queue, limit = 200000, 256, 200000
-		at1, at2 := simulate(load(2, n, 1), queue, limit), simulate(load(2, 2*n, 2), queue, limit)
+		atCapacity, atTwice := simulate(load(2, n, 1), queue, limit), simulate(load(2, 2*n, 2), queue, limit)
 		rate := func(s *served) float64 {
 			return float64(s.done[routing.Normal]+s.done[routing.Urgent]) / float64(s.lastEnd)
 		}
-		figure(b, "goodput_at_2x", rate(at2)/rate(at1), "x_capacity")
-		ticks := at2.done[routing.Urgent] + at2.refused[routing.Urgent]
-		figure(b, "tick_loss_at_2x", float64(at2.refused[routing.Urgent])/float64(ticks), "part")
+		figure(b, "goodput_at_2x", rate(atTwice)/rate(atCapacity), "x_capacity")
+		ticks := atTwice.done[routing.Urgent] + atTwice.refused[routing.Urgent]
+		figure(b, "tick_loss_at_2x", float64(atTwice.refused[routing.Urgent])/float64(ticks), "part")
 	}
 }
--- a/cmd/foldarch-entry/main.go
+++ b/cmd/foldarch-entry/main.go
@@ -1,5 +1,4 @@
-// Command foldarch-entry is the process of an entry host: the door for callers and the
-// owner of shards.
+// Command foldarch-entry is the server of an entry host. It accepts requests from callers and owns shards.
 package main
 
 import (
--- a/cmd/foldarch-load/main.go
+++ b/cmd/foldarch-load/main.go
@@ -1,4 +1,5 @@
-// Command foldarch-load drives a running cell and measures what callers see.
+// Command foldarch-load sends requests to a running cell and measures the latency and the results that
+// callers get.
 package main
 
 import (
--- a/cmd/foldarch-standin/main.go
+++ b/cmd/foldarch-standin/main.go
@@ -1,5 +1,5 @@
-// Command foldarch-standin runs stand-ins for the platform store, the workers and the
-// endpoints. It is for tests and for trying foldarch out.
+// Command foldarch-standin runs stand-ins for the platform store, the workers and the endpoints. It serves
+// tests and demonstrations.
 package main
 
 import (
--- a/cmd/foldarch/main.go
+++ b/cmd/foldarch/main.go
@@ -1,4 +1,4 @@
-// Command foldarch declares what a cell runs, and looks into it.
+// Command foldarch applies the declarations of what a cell runs and shows the state of the cell.
 package main
 
 import (
--- a/test/cases/cases_test.go
+++ b/test/cases/cases_test.go
@@ -1,7 +1,7 @@
-// Package cases runs the case folders: each has a file cmd with the words after foldarch,
-// its input, and the file expected with what the program prints. A new case needs no code;
-// `go test ./test/cases -update` writes what is expected anew, to be read before it is
-// committed.
+// Package cases runs the command foldarch on the cases in its subdirectories. The directory of a case
+// contains the file cmd with the arguments, the input files and the file expected with the output. A new case
+// needs no code: `go test ./test/cases -update` writes all files named expected. Review them before
+// committing them.
 package cases
 
 import (
@@ -18,7 +18,7 @@
 	. "github.com/onsi/gomega"
 )
 
-var update = flag.Bool("update", false, "write the expected outputs anew")
+var update = flag.Bool("update", false, "overwrite the expected outputs")
 
 func TestCases(t *testing.T) {
 	g := NewWithT(t)
@@ -38,21 +38,21 @@
 func runCase(t *testing.T, dir string) {
 	g := NewWithT(t)
 	t.Chdir(dir)
-	words, err := os.ReadFile("cmd")
+	args, err := os.ReadFile("cmd")
 	g.Expect(err).NotTo(HaveOccurred())
-	first := run(words)
+	first := run(args)
 	if *update {
 		g.Expect(os.WriteFile("expected", []byte(first), 0o600)).To(Succeed())
 	}
 	expected, err := os.ReadFile("expected")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(first).To(Equal(string(expected)))
-	g.Expect(run(words)).To(Equal(first), "a second run decides otherwise")
+	g.Expect(run(args)).To(Equal(first), "a second run prints another output")
 }
 
-func run(words []byte) string {
+func run(args []byte) string {
 	var out bytes.Buffer
-	if code := cli.Main(strings.Fields(string(words)), &out, &out); code != program.ExitOK {
+	if code := cli.Main(strings.Fields(string(args)), &out, &out); code != program.ExitOK {
 		out.WriteString("exit code " + string(rune('0'+code)) + "\n")
 	}
 	return out.String()
--- a/test/e2e/cell_test.go
+++ b/test/e2e/cell_test.go
@@ -22,13 +22,14 @@
 	. "github.com/onsi/gomega"
 )
 
-// generous bounds what is awaited: an event that does not come in this time never will.
+// maxWait is the timeout for awaited events. It is far longer than any of them takes, so that an event that
+// is missing by then will never occur.
 const generous = "40s"
 
-// client keeps no connections, so that each call finds its own way.
+// client opens a new connection for each call, so that no call depends on a connection of an earlier one.
 var client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 30 * time.Second}
 
-// cell is a cell of separate processes.
+// cell is a cell whose entry hosts and stand-ins are separate processes.
 type cell struct {
 	dir     string
 	store   netip.AddrPort
@@ -37,11 +38,11 @@
 	order   []string
 	farm    *process
 	decl    string
-	extra   string // further lines of the entries' settings
+	extra   string // further lines of the settings files of the entry hosts
 	relays  map[[2]string]*relay
 }
 
-// process is one program that runs.
+// process is a running program.
 type process struct {
 	id      string
 	cmd     *exec.Cmd
@@ -52,7 +53,7 @@
 	log     *logBuffer
 }
 
-// logBuffer keeps what a process prints.
+// logBuffer collects the output of a process.
 type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -70,16 +71,16 @@
 	return l.buf.String()
 }
 
-// Ports are taken from below the range that the kernel uses for outgoing connections, so
-// that none of those can take one between its choice and its use.
 const (
+	// firstPort and portRange give the range of ports that tests use. It lies below the range that the kernel
+	// uses for outgoing connections, so that none of those can take a port between its choice and its use.
 	firstPort = 15000
 	portRange = 15000
 )
 
 var nextPort = os.Getpid() * 101 % portRange
 
-// freePorts finds ports that nobody listens on.
+// freePorts returns addresses with ports that no process listens on.
 func freePorts(n int) []netip.AddrPort {
 	var ports []netip.AddrPort
 	for len(ports) < n {
@@ -95,7 +96,7 @@
 	return ports
 }
 
-// test is what a cell needs of a spec or a benchmark.
+// testContext is the part of ginkgo.GinkgoT, testing.T and testing.B that a cell needs.
 type test interface {
 	TempDir() string
 	Cleanup(func())
@@ -103,7 +104,8 @@
 	Logf(format string, args ...any)
 }
 
-// newCell starts the stand-ins and hosts entry hosts in each of the halls.
+// newCell starts the stand-ins, with the given number of workers per hall, and the given number of entry
+// hosts in each hall. The lines of extra are added to the settings files of the entry hosts.
 func newCell(t test, halls []string, workers, hosts int, extra string) *cell {
 	c := &cell{dir: t.TempDir(), entries: map[string]*process{}, extra: extra}
 	ports := freePorts(2)
@@ -144,7 +146,8 @@
 	Expect(os.WriteFile(p.config, []byte(text), 0o600)).To(Succeed())
 }
 
-// declare writes a tree with a scoring service, a tick service and two batch workloads.
+// declare writes declarations of a repeatable service (scoring), a service that is not repeatable (ticks) and
+// two batch workloads: fit, which is repeatable, and publish, which is not.
 func (c *cell) declare(halls []string) {
 	c.decl = filepath.Join(c.dir, "declarations")
 	text := ""
@@ -194,7 +197,7 @@
 	Expect(p.cmd.Process.Signal(s)).To(Succeed())
 }
 
-// kill ends a process at once and returns when it is gone.
+// kill sends SIGKILL to a process and waits until it has exited.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	Eventually(p.exited, generous).Should(BeClosed())
@@ -213,7 +216,7 @@
 	_ = c.farm.cmd.Process.Kill()
 }
 
-// foldarch runs the operators' program.
+// foldarch runs the command foldarch and returns its output.
 func (c *cell) foldarch(args ...string) (string, error) {
 	dir, err := programs()
 	if err != nil {
@@ -223,7 +226,7 @@
 	return string(out), err
 }
 
-// apply puts the declarations in force everywhere and waits for all endpoints.
+// apply applies the declarations and waits until all processes use them and all endpoints run.
 func (c *cell) apply() {
 	var last string
 	Eventually(func() error {
@@ -233,7 +236,7 @@
 	}, generous).Should(Succeed(), func() string { return last })
 }
 
-// ready waits until every hall has an owner with the given number of endpoints.
+// awaitEndpoints waits until the owner of every hall knows the given number of endpoints.
 func (c *cell) ready(endpoints int) {
 	for _, id := range c.order {
 		Eventually(func() (int, error) { return c.endpointsSeenBy(id) }, generous).Should(Equal(endpoints), id)
@@ -248,7 +251,7 @@
 	return api.ReadCellStatus(context.Background())
 }
 
-// endpointsSeenBy asks the owner that a process names for its endpoints.
+// endpointsSeenBy returns the number of endpoints of the owner that the given process names.
 func (c *cell) endpointsSeenBy(id string) (int, error) {
 	owner, err := c.ownerOf(id)
 	if err != nil {
@@ -261,7 +264,7 @@
 	return s.Shards[0].Endpoints, nil
 }
 
-// ownerOf is the owner of the hall of a process, as that process knows it.
+// ownerOf returns the owner of the hall of a process, according to that process.
 func (c *cell) ownerOf(id string) (string, error) {
 	s, err := c.status(id)
 	if err != nil {
@@ -273,7 +276,7 @@
 	return s.Shards[0].Owner, nil
 }
 
-// reply is what a caller got.
+// reply is the answer that a caller got.
 type reply struct {
 	status  int
 	body    string
@@ -315,7 +318,7 @@
 	return r
 }
 
-// batch sends a batch request, or asks for one when payload is empty and id is not.
+// submitBatch submits a batch request through one entry host.
 func (c *cell) batch(id, workload, key, payload string) (entryapi.BatchStatus, reply) {
 	text, err := json.Marshal(map[string]string{"workload": workload, "payload": payload})
 	Expect(err).NotTo(HaveOccurred())
@@ -342,7 +345,8 @@
 	return s, r
 }
 
-// batchState is for Eventually.
+// batchState returns a function for Eventually that returns the state of a batch request, or the error if
+// there is none.
 func (c *cell) batchState(id, batch string) func() string {
 	return func() string {
 		s, r := c.readBatch(id, batch, "tester")
@@ -353,7 +357,7 @@
 	}
 }
 
-// fault switches a fault of the stand-ins.
+// injectFault sets a fault of the stand-ins; a zero value ends it.
 func (c *cell) fault(what string, v any) {
 	text, err := json.Marshal(v)
 	Expect(err).NotTo(HaveOccurred())
@@ -363,7 +367,7 @@
 	Expect(resp.StatusCode).To(Equal(http.StatusOK))
 }
 
-// ledger reads from the stand-ins.
+// readRunLog decodes a part of the run log, or another document, of the stand-ins.
 func (c *cell) ledger(path string, v any) {
 	resp, err := client.Get(fmt.Sprintf("http://%s/%s", c.admin, path))
 	Expect(err).NotTo(HaveOccurred())
@@ -371,14 +375,14 @@
 	Expect(json.NewDecoder(resp.Body).Decode(v)).To(Succeed())
 }
 
-// expectPromisesKept asks the back ends' own record.
+// expectNoViolations checks that the stand-ins have detected no violation.
 func (c *cell) expectPromisesKept() {
 	var v standin.Verdict
 	c.ledger("verdict", &v)
 	Expect(v.Violations).To(BeEmpty(), strings.Join(v.Notes, "\n"))
 }
 
-// runsOf counts how often the back ends ran a key.
+// runCount returns how often workers and endpoints ran the request with a key.
 func (c *cell) runsOf(key string) int {
 	var runs []standin.Run
 	c.ledger("runs", &runs)
--- a/test/e2e/chaos_test.go
+++ b/test/e2e/chaos_test.go
@@ -20,21 +20,21 @@
 
 var (
 	chaosSeed    = flag.Uint64("chaos.seed", 1, "seed of the faults and the traffic")
-	chaosSeconds = flag.Int("chaos.seconds", 20, "how long faults are made")
+	chaosSeconds = flag.Int("chaos.seconds", 20, "how many seconds faults are injected")
 )
 
-// fault is one kind of failure: begin makes it and returns how to end it.
+// fault is a kind of fault. The function inject starts it and returns a function that ends it.
 type fault struct {
 	name  string
 	begin func(x *chaos) (end func())
 }
 
-// chaos makes faults on a running cell.
+// chaosRun injects random faults into a running cell.
 type chaos struct {
 	cell *cell
 	rng  *rand.Rand
-	busy map[string]bool // processes and workers with a fault on them
-	n    int
+	busy map[string]bool // entry hosts and workers that have a fault
+	n    int             // number of settings changes so far
 }
 
 var faults = []fault{
@@ -106,7 +106,8 @@
 
 func (x *chaos) free(id string) { delete(x.busy, id) }
 
-// entry picks an entry host without a fault; there always is one.
+// pickEntry reserves a random entry host without a fault. There always is one, since the other faults of a
+// round, two at most, occupy no more than four of the six hosts.
 func (x *chaos) entry() string {
 	return x.pick(x.cell.order)
 }
@@ -142,7 +143,8 @@
 	return func() { x.cell.cutHall(hall, fromStore, fromHalls, oneWay, false) }
 }
 
-// round makes one to three faults at once and ends them in another order.
+// injectRound injects one to three faults at a time and ends them in random order. It counts the faults by
+// name.
 func (x *chaos) round(names map[string]int) {
 	var ends []func()
 	for range 1 + x.rng.IntN(3) {
@@ -159,9 +161,9 @@
 	time.Sleep(time.Duration(x.rng.IntN(2500)) * time.Millisecond)
 }
 
-// TestChaos runs seeded mixes of faults against a cell under traffic, and then compares
-// what every caller was told with the back ends' own record. The verdict rests on that
-// record alone; how far the traffic came does not enter it.
+// TestChaos injects random faults, drawn from a seed, into a cell under traffic and then compares the answers
+// that callers got with the run log of the stand-ins. The test fails if a hall does not recover or if answers
+// and run log disagree. How many requests succeeded under the faults does not matter.
 func TestChaos(t *testing.T) {
 	RegisterTestingT(t)
 	c := newCell(t, halls, 3, 2, "[times]\ntask_lease = \"3s\"\nreport_every = \"500ms\"\n")
@@ -186,21 +188,21 @@
 }
 
 func printChaos(tr *traffic, names map[string]int, violations []string) {
-	told := map[string]int{}
+	outcomes := map[string]int{}
 	for _, s := range tr.sent {
 		switch {
 		case s.reply.ok() || s.reply.status == 202:
-			told["done or kept"]++
+			outcomes["done or kept"]++
 		case s.reply.err != nil:
-			told["connection lost"]++
+			outcomes["connection lost"]++
 		default:
-			told["ran: "+string(s.reply.problem.Ran)+", "+result.Code(s.reply.problem.Code).String()]++
+			outcomes["ran: "+string(s.reply.problem.Ran)+", "+result.Code(s.reply.problem.Code).String()]++
 		}
 	}
 	w := os.Stdout
 	fmt.Fprintf(w, "chaos seed %d, %d s: %d requests\n", *chaosSeed, *chaosSeconds, len(tr.sent))
-	for _, name := range slices.Sorted(maps.Keys(told)) {
-		fmt.Fprintf(w, "  %-40s %6d\n", name, told[name])
+	for _, name := range slices.Sorted(maps.Keys(outcomes)) {
+		fmt.Fprintf(w, "  %-40s %6d\n", name, outcomes[name])
 	}
 	fmt.Fprintln(w, "faults made:")
 	for _, name := range slices.Sorted(maps.Keys(names)) {
--- a/test/e2e/failure_test.go
+++ b/test/e2e/failure_test.go
@@ -31,7 +31,8 @@
 		}
 	})
 
-	// owner returns the owner of a hall once it has a successor.
+	// owner waits until the owner of a hall has a successor and returns the owner and the other host of the
+	// hall.
 	owner := func(hall string) (owner, other string) {
 		ginkgo.GinkgoHelper()
 		Eventually(func() string {
@@ -78,7 +79,7 @@
 	ginkgo.It("goes on in a store outage, also when an owner is killed in it", func() {
 		first, other := owner("north")
 		c.fault("store", standin.StoreFaults{Down: true})
-		time.Sleep(6 * time.Second) // longer than the store counts as up; no verdict rests on it
+		time.Sleep(6 * time.Second) // until hosts count the store as down; no check depends on it
 		for _, hall := range halls {
 			Eventually(t.okSince(hall, time.Now()), generous).Should(BeTrue())
 		}
@@ -98,7 +99,7 @@
 				return ""
 			}
 			return s.Shards[0].Owner
-		}, generous).Should(Equal(other), "the epoch taken in the outage is recorded")
+		}, generous).Should(Equal(other), "the epoch that began in the outage is recorded")
 		t.finish()
 	})
 
@@ -135,7 +136,7 @@
 		}
 		c.write("scoring.toml", "kind = \"service\"\nteam = \"t\"\ninstances = 6\n[rules]\nqueue = 32\n")
 		c.apply()
-		time.Sleep(3 * time.Second) // traffic under the faults; no verdict rests on it
+		time.Sleep(3 * time.Second) // requests are sent under the faults; no check depends on this time
 		c.fault("store", standin.StoreFaults{})
 		t.finish()
 	})
@@ -154,14 +155,14 @@
 			err error
 		}
 		results := make([]outcome, 4)
-		var race sync.WaitGroup
+		var operators sync.WaitGroup
 		for i := range results {
-			race.Go(func() {
+			operators.Go(func() {
 				out, err := c.foldarch("apply", "--store", c.store.String(), "--base", "1", "--author", "kim", c.variant(i))
 				results[i] = outcome{out, err}
 			})
 		}
-		race.Wait()
+		operators.Wait()
 		won := 0
 		for _, r := range results {
 			if r.err == nil {
@@ -198,13 +199,13 @@
 	})
 })
 
-// What a caller is told of whether its request ran.
+// Values of a refusal that tell whether the request ran.
 const (
 	ranNo      = entryapi.ProblemRanNo
 	ranUnknown = entryapi.ProblemRanUnknown
 )
 
-// variant is a copy of the declarations with a change of its own.
+// writeVariant writes a copy of the declarations with a different queue limit and returns its directory.
 func (c *cell) variant(i int) string {
 	dir := filepath.Join(c.dir, fmt.Sprintf("variant-%d", i))
 	Expect(os.CopyFS(dir, os.DirFS(c.decl))).To(Succeed())
--- a/test/e2e/figures_test.go
+++ b/test/e2e/figures_test.go
@@ -15,7 +15,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// figuresFile gets the measured lines, one "name value unit" a line; bench/run sets it.
+// figuresFileVariable names the environment variable with the path of the file that measured figures are
+// appended to, one "name value unit" per line. The script bench/run sets it.
 const figuresFile = "FOLDARCH_FIGURES"
 
 func figure(b *testing.B, name string, value float64, unit string) {
@@ -37,7 +38,7 @@
 	return quantile(values, 0.5)
 }
 
-// rssMB reads the resident memory of a process.
+// rssMB returns the resident memory of a process.
 func (p *process) rssMB() float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	Expect(err).NotTo(HaveOccurred())
@@ -50,7 +51,7 @@
 	return 0
 }
 
-// cpu reads the processor time that a process has used.
+// cpuTime returns the processor time that a process has used.
 func (p *process) cpu() time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	Expect(err).NotTo(HaveOccurred())
@@ -63,8 +64,8 @@
 	return time.Duration(user+system) * time.Second / ticksPerSecond
 }
 
-// BenchmarkEntryOverhead compares a call through an entry host, which owns the shard, with
-// the same call made directly to the endpoint, in turns.
+// BenchmarkEntryOverhead compares calls through an entry host that owns the shard with the same calls made
+// directly to an endpoint. The two kinds alternate.
 func BenchmarkEntryOverhead(b *testing.B) {
 	RegisterTestingT(b)
 	c := newCell(b, []string{"north"}, 2, 1, "")
@@ -73,14 +74,14 @@
 	e, err := standin.StartEndpoint(standin.EndpointConfig{ID: "direct", Slots: 100}, standin.NewLedger())
 	Expect(err).NotTo(HaveOccurred())
 	defer e.Stop("killed")
-	keep := &http.Client{Timeout: time.Minute}
+	keepAliveClient := &http.Client{Timeout: time.Minute}
 	timed := func(url string) float64 {
 		req, err := http.NewRequest(http.MethodPost, url, strings.NewReader("ms=1 x"))
 		Expect(err).NotTo(HaveOccurred())
 		req.Header.Set("Content-Type", "application/octet-stream")
 		req.Header.Set("Foldarch-Caller", "bench")
 		begin := time.Now()
-		resp, err := keep.Do(req)
+		resp, err := keepAliveClient.Do(req)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(resp.StatusCode).To(Equal(http.StatusOK))
 		_ = resp.Body.Close()
@@ -99,14 +100,14 @@
 	}
 }
 
-// BenchmarkAtRest measures what a cell asks of the store and its hosts when nothing happens.
+// BenchmarkAtRest measures the load of the store and the hosts by an idle cell.
 func BenchmarkAtRest(b *testing.B) {
 	RegisterTestingT(b)
 	c := newCell(b, halls, 4, 2, "")
 	c.apply()
 	c.ready(4)
 	for b.Loop() {
-		time.Sleep(3 * time.Second) // let the start settle
+		time.Sleep(3 * time.Second) // until the start is complete
 		const window = 10 * time.Second
 		var before, after standin.StoreCounts
 		c.ledger("counts", &before)
@@ -120,8 +121,8 @@
 	}
 }
 
-// BenchmarkFailover kills owners and measures until their shard places again, from
-// outside: until a batch request that is sent at once has run.
+// BenchmarkFailover kills and pauses owners and measures how long it takes until their shard places tasks
+// again: until a batch request that is submitted at once has run.
 func BenchmarkFailover(b *testing.B) {
 	RegisterTestingT(b)
 	c := newCell(b, halls, 4, 2, "")
@@ -160,7 +161,7 @@
 	}
 }
 
-// ownerWithSuccessor waits until the owner of a hall has a successor that is alive.
+// stableOwner waits until the owner of a hall has a successor and returns the owner.
 func (c *cell) ownerWithSuccessor(seenBy string) string {
 	var owner string
 	Eventually(func() string {
@@ -175,11 +176,11 @@
 		}
 		return o.Shards[0].Successor
 	}, generous).ShouldNot(BeEmpty())
-	time.Sleep(1500 * time.Millisecond) // several grants, as in a steady state
+	time.Sleep(1500 * time.Millisecond) // so that several grants follow, as in a steady state
 	return owner
 }
 
-// runBatch submits a batch request until it is kept, and waits until it has run.
+// runBatch submits a batch request until it is accepted and waits until it has run.
 func (c *cell) runBatch(via, key string) {
 	var id string
 	Eventually(func() int {
@@ -190,8 +191,8 @@
 	Eventually(c.batchState(via, id), generous, "5ms").Should(Equal("done"))
 }
 
-// BenchmarkConfigInForce measures from an accepted change until every process has it, with
-// one of the halls slow.
+// BenchmarkConfigInForce measures the time from the acceptance of a settings change until all processes use
+// it, with slow connections of one hall.
 func BenchmarkConfigInForce(b *testing.B) {
 	RegisterTestingT(b)
 	c := newCell(b, halls, 2, 2, "")
@@ -199,7 +200,7 @@
 	c.ready(4)
 	for ends, r := range c.relays {
 		if hallOf(ends[0]) == "south" {
-			r.slow(300 * time.Millisecond) // each way, to the store and the other halls
+			r.slow(300 * time.Millisecond) // in each direction, to the store and the other halls
 		}
 	}
 	for b.Loop() {
@@ -224,8 +225,8 @@
 	}
 }
 
-// BenchmarkOutage compares what the cell gets done in a store outage with what it got done
-// before, under the same load.
+// BenchmarkOutage compares the throughput of a cell during a store outage with that before it, under the same
+// load.
 func BenchmarkOutage(b *testing.B) {
 	RegisterTestingT(b)
 	c := newCell(b, halls, 4, 2, "")
@@ -255,9 +256,8 @@
 	}
 }
 
-// BenchmarkCutHall compares what a hall gets done of its own when it is cut off from the
-// store and the other halls with what it got done before: ticks with keys of the hall, and
-// repeatable requests without a key.
+// BenchmarkCutHall compares the throughput of a hall that is cut off from the store and the other halls with
+// that before, for two kinds of requests: ticks with keys of the hall, and repeatable requests without a key.
 func BenchmarkCutHall(b *testing.B) {
 	RegisterTestingT(b)
 	c := newCell(b, halls, 4, 2, "")
@@ -290,7 +290,7 @@
 	}
 }
 
-// callsDone counts the calls that were answered.
+// answeredCalls returns the number of calls that succeeded.
 func (t *traffic) callsDone() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -309,7 +309,7 @@
 	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
 }
 
-// BenchmarkProgramSize is for docs/design/one-program.md.
+// BenchmarkProgramSize measures the size of the executable foldarch-entry, for docs/design/one-program.md.
 func BenchmarkProgramSize(b *testing.B) {
 	RegisterTestingT(b)
 	dir, err := programs()
--- a/test/e2e/relay_test.go
+++ b/test/e2e/relay_test.go
@@ -11,9 +11,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// relay stands on the way from one process to another address. When it is cut, nothing
-// passes: what is under way stays there, and new connections are taken and not served, as
-// in a network that drops packets.
+// relay forwards the TCP connections of one process to another address. When it is cut, no data passes, as in
+// a network that drops packets: data already received is held back, and new connections are accepted but not
+// served.
 type relay struct {
 	listener net.Listener
 	target   netip.AddrPort
@@ -21,9 +21,9 @@
 	mu     sync.Mutex
 	open   *sync.Cond
 	isCut  bool
-	delay  time.Duration // of all that passes
-	taken  int           // connections so far
-	silent int           // the first connections, this many, carry nothing any more
+	delay  time.Duration // of each piece of data
+	taken  int           // number of connections so far
+	silent int           // connections up to this number carry no more data
 }
 
 func startRelay(t test, target netip.AddrPort) *relay {
@@ -53,7 +53,7 @@
 	r.waitOpen()
 	out, err := net.Dial("tcp", r.target.String())
 	if err != nil {
-		// The kernel has taken the connection already; a reset is the nearest to a refusal.
+		// The kernel has accepted the connection already, so it can only be reset in place of being refused.
 		_ = in.(*net.TCPConn).SetLinger(0)
 		_ = in.Close()
 		return
@@ -63,6 +63,7 @@
 	r.copy(in, out, number)
 }
 
+// nextNumber counts a new connection and returns its number.
 func (r *relay) take() (number int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -87,7 +88,7 @@
 	}
 }
 
-// waitOpen waits while the relay is cut, and returns its delay.
+// awaitUncut waits while the relay is cut and returns its delay.
 func (r *relay) waitOpen() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -103,7 +104,8 @@
 	r.delay = d
 }
 
-// silence has nothing pass any more over the connections that are open now, without a reset. New ones work.
+// silence drops all further data of the connections that are open now, without closing them. New connections
+// work.
 func (r *relay) silence() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -123,12 +125,11 @@
 	r.open.Broadcast()
 }
 
-// storeName is the store's name among the ends of relays.
+// storeName denotes the store in the keys of cell.relays.
 const storeName = "store"
 
-// startRelays puts a relay between each two processes of different halls, and between
-// each process and the store. Within a hall processes reach each other directly, since
-// they must see when a port is closed.
+// startRelays starts a relay from each entry host to the store and to each entry host of another hall. Within
+// a hall, hosts connect directly, since they must notice when a port is closed.
 func (c *cell) startRelays(t test) {
 	c.relays = map[[2]string]*relay{}
 	for _, from := range c.order {
@@ -145,6 +146,7 @@
 	return id[:len(id)-2]
 }
 
+// routeSettings returns the settings that make an entry host connect through its relays.
 func (c *cell) routesOf(from string) string {
 	text := "\n[routes]\n"
 	for ends, r := range c.relays {
@@ -160,8 +162,8 @@
 	return text
 }
 
-// cutHall cuts a hall off, or joins it again: from the store, from the other halls, or
-// from both; oneWay cuts only what goes out of the hall.
+// cutHall cuts a hall off, or connects it again: from the store, from the other halls, or from both. If
+// oneWay is set, only connections that the hall opens to the others are cut.
 func (c *cell) cutHall(hall string, store, others, oneWay, cut bool) {
 	for ends, r := range c.relays {
 		out := hallOf(ends[0]) == hall
--- a/test/e2e/silence_test.go
+++ b/test/e2e/silence_test.go
@@ -7,12 +7,13 @@
 	. "github.com/onsi/gomega"
 )
 
-// settingsBound is the time from the acceptance of settings until they have to be in force in all processes.
+// settingsApplyLimit is the longest time from the acceptance of settings until all processes use them.
 const settingsBound = 5 * time.Second
 
-// Symptom: accepted settings are in force nowhere for up to 21 s. Sequence: the open connections of all hosts to the store go silent, then an
-// operator applies settings. Cause: a watch waits for 20 s, and only its own time limit tells that its connection is silent;
-// other hosts, which would tell of newer settings, have not heard of them either.
+// Guards against accepted settings that no process uses for up to 21 s. The open connections of all hosts to
+// the store go silent, and then an operator applies settings. A watch waits for 20 s. If only its timeout
+// reveals that its connection is silent, no host learns of the settings before, since no other host knows of
+// them either.
 var _ = ginkgo.Describe("open connections to the store that go silent", func() {
 	ginkgo.It("hold up settings for a few seconds at most", func() {
 		c := newCell(ginkgo.GinkgoT(), []string{"north", "south"}, 3, 1, "")
--- a/test/e2e/slopes_test.go
+++ b/test/e2e/slopes_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// controlBytes reads how many bytes a process has exchanged for control.
+// controlBytes returns how many bytes of control traffic a process has exchanged.
 func (c *cell) controlBytes(id string) float64 {
 	resp, err := client.Get(fmt.Sprintf("http://%s/metrics", c.entries[id].callers))
 	Expect(err).NotTo(HaveOccurred())
@@ -20,19 +20,19 @@
 	return metrics["control.bytes"].Count
 }
 
-// size is one cell of a series.
+// cellSize is the size and load of a cell to measure.
 type size struct {
 	workers, tasks, hosts int
 	startsPerSecond       int
 }
 
-// sample is what control costs the owner of a hall.
+// ownerCost is what the owner of a hall uses for control.
 type sample struct {
 	cpuPct, rssMB, bytesPerSecond float64
 }
 
-// measure runs one hall of a size and reads what its owner spends. With ReportEvery at its
-// default, as in production.
+// measureOwner runs a cell of one hall and measures the cost of its owner. The interval of the workers'
+// reports is the default, as in production.
 func measure(b *testing.B, s size) sample {
 	c := newCell(b, []string{"north"}, s.workers, s.hosts, "")
 	c.write("scoring.toml", fmt.Sprintf("kind = \"service\"\nteam = \"t\"\ninstances = %d\n[rules.resources]\ncpu_millis = 100\nmemory_mb = 100\n", s.tasks))
@@ -52,7 +52,7 @@
 	}
 }
 
-// submitFor sends batch requests at a rate for a time.
+// submitAtRate submits batch requests at a constant rate per second during the window.
 func (c *cell) submitFor(window time.Duration, rate int, via string) {
 	if rate == 0 {
 		time.Sleep(window)
@@ -68,7 +68,7 @@
 	senders.Wait()
 }
 
-// slope is the least-squares slope and intercept of y over x.
+// fitLine returns the slope and the intercept of the least-squares line through the points.
 func slope(xs, ys []float64) (perUnit, base float64) {
 	var sx, sy, sxx, sxy float64
 	n := float64(len(xs))
@@ -79,8 +79,8 @@
 	return perUnit, (sy - perUnit*sx) / n
 }
 
-// BenchmarkSlopes measures what control costs the owner of a hall against workers, tasks,
-// hosts and starts a second, four sizes each; docs/CAPACITY.md reckons with the slopes.
+// BenchmarkSlopes measures how the control cost of a hall's owner grows with the number of workers, tasks,
+// hosts and starts per second, at four sizes each. docs/CAPACITY.md uses the slopes.
 func BenchmarkSlopes(b *testing.B) {
 	RegisterTestingT(b)
 	series := []struct {
@@ -93,20 +93,20 @@
 		{"hosts", []size{{5, 4, 2, 0}, {5, 4, 4, 0}, {5, 4, 6, 0}, {5, 4, 9, 0}}, func(s size) float64 { return float64(s.hosts) }},
 		{"starts", []size{{10, 4, 2, 0}, {10, 4, 2, 5}, {10, 4, 2, 10}, {10, 4, 2, 20}}, func(s size) float64 { return float64(s.startsPerSecond) }},
 	}
-	for _, line := range series {
-		b.Run(line.name, func(b *testing.B) {
+	for _, test := range series {
+		b.Run(test.name, func(b *testing.B) {
 			RegisterTestingT(b)
 			var xs, cpu, rss, bytes []float64
-			for _, s := range line.sizes {
+			for _, s := range test.sizes {
 				got := measure(b, s)
-				b.Logf("%s %v: cpu %.2f %% rss %.1f MB %.0f B/s", line.name, s, got.cpuPct, got.rssMB, got.bytesPerSecond)
-				xs = append(xs, line.x(s))
+				b.Logf("%s %v: cpu %.2f %% rss %.1f MB %.0f B/s", test.name, s, got.cpuPct, got.rssMB, got.bytesPerSecond)
+				xs = append(xs, test.x(s))
 				cpu, rss, bytes = append(cpu, got.cpuPct), append(rss, got.rssMB), append(bytes, got.bytesPerSecond)
 			}
 			for what, ys := range map[string][]float64{"control_cpu_pct": cpu, "control_rss_mb": rss, "control_bytes_per_s": bytes} {
 				perUnit, base := slope(xs, ys)
-				figure(b, fmt.Sprintf("%s_per_%s", what, line.name[:len(line.name)-1]), perUnit, "per_unit")
-				figure(b, fmt.Sprintf("%s_base_%s", what, line.name), base, "base")
+				figure(b, fmt.Sprintf("%s_per_%s", what, test.name[:len(test.name)-1]), perUnit, "per_unit")
+				figure(b, fmt.Sprintf("%s_base_%s", what, test.name), base, "base")
 			}
 		})
 	}
--- a/test/e2e/suite_test.go
+++ b/test/e2e/suite_test.go
@@ -1,5 +1,5 @@
-// Package e2e starts the programs as separate processes on the loopback and checks them
-// from outside: by callers' answers and by the ledger that the stand-ins keep.
+// Package e2e starts the programs as separate processes on the loopback address and checks them from outside:
+// by the answers that callers get and by the run log of the stand-ins.
 package e2e
 
 import (
@@ -26,7 +26,7 @@
 	os.Exit(code)
 }
 
-// programs builds the programs once and returns the directory they are in.
+// programs builds the programs once and returns the directory of the executables.
 var programs = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "foldarch-e2e")
 	if err != nil {
--- a/test/e2e/thin_path_test.go
+++ b/test/e2e/thin_path_test.go
@@ -35,13 +35,13 @@
 		Expect(c.call("east-a", "ticks", "goal-1", "another goal").problem.Code).To(Equal(int(result.KeyReused)))
 
 		ginkgo.By("running a batch request once")
-		kept, r := c.batch("north-a", "publish", "sheet-1", "ms=30 not-repeatable sheet")
+		batch, r := c.batch("north-a", "publish", "sheet-1", "ms=30 not-repeatable sheet")
 		Expect(r.status).To(Equal(http.StatusAccepted), r.body)
-		Eventually(c.batchState("south-b", kept.ID), generous).Should(Equal("done"))
+		Eventually(c.batchState("south-b", batch.ID), generous).Should(Equal("done"))
 		again, _ := c.batch("east-b", "publish", "sheet-1", "ms=30 not-repeatable sheet")
-		Expect(again.ID).To(Equal(kept.ID))
+		Expect(again.ID).To(Equal(batch.ID))
 		Expect(again.Result.Value).To(Equal("done: ms=30 not-repeatable sheet"))
-		_, r = c.readBatch("north-a", kept.ID, "somebody else")
+		_, r = c.readBatch("north-a", batch.ID, "somebody else")
 		Expect(r.problem.Code).To(Equal(int(result.NotYours)))
 
 		ginkgo.By("draining a worker: its instances move")
@@ -76,7 +76,8 @@
 		fromTheFuture := func() reply {
 			return c.call("north-a", "scoring", "k", "x", "Foldarch-Issued-At", "9999999999999")
 		}
-		// The key's home may be another hall, of whose owner a host hears a little after its own.
+		// The key's home may be another hall, whose owner a host learns of a little later than of its own
+		// hall's.
 		Eventually(func() int { return fromTheFuture().problem.Code }, generous).ShouldNot(Equal(int(result.NoOwner)))
 		expectCode(fromTheFuture(), result.IssuedInFuture)
 		expectCode(c.call("north-a", "scoring", "", "x", "Foldarch-Caller", ""), result.Malformed)
@@ -98,7 +99,7 @@
 	})
 })
 
-// tasksOn counts what a worker runs, by the ledger.
+// runningTasksOn returns the number of tasks that a worker runs according to the run log of the stand-ins.
 func (c *cell) tasksOn(worker string) int {
 	var runs []struct {
 		Where, Outcome string
--- a/test/e2e/traffic_test.go
+++ b/test/e2e/traffic_test.go
@@ -14,8 +14,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// traffic sends requests through all entry hosts until it is stopped, and remembers what
-// each caller was told.
+// traffic sends requests through all entry hosts until it is stopped and records the answers.
 type traffic struct {
 	cell *cell
 	stop chan struct{}
@@ -23,24 +22,24 @@
 
 	mu    sync.Mutex
 	sent  []sent
-	okAt  map[string]time.Time // by service and hall of the entry host
+	okAt  map[string]time.Time // time of the last success, by hall of the entry host
 	codes map[int]int
 
-	reverted []string // processes that showed a lower revision than before
+	reverted []string // descriptions of processes that went back to older settings
 }
 
-// sent is one request and what its caller was told.
+// sentRequest is a request and the answer to it.
 type sent struct {
 	key   string
 	body  string
 	tick  bool
-	batch string // id of a batch request that was kept
+	batch string // ID of a batch request
 	via   string
 	at    time.Time
 	reply reply
 }
 
-// startTraffic has each of n callers send one request after the other.
+// startTraffic starts n callers, each of which sends one request after the other.
 func (c *cell) startTraffic(n int, seed uint64) *traffic {
 	t := &traffic{cell: c, stop: make(chan struct{}), okAt: map[string]time.Time{}, codes: map[int]int{}}
 	for i := range n {
@@ -66,7 +65,7 @@
 	}
 }
 
-// sendCall sends a tick or a scoring request, and sometimes the same again elsewhere.
+// sendCall sends a tick or a scoring request and sometimes repeats it through a random entry host.
 func (t *traffic) sendCall(via, key string, rng *rand.Rand) {
 	service, tick := "scoring", rng.IntN(2) == 0
 	if tick {
@@ -107,7 +106,8 @@
 	}
 }
 
-// okSince says whether calls through a hall have succeeded since a moment.
+// succeededSince returns a function that reports whether a request through a hall has succeeded after the
+// given time.
 func (t *traffic) okSince(hall string, since time.Time) func() bool {
 	return func() bool {
 		t.mu.Lock()
@@ -116,12 +116,13 @@
 	}
 }
 
-// finish stops the traffic and judges it against the back ends' own record.
+// expectNoViolations stops the traffic and checks that violations finds none.
 func (t *traffic) finish() {
 	Expect(t.violations()).To(BeEmpty())
 }
 
-// violations stops the traffic and lists every broken promise.
+// violations stops the traffic, compares the answers with the run log of the stand-ins and describes each
+// violation.
 func (t *traffic) violations() []string {
 	close(t.stop)
 	t.done.Wait()
@@ -142,11 +143,12 @@
 	return append(found, v.Notes...)
 }
 
-// judge compares what one caller was told with how often the request ran.
+// checkRequest compares the answer to a request with the number of its runs. It describes the violation, if
+// any.
 func (t *traffic) judge(s sent, ran int) string {
 	switch {
 	case s.batch != "":
-		return "" // its end was awaited, and the ledger counts its runs
+		return "" // lostBatches awaits its end, and the stand-ins check the number of its runs
 	case s.reply.ok() && ran == 0:
 		return s.key + " was answered and never ran"
 	case s.reply.ok() && !strings.HasSuffix(s.reply.body, s.body):
@@ -159,7 +161,8 @@
 	return ""
 }
 
-// answeredOtherwise says that a repeat of the key was not refused, so that it may have run.
+// mayHaveRun reports whether a request with the key, such as a repeat, got an answer other than that it did
+// not run.
 func (t *traffic) answeredOtherwise(key string) bool {
 	for _, s := range t.sent {
 		if s.key == key && s.reply.problem.Ran != ranNo {
@@ -169,8 +172,8 @@
 	return false
 }
 
-// watchRevisions looks whether a process, also one that was replaced, ever has settings
-// in force that are older than those it had. With none in force it serves nobody.
+// watchRevisions records processes that use older settings than before, also after a restart. It ignores
+// processes without settings, since they serve no requests.
 func (t *traffic) watchRevisions() {
 	highest := map[string]int64{}
 	for {
@@ -192,8 +195,7 @@
 	}
 }
 
-// batchesLost waits for the end of every batch request that was acknowledged, and lists
-// those that have none.
+// lostBatches waits for the end of every accepted batch request and describes those that do not end in time.
 func (t *traffic) batchesLost() []string {
 	var lost []string
 	deadline := time.Now().Add(batchesWait)
@@ -212,8 +214,8 @@
 	return lost
 }
 
-// The end of a batch request is awaited this long after the last failure.
 const (
+	// maxBatchWait is how long lostBatches waits in total, from the end of the traffic.
 	batchesWait = 60 * time.Second
 	pollPause   = 20 * time.Millisecond
 )
@@ -230,7 +232,7 @@
 	return false
 }
 
-// summary counts the answers by code.
+// summary returns the number of requests and of answers by result code.
 func (t *traffic) summary() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/test/platform/builds_test.go
+++ b/test/platform/builds_test.go
@@ -12,7 +12,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// buildOf returns the build that a host starts with. With -build.other, every second host runs that program.
+// initialBuild returns the path of the executable that a host starts with. With -build.other, every second
+// host runs that one.
 func buildOf(n int) string {
 	if *otherBuild != "" && n%2 == 1 {
 		return *otherBuild
@@ -20,7 +21,7 @@
 	return binary
 }
 
-// changeBuild restarts a host with the other build, or with the same one if -build.other is not set.
+// switchBuild restarts a host with the other build, or with the same one if -build.other is not set.
 func (c *cell) changeBuild(n int) {
 	c.term(n)
 	c.mu.Lock()
@@ -34,7 +35,7 @@
 	c.start(n)
 }
 
-// buildTroubles are the troubles that the soak draws in addition when -build.other is set.
+// buildFaults returns the faults that the soak injects in addition when -build.other is set.
 func buildTroubles() []trouble {
 	if *otherBuild == "" {
 		return nil
@@ -42,8 +43,9 @@
 	return []trouble{{"build changes", hostTrouble(func(c *cell, _ *rand.Rand, n int) { c.changeBuild(n) })}}
 }
 
-// TestRollingChangeOfBuildUnderLoad restarts the hosts one after the other, each with the other build and in the next round with its
-// first one again, the owner last in each round, while jobs run. With -build.other, each build has to own the pool at some time.
+// Restarts the hosts one after the other while jobs run, each with the other build and in the next round with
+// its initial one again, the owner last in each round. With -build.other, each build has to own the pool at
+// some time.
 func TestRollingChangeOfBuildUnderLoad(t *testing.T) {
 	const minRounds, maxRounds = 2, 6
 	c := newCell(t, 4, emulator.Options{Workers: 6, Advice: true})
--- a/test/platform/cell_test.go
+++ b/test/platform/cell_test.go
@@ -1,5 +1,5 @@
-// Package platform_test runs foldarch-entry as separate processes on an emulated platform and
-// injects faults from outside: signals to the processes, faults of the store and of workers.
+// Package platform_test runs foldarch-entry as separate processes on an emulated platform and injects faults
+// from outside: signals to the processes and faults of the network, the store and the workers.
 package platform_test
 
 import (
@@ -27,9 +27,9 @@
 
 var (
 	soakSeed    = flag.Uint64("soak.seed", 1, "first seed of the soak")
-	soakSeeds   = flag.Int("soak.seeds", 1, "how many seeds the soak plays")
-	soakSeconds = flag.Int("soak.seconds", 12, "how long each seed lasts")
-	otherBuild  = flag.String("build.other", "", "a foldarch-entry of another build, which every second host starts with")
+	soakSeeds   = flag.Int("soak.seeds", 1, "number of seeds that the soak runs")
+	soakSeconds = flag.Int("soak.seconds", 12, "duration of each seed in seconds")
+	otherBuild  = flag.String("build.other", "", "path of a foldarch-entry of another build, which every second host runs")
 )
 
 var binary string
@@ -51,16 +51,16 @@
 	os.Exit(code)
 }
 
-// process is one entry host.
+// process is the foldarch-entry process of one host.
 type process struct {
 	host   emulator.Host
-	binary string // the build that it runs
+	binary string // path of the executable
 	cmd    *exec.Cmd
 	log    *bytes.Buffer
 	done   chan struct{}
 }
 
-// cell is an emulated platform with entry hosts.
+// cell is an emulated platform with the entry hosts that run on it.
 type cell struct {
 	*WithT
 	t       *testing.T
@@ -71,13 +71,13 @@
 	mu    sync.Mutex
 	hosts []*process
 	logs  []*bytes.Buffer
-	taken map[int]bool // hosts that a trouble of the soak has taken
+	taken map[int]bool // hosts that a fault of the soak is being injected into
 
-	storeLinks  []*link // from each host to the store
-	workerLinks []*link // to each worker
+	storeLinks  []*link // one per host, to the store
+	workerLinks []*link // one per worker, shared by all hosts
 }
 
-// newLink puts a relay in front of a listener, for as long as the test runs.
+// newLink starts a link to the target address and closes it at the end of the test.
 func (c *cell) newLink(target string) *link {
 	k, err := newLink(target)
 	c.Expect(err).NotTo(HaveOccurred())
@@ -85,7 +85,7 @@
 	return k
 }
 
-// take reserves a host for one trouble at a time.
+// reserveHost reserves a host for one fault and reports false if another fault holds it.
 func (c *cell) take(n int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -102,7 +102,8 @@
 	delete(c.taken, n)
 }
 
-// newCell starts an emulated platform and hosts, and waits until all are ready.
+// newCell starts an emulated platform and the hosts and waits until all hosts are ready and one owns the
+// pool.
 func newCell(t *testing.T, hosts int, o emulator.Options) *cell {
 	t.Parallel()
 	c := &cell{WithT: NewWithT(t), t: t, dir: t.TempDir(), taken: map[int]bool{}}
@@ -116,7 +117,7 @@
 	c.p = p
 	t.Cleanup(p.Close)
 	p.PutConfig(1)
-	var doors []string
+	var frontends []string
 	for n := range hosts {
 		k := c.newLink(p.StoreAddress())
 		c.storeLinks = append(c.storeLinks, k)
@@ -124,9 +125,9 @@
 		c.Expect(err).NotTo(HaveOccurred())
 		c.hosts = append(c.hosts, &process{host: h, binary: buildOf(n)})
 		c.start(n)
-		doors = append(doors, h.Door)
+		frontends = append(frontends, h.Door)
 	}
-	c.callers = emulator.NewCallers(p, doors)
+	c.callers = emulator.NewCallers(p, frontends)
 	t.Cleanup(c.stopAll)
 	for n := range hosts {
 		c.awaitReady(n)
@@ -174,7 +175,7 @@
 	_ = c.hosts[n].cmd.Process.Signal(s)
 }
 
-// kill kills a host's process and waits for its end.
+// kill sends SIGKILL to the process of a host and waits until it has exited.
 func (c *cell) kill(n int) {
 	c.signal(n, syscall.SIGKILL)
 	c.mu.Lock()
@@ -183,13 +184,13 @@
 	<-done
 }
 
-// term stops a host's process as planned and waits for its end.
+// terminate sends SIGTERM to the process of a host and waits until it has exited.
 func (c *cell) term(n int) {
 	c.signal(n, syscall.SIGTERM)
 	c.mu.Lock()
 	done := c.hosts[n].done
 	c.mu.Unlock()
-	c.Eventually(done, "8s").Should(BeClosed(), "host %d ends within its grace", n)
+	c.Eventually(done, "8s").Should(BeClosed(), "host %d exits within its grace period", n)
 }
 
 func (c *cell) stopAll() {
@@ -201,15 +202,16 @@
 		return
 	}
 	path := filepath.Join(os.TempDir(), strings.ReplaceAll(c.t.Name(), "/", "_")+".log")
-	var all bytes.Buffer
+	var logs bytes.Buffer
 	for _, l := range c.logs {
-		all.Write(l.Bytes())
+		logs.Write(l.Bytes())
 	}
-	_ = os.WriteFile(path, all.Bytes(), 0o600)
+	_ = os.WriteFile(path, logs.Bytes(), 0o600)
 	c.t.Logf("logs of the hosts are in %s", path)
 }
 
-// owner is the index of the host that owns the pool by the store's record; -1 for none.
+// owner returns the index of the host that owns the pool according to the store's record, or -1 if there is
+// none.
 func (c *cell) owner() int {
 	var holder jobstore.Holder
 	if json.Unmarshal(c.p.Store.Value(jobstore.HolderKey), &holder) != nil {
@@ -223,10 +225,10 @@
 	return -1
 }
 
-// load hands in jobs at a rate until ctx ends.
+// startLoad submits jobs at a constant rate until ctx ends. The result is done when all calls have returned.
 func (c *cell) load(ctx context.Context, perSecond int, jobs ...jobKind) *sync.WaitGroup {
-	var all sync.WaitGroup
-	all.Go(func() {
+	var submissions sync.WaitGroup
+	submissions.Go(func() {
 		tick := time.NewTicker(time.Second / time.Duration(perSecond))
 		defer tick.Stop()
 		for n := 0; ; n++ {
@@ -236,13 +238,13 @@
 			case <-tick.C:
 			}
 			k := jobs[n%len(jobs)]
-			all.Go(func() { c.callers.Submit(context.Background(), k.spec, k.steps) })
+			submissions.Go(func() { c.callers.Submit(context.Background(), k.spec, k.steps) })
 		}
 	})
-	return &all
+	return &submissions
 }
 
-// jobKind is a kind of job to load the cell with.
+// jobKind is a kind of job that tests submit.
 type jobKind struct {
 	spec  string
 	steps []emulator.Step
@@ -258,7 +260,7 @@
 	gangJob   = jobKind{"ms=600 gang=4", []emulator.Step{{Count: 4, CPU: 1500, MemoryMB: 2000, Estimate: 600, Gang: true}}}
 )
 
-// finish waits until all accepted jobs have ended, and asks the ledger.
+// awaitJobs waits until all accepted jobs have ended and checks that the platform saw no violations.
 func (c *cell) finish(within time.Duration) emulator.Counts {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
--- a/test/platform/crash_test.go
+++ b/test/platform/crash_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// submit hands in a job that has to be accepted, and returns its first task.
+// submit submits a job, which has to be accepted, and returns the IDs of the job and of its first task.
 func (c *cell) submit(k jobKind) (id, task string) {
 	id, accepted := c.callers.Submit(context.Background(), k.spec, k.steps)
 	c.Expect(accepted).To(BeTrue())
@@ -20,8 +20,10 @@
 	return func() string { return c.callers.State(context.Background(), id) }
 }
 
-// Each owner is killed when a worker has crashed under the task, before it can have found that out, so that none sees two crashes. What the
-// store has of the starts has to suffice. The ledger counts the starts after the third crash, and jobs that are given up without a cause.
+// Guards against a task that is started without end because no owner sees more than one of the crashes it
+// causes: each owner is killed as soon as a worker has crashed while running the task, before the owner can
+// detect that. The starts recorded in the store have to suffice. The platform reports starts after the third
+// crash and jobs that are given up without a cause as violations.
 func TestOwnerIsKilledWithEachCrashUnderATask(t *testing.T) {
 	c := newCell(t, 3, emulator.Options{Workers: 8})
 	c.during(3*time.Second, func() {})
@@ -41,21 +43,22 @@
 
 func TestCrashingTasksBesideOthers(t *testing.T) {
 	c := newCell(t, 3, emulator.Options{Workers: 8, Advice: true})
-	var bad []string
+	var failing []string
 	c.during(6*time.Second, func() {
 		for _, k := range []jobKind{crashJob, crashJob, crashGang} {
 			id, _ := c.submit(k)
-			bad = append(bad, id)
+			failing = append(failing, id)
 			time.Sleep(300 * time.Millisecond)
 		}
 	})
-	for _, id := range bad {
+	for _, id := range failing {
 		c.Eventually(c.state(id), "40s", "100ms").Should(Equal("failed"))
 	}
 	c.finish(40 * time.Second)
 }
 
-// Workers shrink and grow while they are full; the ledger judges each start by the room that there is.
+// Changes the capacity of workers while they are full. The platform checks each start against the worker's
+// capacity.
 func TestWorkersThatShrinkAndGrow(t *testing.T) {
 	c := newCell(t, 3, emulator.Options{Workers: 4})
 	c.during(12*time.Second, func() {
--- a/test/platform/customers_test.go
+++ b/test/platform/customers_test.go
@@ -13,10 +13,11 @@
 	. "github.com/onsi/gomega"
 )
 
-// The keys of the customers in these tests, and a quota that binds.
 const (
+	// API keys of the customers in these tests.
 	northKey, northNext, southKey = "north-key-5f21", "north-key-77aa", "south-key-0c9d"
-	smallQuota                    = 3000
+	// smallQuota is a CPU quota in thousandths of a core, small enough to hold jobs back.
+	smallQuota = 3000
 )
 
 func twoCustomers() []emulator.Customer {
@@ -26,7 +27,7 @@
 	}
 }
 
-// ask sends a request with some values of the key's header to a host, and returns the status.
+// request sends a request with the given X-Api-Key headers to a host and returns the status of the answer.
 func (c *cell) ask(n int, method, path, body string, keys ...string) int {
 	r, err := http.NewRequestWithContext(c.t.Context(), method, "http://"+c.hosts[n].host.Door+path, strings.NewReader(body))
 	c.Expect(err).NotTo(HaveOccurred())
@@ -61,8 +62,8 @@
 		id := fmt.Sprintf("%016x", n+1)
 		path := emulator.Prefix + id
 		c.Expect(c.ask(0, http.MethodPost, path, job, test.keys...)).To(Equal(test.want), test.name)
-		kept := c.p.Store.Value("foldarch/jobs/"+id) != nil
-		c.Expect(kept).To(Equal(test.want == http.StatusOK), test.name)
+		stored := c.p.Store.Value("foldarch/jobs/"+id) != nil
+		c.Expect(stored).To(Equal(test.want == http.StatusOK), test.name)
 		c.Expect(c.ask(0, http.MethodGet, emulator.Prefix, "", test.keys...)).To(Equal(test.want), "pending, %s", test.name)
 	}
 	c.Expect(c.ask(0, http.MethodPost, emulator.Prefix+"00000000000000f1?key="+northKey, job)).To(Equal(http.StatusUnauthorized), "in the query")
@@ -78,7 +79,7 @@
 	for n := range c.hosts {
 		c.Expect(c.ask(n, http.MethodGet, emulator.Prefix+id, "", southKey)).To(Equal(http.StatusForbidden))
 		c.Expect(c.ask(n, http.MethodDelete, emulator.Prefix+id, "", southKey)).To(Equal(http.StatusForbidden))
-		c.Expect(c.ask(n, http.MethodPost, emulator.Prefix+id, `{"steps":[{"count":1}]}`, southKey)).To(Equal(http.StatusForbidden), "its id is taken")
+		c.Expect(c.ask(n, http.MethodPost, emulator.Prefix+id, `{"steps":[{"count":1}]}`, southKey)).To(Equal(http.StatusForbidden), "the ID belongs to another customer's job")
 		c.Expect(c.ask(n, http.MethodGet, emulator.Prefix+id, "", northKey)).To(Equal(http.StatusOK))
 	}
 	c.Eventually(func() string { return run("job", "--host", c.hosts[0].host.Figures, id) }, "5s", "50ms").Should(ContainSubstring("of customer north"))
@@ -87,23 +88,26 @@
 	c.p.PutCustomers(2, changed)
 	c.awaitKey(northKey, http.StatusUnauthorized)
 	c.awaitKey(northNext, http.StatusOK)
-	c.Expect(c.ask(0, http.MethodGet, emulator.Prefix+id, "", northNext)).To(Equal(http.StatusOK), "a new key serves the old jobs")
+	c.Expect(c.ask(0, http.MethodGet, emulator.Prefix+id, "", northNext)).To(Equal(http.StatusOK), "the new key gives access to jobs submitted with the old one")
 	c.Expect(c.callers.As(northNext).Cancel(c.t.Context(), id)).To(Equal(http.StatusOK))
-	c.Expect(south.Cancel(c.t.Context(), id)).To(Equal(http.StatusForbidden), "also when it has ended")
+	c.Expect(south.Cancel(c.t.Context(), id)).To(Equal(http.StatusForbidden), "also after the job has ended")
 	c.Expect(c.p.Ledger.Faults()).To(BeEmpty())
 }
 
-// awaitKey waits until all hosts answer calls with a key by a status.
+// awaitKeyStatus waits until all hosts answer calls that carry the key with the given status.
 func (c *cell) awaitKey(key string, status int) {
 	for n := range c.hosts {
 		c.Eventually(func() int { return c.ask(n, http.MethodGet, emulator.Prefix, "", key) }, configBound, "20ms").Should(Equal(status), "host %d", n)
 	}
 }
 
-// A host that may have missed a newer configuration can't deny a key, and goes on to serve the keys that it knows.
+// A host that may have missed a newer configuration must not reject an unknown key, but answer that it is
+// unavailable. It continues to serve the keys that it knows.
 func TestHostThatMayMissChangesDeniesNoKey(t *testing.T) {
 	c := newCell(t, 2, emulator.Options{Workers: 1, Customers: twoCustomers()})
-	c.awaitKey(northKey, http.StatusOK) // the owner's name is in the store before each host has heard of it, and only the owner can tell what is pending
+	// The owner's record is in the store before each host has learned of it, and only the owner knows what is
+	// pending.
+	c.awaitKey(northKey, http.StatusOK)
 	host := (c.owner() + 1) % len(c.hosts)
 	c.storeLinks[host].set(silenced)
 	c.Eventually(func() int { return c.ask(host, http.MethodGet, emulator.Prefix, "", northNext) }, "6s", "20ms").Should(Equal(http.StatusServiceUnavailable))
@@ -113,7 +117,8 @@
 	c.awaitKey(northNext, http.StatusUnauthorized)
 }
 
-// Jobs of a customer with a quota wait for each other, also over a change of the owner; another customer's go on. The ledger judges.
+// Jobs of a customer with a quota wait for each other, also when the owner changes, while another customer's
+// jobs continue. The platform checks the quota.
 func TestQuotaHoldsOverAChangeOfTheOwner(t *testing.T) {
 	c := newCell(t, 3, emulator.Options{Workers: 3, Customers: twoCustomers()})
 	north, south := c.callers.As(northKey), c.callers.As(southKey)
@@ -134,7 +139,7 @@
 	c.Expect(c.p.Ledger.Ends("done")).To(BeNumerically(">=", 24))
 }
 
-// A step that never fits its customer's quota is refused at once.
+// A job with a step that can never fit its customer's quota is refused at once.
 func TestJobThatNeverFitsItsQuotaIsRefused(t *testing.T) {
 	c := newCell(t, 1, emulator.Options{Workers: 1, Customers: twoCustomers()})
 	const gang = `{"steps":[{"count":4,"cpu":1000,"memMb":10,"gang":true}]}`
@@ -142,7 +147,7 @@
 	c.Expect(c.ask(0, http.MethodPost, emulator.Prefix+"00000000000000a2", gang, southKey)).To(Equal(http.StatusOK))
 }
 
-// No key stands in what hosts log, tell operators or write to the store.
+// API keys must not appear in what hosts log, show operators or write to the store.
 func TestKeysStandNowhere(t *testing.T) {
 	faulty := append(twoCustomers(), emulator.Customer{Name: "west", Keys: []string{northKey, ""}})
 	c := newCell(t, 2, emulator.Options{Workers: 1, Customers: faulty})
@@ -154,9 +159,9 @@
 	for n := range c.hosts {
 		res, err := http.Get("http://" + c.hosts[n].host.Figures + "/metrics")
 		c.Expect(err).NotTo(HaveOccurred())
-		figures, _ := io.ReadAll(res.Body)
+		metrics, _ := io.ReadAll(res.Body)
 		_ = res.Body.Close()
-		text += string(figures)
+		text += string(metrics)
 	}
 	c.stopAll()
 	for _, log := range c.logs {
--- a/test/platform/cut_hall_test.go
+++ b/test/platform/cut_hall_test.go
@@ -11,27 +11,27 @@
 	. "github.com/onsi/gomega"
 )
 
-// handIn hands a job in at one host and returns the status and how long the answer took.
+// submitAt submits a job to one host and returns the status of the answer and how long it took.
 func (c *cell) handIn(n int, id string) (status int, took time.Duration) {
 	r, err := http.NewRequest(http.MethodPost, "http://"+c.hosts[n].host.Door+emulator.Prefix+id, strings.NewReader(`{"spec":"ms=10","steps":[{"count":1}]}`))
 	c.Expect(err).NotTo(HaveOccurred())
 	r.Host = emulator.QueueHost
 	r.Header.Set("X-Deadline-Ms", "3000")
-	began := time.Now()
+	start := time.Now()
 	res, err := http.DefaultClient.Do(r)
 	c.Expect(err).NotTo(HaveOccurred())
 	_ = res.Body.Close()
-	return res.StatusCode, time.Since(began)
+	return res.StatusCode, time.Since(start)
 }
 
-// awaitLinks waits until all hosts are in touch with the owner.
+// awaitOwnerLinks waits until all hosts are connected to the owner.
 func (c *cell) awaitLinks() {
 	for _, p := range c.hosts {
-		c.Eventually(func() string { _, figures := get("http://" + p.host.Figures + "/metrics"); return figures }, "3s", "20ms").Should(ContainSubstring("owner.linked 1"))
+		c.Eventually(func() string { _, metrics := get("http://" + p.host.Figures + "/metrics"); return metrics }, "3s", "20ms").Should(ContainSubstring("owner.linked 1"))
 	}
 }
 
-// inHall lists the hosts of a hall by turns, and the others.
+// hostsOfHall returns the hosts inside and outside a hall. Hosts are assigned to halls round robin.
 func (c *cell) inHall(hall, halls int) (inside, outside []int) {
 	for n := range c.hosts {
 		if n%halls == hall {
@@ -43,8 +43,9 @@
 	return inside, outside
 }
 
-// Guards against hosts of a hall that is cut off with the owner and that count as connected since they hear it: they reported ready and refused each attempt,
-// while callers would have been served in other halls. The hosts of the other hall are frozen, which is what the hall that is cut off sees of them.
+// Guards against hosts that count as connected because the owner is cut off together with them, in their own
+// hall: they reported ready and refused each job, while hosts of other halls would have accepted it. The
+// hosts of the other hall are frozen, since to the hall that is cut off they look unreachable.
 func TestHallThatIsCutOffWithTheOwnerIsNotReady(t *testing.T) {
 	const halls = 2
 	c := newCell(t, 4, emulator.Options{Workers: 2, HostHalls: halls})
@@ -72,18 +73,19 @@
 	for n := range c.hosts {
 		c.awaitReady(n)
 	}
-	c.Expect(c.p.Store.Values("foldarch/jobs/5c0e7a21d94b36f8")).To(BeEmpty(), "it was refused, so it never runs")
+	c.Expect(c.p.Store.Values("foldarch/jobs/5c0e7a21d94b36f8")).To(BeEmpty(), "a refused job is not stored")
 	c.finish(10 * time.Second)
 }
 
-// Guards against hosts that are taken out while the store is unavailable to all: nobody could do better, and each is back a second late.
+// Guards against hosts that report not ready while the store is unavailable to all: no other host could serve
+// callers instead, and each host would be ready again a second late.
 func TestHostsStayReadyWhileTheStoreIsUnavailableToAll(t *testing.T) {
 	c := newCell(t, 4, emulator.Options{Workers: 2, HostHalls: 2})
 	c.p.Store.SetMode(emulator.StoreSilent)
-	began := time.Now()
-	for time.Since(began) < 4*time.Second {
+	start := time.Now()
+	for time.Since(start) < 4*time.Second {
 		for n := range c.hosts {
-			c.Expect(c.ready(n)).To(BeTrue(), "host %d after %v", n, time.Since(began))
+			c.Expect(c.ready(n)).To(BeTrue(), "host %d after %v", n, time.Since(start))
 		}
 	}
 	for n := range c.hosts {
--- a/test/platform/evacuation_test.go
+++ b/test/platform/evacuation_test.go
@@ -8,8 +8,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// A hall is evacuated; the owner is killed, and the next one too; a second hall follows and the first is taken back while the store is
-// away for the hosts. The ledger judges each start by its hall.
+// Evacuates a hall and kills two owners in turn, then evacuates a second hall and withdraws the first
+// evacuation while the store rejects the hosts' calls. The platform checks the hall of each start.
 func TestEvacuationAcrossTakeovers(t *testing.T) {
 	c := newCell(t, 3, emulator.Options{Workers: 6, Halls: 3})
 	c.during(14*time.Second, func() {
@@ -30,6 +30,6 @@
 	})
 	before := c.p.Ledger.StartsIn(emulator.Hall(0))
 	c.during(3*time.Second, func() {})
-	c.Expect(c.p.Ledger.StartsIn(emulator.Hall(0))).To(BeNumerically(">", before), "it was taken back")
+	c.Expect(c.p.Ledger.StartsIn(emulator.Hall(0))).To(BeNumerically(">", before), "tasks start in the hall again after the evacuation was withdrawn")
 	c.finish(40 * time.Second)
 }
--- a/test/platform/example_test.go
+++ b/test/platform/example_test.go
@@ -8,7 +8,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// What `make run` shows: jobs on an emulated platform outlive the host that owns the pool.
+// Runs the example of `make run`, in which jobs on an emulated platform continue after the host that owns the
+// pool dies.
 func TestExampleOfJobs(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
--- a/test/platform/faults_test.go
+++ b/test/platform/faults_test.go
@@ -13,14 +13,14 @@
 	. "github.com/onsi/gomega"
 )
 
-// during loads a cell for a time and makes trouble meanwhile.
-func (c *cell) during(load time.Duration, trouble func()) {
-	ctx, cancel := context.WithTimeout(context.Background(), load)
+// runUnderLoad submits jobs for the given time and calls inject meanwhile. It returns when both have ended.
+func (c *cell) during(span time.Duration, inject func()) {
+	ctx, cancel := context.WithTimeout(context.Background(), span)
 	defer cancel()
-	all := c.load(ctx, 25, quickJob, chainJob, quickJob, gangJob)
-	trouble()
+	submissions := c.load(ctx, 25, quickJob, chainJob, quickJob, gangJob)
+	inject()
 	<-ctx.Done()
-	all.Wait()
+	submissions.Wait()
 }
 
 func TestCalm(t *testing.T) {
@@ -86,10 +86,10 @@
 				c.p.Store.SetMode(mode)
 				time.Sleep(3 * time.Second)
 				c.p.Store.SetMode(emulator.StoreUp)
-				c.Expect(c.owner()).To(Equal(owner), "nothing is gained by another owner")
+				c.Expect(c.owner()).To(Equal(owner), "the owner keeps the pool through an outage that affects all hosts")
 			})
 			c.finish(20 * time.Second)
-			c.Expect(c.p.Ledger.Ends("lapsed")).To(BeZero(), "work runs on through the outage")
+			c.Expect(c.p.Ledger.Ends("lapsed")).To(BeZero(), "tasks continue through the outage")
 		})
 	}
 }
@@ -183,11 +183,11 @@
 	c := newCell(t, 3, emulator.Options{Workers: 6})
 	id, accepted := c.callers.Submit(context.Background(), quickJob.spec, quickJob.steps)
 	c.Expect(accepted).To(BeTrue())
-	var all sync.WaitGroup
+	var calls sync.WaitGroup
 	for range 8 {
-		all.Go(func() { c.callers.Again(context.Background(), id) })
+		calls.Go(func() { c.callers.Again(context.Background(), id) })
 	}
-	all.Wait()
+	calls.Wait()
 	c.finish(10 * time.Second)
 	c.Expect(c.p.Ledger.Ends("done")).To(Equal(2))
 }
@@ -206,9 +206,9 @@
 
 func TestPendingCountsJobsThatHaveNotBegun(t *testing.T) {
 	c := newCell(t, 3, emulator.Options{Workers: 1})
-	whole := []emulator.Step{{Count: 1, CPU: emulator.CPU, MemoryMB: 1000, Estimate: 60000}}
+	wholeWorker := []emulator.Step{{Count: 1, CPU: emulator.CPU, MemoryMB: 1000, Estimate: 60000}}
 	for range 4 {
-		_, accepted := c.callers.Submit(context.Background(), "ms=60000", whole)
+		_, accepted := c.callers.Submit(context.Background(), "ms=60000", wholeWorker)
 		c.Expect(accepted).To(BeTrue())
 	}
 	c.Eventually(func() int {
@@ -223,7 +223,7 @@
 	c.p.PutEmptyConfig(2)
 	status := func() int { return c.callers.Probe(context.Background()) }
 	c.Eventually(status, "2s", "20ms").Should(Equal(http.StatusNotFound))
-	c.p.PutConfig(1) // an older version never comes back in force
+	c.p.PutConfig(1) // an older version is never applied again
 	c.Consistently(status, "1500ms", "50ms").Should(Equal(http.StatusNotFound))
 	c.p.PutConfig(3)
 	c.Eventually(status, "2s", "20ms").Should(Equal(http.StatusOK))
@@ -238,9 +238,9 @@
 		time.Sleep(time.Second)
 		c.kill(c.owner())
 		c.Eventually(c.p.WaveState, "25s", "50ms").Should(Equal("completed"))
-		had, most := c.p.Upkeep()
-		c.Expect(had).To(Equal(3))
-		c.Expect(most).To(Equal(1))
+		serviced, maxAtOnce := c.p.Upkeep()
+		c.Expect(serviced).To(Equal(3))
+		c.Expect(maxAtOnce).To(Equal(1))
 	})
 	c.finish(20 * time.Second)
 }
@@ -253,9 +253,9 @@
 	c.Eventually(state, "5s", "50ms").Should(Equal("running"))
 	for n := range c.hosts {
 		host := c.hosts[n].host.Figures
-		status, figures := get("http://" + host + "/metrics")
+		status, metrics := get("http://" + host + "/metrics")
 		c.Expect(status).To(Equal(http.StatusOK))
-		c.Expect(figures).To(ContainSubstring("jobs.accept.p99_ms"))
+		c.Expect(metrics).To(ContainSubstring("jobs.accept.p99_ms"))
 		status, answer := get("http://" + host + "/jobs/" + id)
 		if n != c.owner() {
 			c.Expect(status).To(Equal(http.StatusMisdirectedRequest))
@@ -263,7 +263,7 @@
 		}
 		c.Expect(status).To(Equal(http.StatusOK))
 		c.Expect(answer).To(ContainSubstring(`"state":"running"`))
-		c.Expect(figures).To(ContainSubstring("pool.run_ordered 2"))
+		c.Expect(metrics).To(ContainSubstring("pool.run_ordered 2"))
 	}
 }
 
--- a/test/platform/gang_quota_test.go
+++ b/test/platform/gang_quota_test.go
@@ -9,8 +9,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// A gang that waits for its customer's quota is late by the time that a new owner has taken over. It needs most of the
-// quota, of which smaller jobs that are in time use a part.
+// Guards against a gang that never starts because smaller jobs keep using the quota it waits for. The gang
+// needs most of its customer's quota and is overdue when a new owner takes over. Smaller jobs that are on
+// time use part of the quota.
 func TestGangStandsStillBehindSmallerJobsAfterANewOwner(t *testing.T) {
 	const quota = 10_000
 	c := newCell(t, 3, emulator.Options{Workers: 9, Advice: true, Customers: []emulator.Customer{
--- a/test/platform/jobapi_test.go
+++ b/test/platform/jobapi_test.go
@@ -22,19 +22,19 @@
 	apiJob   = jobsapi.JobID("5c0e7a21d94b36f8")
 )
 
-// jobsClient returns a client of the API of jobs at a host.
+// jobsClient returns a client of foldarch's own job API at a host.
 func (c *cell) jobsClient(n int) *jobsapi.Client {
 	client, err := jobsapi.NewClient("http://" + c.hosts[n].host.Figures)
 	c.Expect(err).NotTo(HaveOccurred())
 	return client
 }
 
-// expectJob tells the ledger of a job that is handed in through foldarch's own API.
+// recordJob registers a job that is submitted through foldarch's own API with the checker of the platform.
 func (c *cell) expectJob(spec string, count int) {
 	c.p.Ledger.HandedIn(string(apiJob), spec, []emulator.Step{{Count: count, CPU: 1000, MemoryMB: 1000, Estimate: 150}})
 }
 
-// oneStep is a job of one step.
+// oneStepJob returns a request for a job of one step.
 func oneStep(spec string, count int) *jobsapi.JobRequest {
 	return &jobsapi.JobRequest{
 		Spec: jobsapi.NewOptString(spec),
@@ -48,7 +48,7 @@
 	c := newCell(t, 2, emulator.Options{Workers: 2})
 	ctx := context.Background()
 	c.expectJob("ms=150", 3)
-	for n := range c.hosts { // the second time changes nothing
+	for n := range c.hosts { // the second submission changes nothing
 		status, err := c.jobsClient(n).SubmitJob(ctx, oneStep("ms=150", 3), jobsapi.SubmitJobParams{Queue: apiQueue, ID: apiJob})
 		c.Expect(err).NotTo(HaveOccurred())
 		c.Expect(status.ID).To(Equal(apiJob))
@@ -96,9 +96,9 @@
 	}
 	_, err := client.SubmitJob(ctx, oneStep("", 1), jobsapi.SubmitJobParams{Queue: "none", ID: apiJob})
 	c.Expect(codeOf(err)).To(Equal(result.UnknownQueue))
-	later := oneStep("", 1)
-	later.Steps[0].After = []int{4}
-	_, err = client.SubmitJob(ctx, later, jobsapi.SubmitJobParams{Queue: apiQueue, ID: apiJob})
+	invalid := oneStep("", 1)
+	invalid.Steps[0].After = []int{4}
+	_, err = client.SubmitJob(ctx, invalid, jobsapi.SubmitJobParams{Queue: apiQueue, ID: apiJob})
 	c.Expect(codeOf(err)).To(Equal(result.Malformed))
 	c.Expect(err.Error()).To(ContainSubstring("steps[0].after"))
 	_, err = client.ReadJob(ctx, jobsapi.ReadJobParams{ID: apiJob})
@@ -109,12 +109,12 @@
 	c.Expect(codeOf(err)).To(Equal(result.StoreDown))
 }
 
-// writeFile writes a file into the cell's directory.
+// writeFile writes a file into the directory of the cell.
 func (c *cell) writeFile(name, text string) {
 	c.Expect(os.WriteFile(filepath.Join(c.dir, name), []byte(text), 0o600)).To(Succeed())
 }
 
-// run runs the program foldarch and returns what it prints.
+// runCommand runs the command foldarch and returns its output.
 func run(args ...string) string {
 	var out bytes.Buffer
 	cli.Main(args, &out, &out)
--- a/test/platform/large_pool_test.go
+++ b/test/platform/large_pool_test.go
@@ -8,9 +8,11 @@
 	. "github.com/onsi/gomega"
 )
 
-// In a pool of 6,000 workers the list of all of them for a later owner was larger than a value that the store takes. From then on the owner read no entry
-// any more, and gave tasks to workers that were leaving (DRAIN 88); after all hosts had lost power the next owner never got to use a worker at all:
-// "pool_status workers=0 silent=0" until the end of the day, 1,714 jobs lost. Here the values are small in place of the pool large.
+// Guards against a list of workers that exceeds the largest value that the store accepts, as in a pool of
+// 6,000 workers. The owner keeps the list for its successors. When the store refused it, the owner read no
+// more worker entries and gave tasks to workers that were draining (DRAIN 88). After all hosts had lost
+// power, the next owner never used any worker ("pool_status workers=0 silent=0"), and 1,714 jobs were lost.
+// This test lowers the limit of a value instead of using a large pool.
 func TestPoolWhoseListOfWorkersIsLargerThanAValue(t *testing.T) {
 	c := newCell(t, 3, emulator.Options{Workers: 16, ValueBytes: 2000})
 	c.during(5*time.Second, func() {
--- a/test/platform/link_test.go
+++ b/test/platform/link_test.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// linkFault is how a link misbehaves.
+// linkFault is a fault of a link.
 type linkFault struct {
-	delay        time.Duration // of each piece of data, each way
-	holdsOrders  bool          // nothing gets from the caller to the target
-	holdsAnswers bool          // nothing gets back
+	delay        time.Duration // of each piece of data, in both directions
+	holdsOrders  bool          // data from the caller to the target is held back
+	holdsAnswers bool          // data from the target to the caller is held back
 }
 
-// link is a TCP relay of the loopback address in front of one listener, with faults. What a
-// fault holds up goes on when it ends, as with a partition.
+// link is a TCP relay in front of one listener on the loopback address that can inject faults. Data that a
+// fault holds back is passed on when the fault ends, as after a network partition.
 type link struct {
 	target   string
 	listener net.Listener
 
 	mu      sync.Mutex
 	fault   linkFault
-	changed chan struct{} // closed and renewed with each change of the fault
+	changed chan struct{} // closed and replaced when the fault changes
 	conns   map[net.Conn]struct{}
-	silent  map[net.Conn]struct{} // nothing passes any more
+	silent  map[net.Conn]struct{} // connections whose data is dropped
 }
 
-// newLink starts a relay to a target.
+// newLink starts a link to the target address.
 func newLink(target string) (*link, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -41,7 +41,7 @@
 	return k.listener.Addr().String()
 }
 
-// set puts a fault in force; the zero value ends it.
+// set replaces the fault of the link. The zero value means no fault.
 func (k *link) set(f linkFault) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -50,7 +50,7 @@
 	k.changed = make(chan struct{})
 }
 
-// reset breaks all connections.
+// reset closes all connections with a TCP reset.
 func (k *link) reset() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -62,7 +62,8 @@
 	}
 }
 
-// silence has nothing pass any more over the connections that are open now, without a reset. New ones work.
+// silence drops all further data of the connections that are open now, without closing them. New connections
+// work.
 func (k *link) silence() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -109,7 +110,7 @@
 	}
 }
 
-// relay copies one way until either end closes.
+// relay copies data in one direction until either connection closes.
 func (k *link) relay(to, from net.Conn, held func(linkFault) bool) {
 	defer func() {
 		_, _ = to.Close(), from.Close()
@@ -138,7 +139,7 @@
 	}
 }
 
-// pass waits until data may go on.
+// awaitPass waits until no fault holds data of a direction back, and then for the delay of the link.
 func (k *link) pass(held func(linkFault) bool) {
 	for {
 		k.mu.Lock()
--- a/test/platform/lives_test.go
+++ b/test/platform/lives_test.go
@@ -8,14 +8,15 @@
 	"foldarch.dev/foldarch/platform/emulator"
 )
 
-// Workers crash one after the other and start again under the id that they had. The ledger judges that nothing runs twice, also after its end was
-// noted, and that no worker is given more than it holds; all jobs have to end. It failed so:
+// Workers crash one after the other and restart under the same ID. The platform checks that no task runs
+// twice, also not after its end was acknowledged, and that no worker is given more than its capacity. All
+// jobs have to end. The fault that this guards against is reported as:
 //
 //	TWICE 2b5cb1f5c3227c0f.0.0.0 run 2 on i-m2-0: its end was noted
 func TestWorkersStartAgainUnderTheirIDs(t *testing.T) {
 	for name, c := range map[string]struct {
 		options emulator.Options
-		trouble func(*cell)
+		fault   func(*cell)
 	}{
 		"one after the other": {emulator.Options{Workers: 6}, func(*cell) {}},
 		"back at once, holding less": {emulator.Options{Workers: 6}, func(c *cell) {
@@ -56,16 +57,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c.options.KeepIDs = true
-			startAgainUnder(newCell(t, 3, c.options), c.trouble)
+			startAgainUnder(newCell(t, 3, c.options), c.fault)
 		})
 	}
 }
 
-// startAgainUnder has all workers of a cell start again twice while jobs run and a trouble lasts.
-func startAgainUnder(c *cell, trouble func(*cell)) {
+// restartWorkersDuring restarts all workers of a cell twice, one after the other, while jobs run and a fault
+// is injected.
+func startAgainUnder(c *cell, fault func(*cell)) {
 	c.during(12*time.Second, func() {
 		time.Sleep(time.Second)
-		go trouble(c)
+		go fault(c)
 		for round := range 2 {
 			for n, w := range c.p.Workers {
 				w.Crash(time.Duration(600+100*((n+round)%4)) * time.Millisecond)
--- a/test/platform/many_workers_test.go
+++ b/test/platform/many_workers_test.go
@@ -15,11 +15,11 @@
 )
 
 var (
-	manyHosts      = flag.Int("many.hosts", 4, "how many hosts the pool of many workers has")
-	manyWorkers    = flag.Int("many.workers", 420, "how many workers the pool of many workers has")
-	manySeconds    = flag.Int("many.seconds", 4, "how long jobs are handed in to the pool of many workers")
-	manyPerSecond  = flag.Int("many.jobs", 40, "how many jobs a second are handed in to the pool of many workers")
-	profileOfOwner = flag.String("many.profile", "", "file for a CPU profile of the pool's owner")
+	manyHosts      = flag.Int("many.hosts", 4, "number of hosts of the pool with many workers")
+	manyWorkers    = flag.Int("many.workers", 420, "number of workers of the pool with many workers")
+	manySeconds    = flag.Int("many.seconds", 4, "how many seconds jobs are submitted to the pool with many workers")
+	manyPerSecond  = flag.Int("many.jobs", 40, "jobs submitted per second to the pool with many workers")
+	profileOfOwner = flag.String("many.profile", "", "file to write a CPU profile of the pool's owner to")
 )
 
 func TestManyWorkers(t *testing.T) {
@@ -35,7 +35,7 @@
 	c.finish(30 * time.Second)
 }
 
-// profile writes a CPU profile of a host's process over some seconds.
+// profile records a CPU profile of a host's process for some seconds and writes it to a file.
 func (c *cell) profile(host int, path string, seconds int) {
 	url := "http://" + c.hosts[host].host.Figures + "/debug/pprof/profile?seconds=" + strconv.Itoa(seconds)
 	res, err := http.Get(url)
--- a/test/platform/silence_test.go
+++ b/test/platform/silence_test.go
@@ -9,8 +9,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// silenceBound is how long connections that went silent may hold jobs up: the bound of the platform's pages for
-// hosts to be in touch again, on the smallest deployments.
+// maxSilenceDelay is the longest time that silent connections may delay jobs. It is the platform's limit for
+// hosts to reconnect on the smallest deployments.
 const silenceBound = 3 * time.Second
 
 func TestOpenConnectionsThatGoSilentAreFoundOut(t *testing.T) {
@@ -24,10 +24,10 @@
 			k.silence()
 		}
 	}
-	began := time.Now()
+	start := time.Now()
 	_, accepted := c.callers.Submit(t.Context(), quickJob.spec, quickJob.steps)
 	c.Expect(accepted).To(BeTrue())
-	c.Expect(time.Since(began)).To(BeNumerically("<", silenceBound))
+	c.Expect(time.Since(start)).To(BeNumerically("<", silenceBound))
 	load.Wait()
 	c.finish(silenceBound + 2*time.Second)
 }
--- a/test/platform/soak_customers_test.go
+++ b/test/platform/soak_customers_test.go
@@ -11,10 +11,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// The customers of a soak: one whose jobs the soak follows, and one that sends many more than its weight under a quota that changes. Their
-// keys change, too. Half of the seeds have none.
-
-// soakCustomers are the customers of one soak.
+// soakCustomers holds the customers of one soak: one whose jobs the soak follows, and one that submits many
+// more jobs than its weight allows, under a quota that changes. Their keys change, too. Half of the seeds
+// have no customers.
 type soakCustomers struct {
 	r    *rand.Rand
 	list []emulator.Customer
@@ -35,7 +34,7 @@
 	return s
 }
 
-// join gives the soak's callers the keys of the first customer.
+// useKeys makes the load of the soak use the keys of the first customer.
 func (s *soakCustomers) join(c *cell) {
 	if s.list == nil {
 		return
@@ -44,7 +43,7 @@
 	s.hot = c.callers.As("").WithKeys(func() string { return s.key(1) })
 }
 
-// key is the newest key of a customer.
+// newestKey returns the newest key of a customer.
 func (s *soakCustomers) key(n int) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,18 +51,18 @@
 	return keys[len(keys)-1]
 }
 
-// play has the hot customer hand in jobs, and the configuration change, until ctx ends.
-func (s *soakCustomers) play(ctx context.Context, c *cell, all *sync.WaitGroup) {
+// start submits jobs of the second customer and changes the configuration until ctx ends.
+func (s *soakCustomers) play(ctx context.Context, c *cell, wg *sync.WaitGroup) {
 	if s.list == nil {
 		return
 	}
-	all.Go(func() {
+	wg.Go(func() {
 		for ctx.Err() == nil {
-			all.Go(func() { s.hot.Submit(context.Background(), quickJob.spec, quickJob.steps) })
+			wg.Go(func() { s.hot.Submit(context.Background(), quickJob.spec, quickJob.steps) })
 			time.Sleep(40 * time.Millisecond)
 		}
 	})
-	all.Go(func() {
+	wg.Go(func() {
 		for ctx.Err() == nil {
 			time.Sleep(between(s.r, time.Second, 3*time.Second))
 			s.change(c)
@@ -71,11 +70,12 @@
 	})
 }
 
-// change puts a configuration in force in which a key is added and an older one taken away, and the hot customer's quota is another one.
+// changeConfig writes a configuration that adds a key to each customer, removes the oldest one and changes
+// the quota of the second customer.
 func (s *soakCustomers) change(c *cell) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	const kept = 2 // hosts that have not heard of the newest key serve the one before
+	const kept = 2 // hosts without the newest configuration still accept the previous key
 	s.version++
 	list := make([]emulator.Customer, 0, len(s.list))
 	for _, x := range s.list {
@@ -89,7 +89,7 @@
 	c.p.PutCustomers(s.version, list)
 }
 
-// finish waits for the jobs of the hot customer.
+// awaitJobs waits until the jobs of the second customer have ended.
 func (s *soakCustomers) finish(c *cell) {
 	if s.list == nil {
 		return
--- a/test/platform/soak_test.go
+++ b/test/platform/soak_test.go
@@ -13,7 +13,7 @@
 	"foldarch.dev/foldarch/platform/emulator"
 )
 
-// trouble is one kind of fault that the soak draws.
+// soakFault is a kind of fault that the soak injects at random.
 type trouble struct {
 	name string
 	do   func(c *cell, r *rand.Rand)
@@ -23,7 +23,7 @@
 	return low + time.Duration(r.Int64N(int64(high-low)))
 }
 
-// storeFault lets the store misbehave for a time.
+// injectStoreFault returns a function that sets a fault of the store for 0.5 to 4 s.
 func storeFault(set, reset func(*emulator.Store)) func(*cell, *rand.Rand) {
 	return func(c *cell, r *rand.Rand) {
 		set(c.p.Store)
@@ -32,17 +32,17 @@
 	}
 }
 
-// workerFault lets some workers misbehave for a time.
+// injectWorkerFault returns a function that sets a fault of one or two workers for 1 to 5 s.
 func workerFault(f emulator.WorkerFault) func(*cell, *rand.Rand) {
 	return func(c *cell, r *rand.Rand) {
 		n := 1 + r.IntN(2)
-		at := r.IntN(len(c.p.Workers))
+		first := r.IntN(len(c.p.Workers))
 		for i := range n {
-			c.p.Workers[(at+i)%len(c.p.Workers)].SetFault(f)
+			c.p.Workers[(first+i)%len(c.p.Workers)].SetFault(f)
 		}
 		time.Sleep(between(r, time.Second, 5*time.Second))
 		for i := range n {
-			c.p.Workers[(at+i)%len(c.p.Workers)].SetFault(emulator.WorkerFault{})
+			c.p.Workers[(first+i)%len(c.p.Workers)].SetFault(emulator.WorkerFault{})
 		}
 	}
 }
@@ -51,7 +51,8 @@
 	return storeFault(func(s *emulator.Store) { s.SetMode(m) }, func(s *emulator.Store) { s.SetMode(emulator.StoreUp) })
 }
 
-// hostTrouble takes a host, mostly the owner, that nothing else is being done to.
+// injectHostFault returns a function that injects a fault into a host, two times out of three the owner,
+// unless another fault is being injected into that host.
 func hostTrouble(do func(c *cell, r *rand.Rand, n int)) func(*cell, *rand.Rand) {
 	return func(c *cell, r *rand.Rand) {
 		n := c.owner()
@@ -66,7 +67,7 @@
 	}
 }
 
-// linkTrouble has some of the links misbehave for a time.
+// injectLinkFault returns a function that sets a fault of a random link for 0.3 to 5 s.
 func linkTrouble(links func(*cell) []*link, f linkFault) func(*cell, *rand.Rand) {
 	return func(c *cell, r *rand.Rand) {
 		k := drawLink(links(c), r)
@@ -151,8 +152,8 @@
 	}},
 }
 
-// TestSoak plays drawn troubles, several at once, for a time; then all accepted jobs have to
-// end. Run by hand with: make soak SEED=n SEEDS=m SECONDS=s.
+// TestSoak injects random faults, several at a time, while jobs run. Afterwards all accepted jobs have to
+// end. To run it with other seeds: make soak SEED=n SEEDS=m SECONDS=s.
 func TestSoak(t *testing.T) {
 	for seed := *soakSeed; seed < *soakSeed+uint64(*soakSeeds); seed++ {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { soak(t, seed) })
@@ -170,16 +171,16 @@
 	defer cancel()
 	load := c.load(ctx, 20, quickJob, chainJob, quickJob, gangJob)
 	customers.play(ctx, c, load)
-	var all sync.WaitGroup
-	troubles := slices.Concat(troubles, buildTroubles())
+	var injections sync.WaitGroup
+	faults := slices.Concat(troubles, buildTroubles())
 	for ctx.Err() == nil {
-		x := troubles[r.IntN(len(troubles))]
-		own := rand.New(rand.NewPCG(r.Uint64(), 1))
-		t.Logf("%s", x.name)
-		all.Go(func() { x.do(c, own) })
+		fault := faults[r.IntN(len(faults))]
+		faultRand := rand.New(rand.NewPCG(r.Uint64(), 1))
+		t.Logf("%s", fault.name)
+		injections.Go(func() { fault.do(c, faultRand) })
 		time.Sleep(between(r, 200*time.Millisecond, 2*time.Second))
 	}
-	all.Wait()
+	injections.Wait()
 	load.Wait()
 	customers.finish(c)
 	c.finish(60 * time.Second)
