--- a/spec/lives.pml
+++ b/spec/lives.pml
@@ -1,42 +1,48 @@
-/* Lives of a worker under one name (docs/design/platform.md, "Lives of a worker").
+/* Model of the incarnations of a worker under one name (docs/design/platform.md, "Lives of a worker").
  *
- * One owner, one task and one worker that may start again once. The owner has sent a start to the first life and got no answer; the order may be
- * carried out late, by whichever life is there, since it names the worker only. An order that a life has not begun when it answers a higher token is
- * void there: the owner starts the task again on the same worker, and elsewhere when the order can't be carried out by anyone any more. It notes an end
- * of the task, as done on that worker or with its gang, no earlier.
- * Shown: the task never runs in two places, and does not begin after an end of it was noted.
+ * There are one owner, one task and one worker, which may restart once. The owner has sent a start to the
+ * first incarnation and got no answer. The order may be executed late, by either incarnation, since it names
+ * only the worker. If an incarnation answers a hold with a higher token and has not begun the order, the
+ * order is invalid there. Then the owner starts the task again on the same worker, or elsewhere as soon as no
+ * incarnation can execute the order any more. Not before that time does it acknowledge an end of the task, on
+ * that worker or as a member of its gang. Checked: the task never runs in two places, and it does not start
+ * after an end of it was acknowledged.
  *
- * Broken variants, each of which has to be found out:
- *   BROKEN_LAPSE   the next life's entry is known, and the former one's leases count as lapsed by its own clock alone
- *   BROKEN_FENCE   a hold of the next life's counts without a higher token
- *   BROKEN_CARRY   the start is forgotten when the next life answers
- *   BROKEN_VOID    the task starts elsewhere as soon as the order is void on the first life
- *   BROKEN_UNSEEN  it does so when no life can carry the order out any more, though one that was not heard of may have
- *   BROKEN_NOTED   an end is noted while the order may be carried out
- * What is not closed, and found out as well:
- *   OPEN_UNREAD    the next life carries an order out before its entry was read, or that was read too late
+ * Broken variants, each of which must violate an assertion:
+ *   BROKEN_LAPSE   although the entry of the next incarnation is known, the leases of the first one count as
+ *                  expired by the first one's clock alone
+ *   BROKEN_FENCE   an answer of the next incarnation to a hold counts although it was not given a higher
+ *                  token
+ *   BROKEN_CARRY   the pending start is forgotten when the next incarnation answers
+ *   BROKEN_VOID    the task starts elsewhere as soon as the order is invalid on the first incarnation
+ *   BROKEN_UNSEEN  the task starts elsewhere as soon as no incarnation can execute the order any more,
+ *                  although an incarnation that has not answered may run it already
+ *   BROKEN_NOTED   an end is acknowledged while the order may still be executed
+ * A known gap in the design, which must violate an assertion as well:
+ *   OPEN_UNREAD    the next incarnation executes the order before its entry was read, or its entry was read
+ *                  too late
  */
 #define NONE 9
-#define LATE 3   /* how long after it was sent an order may be carried out */
+#define LATE 3   /* time after sending until which an order may be executed */
 #define LEASE 2
 #define MAXT 8
 
 byte t = 0;
-byte life = 0;        /* that is there, or NONE */
-byte until = 0;       /* the end of the lease there */
-bool begun1 = false;  /* the next life has begun */
+byte life = 0;        /* the running incarnation, or NONE */
+byte until = 0;       /* end of the lease of the run on the worker */
+bool begun1 = false;  /* the next incarnation has begun */
 bool read1 = false;   /* its entry was read */
-bool inTime = false;  /* and that before the task was started elsewhere */
-bool cut = false;     /* the owner does not reach the worker */
-bool loose = true;    /* the order may be carried out yet */
-bool fenced[2];       /* a life has seen a higher token */
-bool answered[2];     /* and the owner holds it for so */
+bool inTime = false;  /* and that was before the task started elsewhere */
+bool cut = false;     /* the owner is not connected to the worker */
+bool loose = true;    /* the order may still be executed */
+bool fenced[2];       /* the incarnation has seen a higher token */
+bool answered[2];     /* and the owner believes so */
 bool here = false, elsewhere = false;
-bool listed = false;  /* the owner knows that the task runs here */
-bool voided = false;   /* a life has answered a higher token without the task */
-bool heard = false;    /* and one has when the order could not be carried out any more */
-bool again = false;    /* the owner has started the task there once more and has not heard of an end */
-bool done = false, noted = false; /* a run of the task has ended as done, and that is noted */
+bool listed = false;  /* the owner knows that the task runs on the worker */
+bool voided = false;   /* an incarnation has answered a higher token and did not run the task */
+bool heard = false;    /* and one did so when the order could no longer be executed */
+bool again = false;    /* the owner has restarted the task on the worker and knows of no end */
+bool done = false, noted = false; /* a run of the task has completed, and its end is acknowledged */
 
 inline carryOut() {
 	d_step {
@@ -45,7 +51,7 @@
 		:: !fenced[life] && !here && !(life == 0 && t > LEASE) ->
 			assert(!elsewhere && !noted);
 			here = true;
-			/* The deadline is by the clock of the first life. */
+			/* The order's deadline is on the clock of the first incarnation. */
 			if :: life == 0 -> until = LEASE :: else -> until = t + LEASE fi
 		:: else
 		fi
@@ -72,7 +78,7 @@
 	od
 }
 
-/* A hold with a higher token is answered by the life that is there. */
+/* The running incarnation answers a hold with a higher token. */
 inline holdAnswered() {
 	d_step {
 		answered[life] = true;
@@ -121,7 +127,7 @@
 #ifdef BROKEN_CARRY
 	:: atomic { !elsewhere && !cut && life == 1 -> voided = true; answered[1] = true }
 #endif
-	/* The task starts again on the same worker. */
+	/* The owner starts the task again on the same worker. */
 	:: d_step { !elsewhere && !done && voided && !cut && life != NONE && answered[life] && !listed ->
 			assert(!here);
 			here = true;
--- a/spec/once.pml
+++ b/spec/once.pml
@@ -1,17 +1,18 @@
 /*
- * At most once: copies of one key, not repeatable, meet at a home shard whose owner changes.
- * The caller's time of issue is not trusted: it may be anything. The clocks of the two
- * owners differ by SKEW at most. An owner remembers a key for WINDOW and then forgets it.
- * The answer of an endpoint may be lost, also when the request ran. Invariant: it runs once
- * at most.
+ * Model of at-most-once execution. Several copies of a request that is not repeatable arrive with the same
+ * key at the key's home shard, whose owner changes. The issue time that the caller states is not trusted and
+ * may have any value. The clocks of the two owners differ by at most SKEW. An owner remembers a key for
+ * WINDOW and then forgets it. The answer of an endpoint may be lost although the request ran. Invariant: the
+ * request runs at most once.
  *
- * Steps: keys.Memory.Begin (Arrive), shard.Engine.send (Run), keys.Memory.Finish and
- * Forget (Ended), ownership (Takeover: the old owner has no authority from then on).
+ * Steps and their implementation: arrival of a copy (keys.Table.Begin), run (shard.Engine.send), end of the
+ * run (keys.Table.Finish and Abort), takeover (pkg/ownership; the old owner has no authority afterwards).
  *
  * Broken variants:
- *   -DBROKEN_FRESH  a key made after the takeover by the caller's clock counts as fresh
+ *   -DBROKEN_FRESH  a key issued after the takeover by the caller's clock counts as new, without a margin for
+ *                   clock skew
  *   -DBROKEN_RETRY  a request whose answer was lost is sent again
- *   -DBROKEN_WINDOW a key is judged by the memory alone, not by its age
+ *   -DBROKEN_WINDOW a key is accepted if it is not remembered, whatever its age
  */
 #define SKEW   1
 #define WINDOW 5
@@ -23,10 +24,10 @@
 #define ENDED   2
 
 byte now = 2;
-byte issued;            /* as the caller says */
-byte d[2];              /* offsets of the owners' clocks */
+byte issued;            /* issue time stated by the caller */
+byte d[2];              /* offsets of the owners' clocks from now */
 byte owner = 0;
-byte takenOver = 0;     /* by the second owner's clock */
+byte takenOver = 0;     /* time of the takeover by the second owner's clock */
 byte memory[2];
 byte usedAt[2];
 byte runs = 0;
@@ -48,7 +49,7 @@
 
 proctype Caller() {
 end:	do
-	/* Memory.Begin of one copy; a fresh one runs */
+	/* Table.Begin for one copy; it runs if its key is new */
 	:: atomic { copies < COPIES ->
 		copies++;
 		if
@@ -63,14 +64,14 @@
 
 proctype Owner() {
 end:	do
-	/* the answer comes, or is lost: it is remembered as such */
+	/* the answer arrives or is lost; the key is remembered in both cases */
 	:: atomic { memory[owner] == RUNNING -> memory[owner] = ENDED }
 #ifdef BROKEN_RETRY
 	:: atomic { memory[owner] == RUNNING -> runs++; assert(runs <= 1) }
 #endif
-	/* Memory.expire */
+	/* Table.expire */
 	:: atomic { memory[owner] == ENDED && CLOCK > usedAt[owner] + WINDOW -> memory[owner] = ABSENT }
-	/* a takeover: what ran at the old owner may still run, and nobody knows */
+	/* takeover: a request of the old owner may still run, unknown to the new one */
 	:: atomic { owner == 0 -> owner = 1; takenOver = CLOCK }
 	od
 }
--- a/spec/ownership.pml
+++ b/spec/ownership.pml
@@ -1,17 +1,18 @@
 /*
- * Ownership of one shard by three processes of a hall, with a store that has outages and
- * late effects, processes that die, and pauses (any process may rest for any time between
- * two steps). The invariant: at no moment do two processes have authority.
+ * Model of the ownership of one shard by three processes of a hall. The store has outages and may apply
+ * writes late. Processes may die, and they may pause for any time between two steps. Invariant: two processes
+ * never have authority at the same time.
  *
- * The steps name the methods of pkg/ownership that carry them. Time is a counter; TERM is
- * Terms.Grant, and the margin of the successor is one tick. A sole owner that was paused
- * confirms with the store before it goes on; since a sole owner can be followed on proof
- * of its end only, the model lets it keep its authority.
+ * The comment of a step names the method of pkg/ownership that implements it. Time is a counter. TERM stands
+ * for Timing.GrantDuration, and the clock margin of the successor is one tick. A sole owner that was paused
+ * confirms its record with the store before it continues. The model leaves this out and lets it keep its
+ * authority, since another process takes over from a sole owner only on proof that it has ended.
  *
- * Broken variants, each of which must be found to violate the invariant:
- *   -DBROKEN_GRANT   the successor grants while its own claim is not settled
- *   -DBROKEN_SOLE    a sole owner keeps its authority while it names a successor
- *   -DBROKEN_FOLLOW  the successor follows a dead owner without knowing that its grant held
+ * Broken variants, each of which must violate the invariant:
+ *   -DBROKEN_GRANT   the successor grants while its own claim is pending
+ *   -DBROKEN_SOLE    a sole owner keeps its authority without limit while it names a successor
+ *   -DBROKEN_FOLLOW  the successor takes over from a dead owner without proof that the owner's grant was
+ *                    still valid
  *   -DBROKEN_STALE   a process claims a shard that it found free under an earlier record
  *   -DBROKEN_ANEW    a successor that is named again keeps the end of its old grant
  */
@@ -37,7 +38,7 @@
 #define SUCCESSOR 1
 #define OWNER     2
 
-/* in-flight writes */
+/* states of a write */
 #define IDLE     0
 #define SENT     1
 #define APPLIED  2
@@ -49,38 +50,38 @@
 byte deaths = 0, writes = 0, asks = 0;
 
 #ifdef EMPTY
-/* the store has no record yet */
+/* the store has no record */
 byte sEpoch = 0, sOwner = NONE, sSucc = NONE, sRev = 0;
 #else
-/* the record in the store: process 0 owns the shard and 1 is its successor */
+/* the record in the store: process 0 owns the shard, and process 1 is its successor */
 byte sEpoch = 1, sOwner = 0, sSucc = 1, sRev = 1;
 #endif
 
-/* what each process knows */
+/* the record and the role that each process knows */
 byte kEpoch[NP], kOwner[NP] = NONE, kSucc[NP] = NONE, kRev[NP];
 byte role[NP];
-bool dead[NP + 1];        /* NONE never dies */
+bool dead[NP + 1];        /* dead[NONE] is always false */
 
-/* owner */
-byte granted[NP];        /* authority by grant while now < granted */
-byte since[NP];          /* askingSince */
+/* state of an owner */
+byte granted[NP];        /* the grant is valid while now < granted */
+byte since[NP];          /* requestingSince */
 byte lastAsk[NP];
 bool sole[NP];
-byte soleCap[NP];        /* bound of a sole owner that names a successor, 0 for none */
+byte soleCap[NP];        /* end of the authority of a sole owner that names a successor, 0 if unlimited */
 bool succDead[NP];
 byte peerClock[NP];
 
-/* successor */
+/* state of a successor */
 byte grantEnd[NP], lastEcho[NP], proven[NP];
 
-/* bystander: the record, by revision plus one, that was found free */
+/* state of a bystander: the revision plus one of the record under which it found the shard free, 0 for none */
 byte found[NP];
 
-/* the write of each process */
+/* the pending write of each process */
 byte wState[NP], wEpoch[NP], wOwner[NP] = NONE, wSucc[NP] = NONE, wExpect[NP], wRev[NP];
 
-/* one ask of each owner, and its answer */
-byte aState[NP];         /* 0 none, 1 under way, 2 answered, 3 answered without a grant */
+/* the grant request of each owner and the reply to it */
+byte aState[NP];         /* 0 none, 1 sent, 2 granted, 3 refused */
 byte aTo[NP], aEpoch[NP], aRev[NP], aEcho[NP], aSent[NP], aClock[NP];
 bool aGivenUp[NP];
 
@@ -93,7 +94,7 @@
 #define ASKSEND(i) (MAX2(granted[i], since[i] + TERM))
 #define SILENT(i) (now > ASKSEND(i) && now > lastAsk[i] + TERM + MARGIN)
 
-/* Fields that a role does not use are cleared, so that like states are one state. */
+/* Fields that a role does not use are cleared, so that equivalent states are equal. */
 inline clearOwner(i_) {
 	granted[i_] = 0; since[i_] = 0; lastAsk[i_] = 0; sole[i_] = false; soleCap[i_] = 0;
 	succDead[i_] = false; peerClock[i_] = 0
@@ -114,7 +115,7 @@
 #else
 #define KEEPSGRANT false
 #endif
-/* Machine.adopt with becomeOwner and becomeSuccessor */
+/* StateMachine.adopt with becomeOwner and becomeSuccessor */
 inline adopt(i_, e_, o_, s_, r_) {
 	wasOwner = (role[i_] == OWNER && kEpoch[i_] == e_);
 	wasSucc = (role[i_] == SUCCESSOR && kEpoch[i_] == e_);
@@ -143,7 +144,7 @@
 	fi
 }
 
-/* Machine.BeginWrite */
+/* StateMachine.BeginWrite */
 inline begin(i_, e_, o_, s_) {
 	writes++;
 	wState[i_] = SENT; wEpoch[i_] = e_; wOwner[i_] = o_; wSucc[i_] = s_; wExpect[i_] = kRev[i_];
@@ -178,20 +179,20 @@
 	byte c;
 	bool wasOwner, wasSucc;
 end:	do
-	/* Machine.Observe: read the record from the store */
+	/* StateMachine.Observe: the process reads the record from the store */
 	:: atomic { !dead[i] && storeUp && !PENDING(i) && sRev > kRev[i] ->
 		adopt(i, sEpoch, sOwner, sSucc, sRev) }
 
-	/* Machine.NextAsk */
+	/* StateMachine.NextGrantRequest */
 	:: atomic { !dead[i] && role[i] == OWNER && !sole[i] && !PENDING(i) && aState[i] == 0 &&
 		now <= ASKSEND(i) && asks < MAXASKS ->
 		asks++; aState[i] = 1; aTo[i] = kSucc[i]; aEpoch[i] = kEpoch[i]; aRev[i] = kRev[i];
 		aEcho[i] = peerClock[i]; aSent[i] = now; aGivenUp[i] = false; lastAsk[i] = now }
 
-	/* the owner gives up waiting; the ask may still arrive */
+	/* the request times out at the owner, but may still arrive */
 	:: atomic { !dead[i] && aState[i] != 0 && !aGivenUp[i] -> aGivenUp[i] = true }
 
-	/* Machine.Answered */
+	/* StateMachine.HandleGrantReply */
 	:: atomic { !dead[i] && aState[i] >= 2 ->
 		if
 		:: aState[i] == 2 && !aGivenUp[i] && role[i] == OWNER && !PENDING(i) &&
@@ -201,7 +202,7 @@
 		fi;
 		clearAsk(i) }
 
-	/* Machine.Grant, for the ask of each other process */
+	/* StateMachine.Grant, for the request of either other process */
 	:: atomic { !dead[i] && (ASKED((i + 1) % NP, i) || ASKED((i + 2) % NP, i)) ->
 		if
 		:: ASKED((i + 1) % NP, i) -> c = (i + 1) % NP
@@ -224,7 +225,7 @@
 		:: else -> aState[c] = 3
 		fi }
 
-	/* Machine.SuccessorDead, on proof */
+	/* StateMachine.ReportSuccessorEnded, on proof that the successor has ended */
 	:: atomic { !dead[i] && role[i] == OWNER && !sole[i] && !PENDING(i) && !succDead[i] && dead[kSucc[i]] ->
 		succDead[i] = true;
 		if
@@ -232,7 +233,7 @@
 		:: else
 		fi }
 
-	/* Machine.WantsSuccessor, then BeginWrite(WriteSuccessor) or BeginWrite(WriteRecord) */
+	/* StateMachine.NeedsSuccessor, then BeginWrite(WriteSuccessor) or BeginWrite(WriteUnrecordedEpoch) */
 	:: atomic { !dead[i] && role[i] == OWNER && !PENDING(i) && writes < MAXWRITES &&
 		(sole[i] || succDead[i] || SILENT(i)) ->
 		if
@@ -242,7 +243,7 @@
 		fi;
 		begin(i, kEpoch[i], i, c) }
 
-	/* a claim of the successor: GrantLapsed, or proof of the owner's end */
+	/* a claim by the successor after GrantExpired, or on proof that the owner has ended */
 	:: atomic { !dead[i] && role[i] == SUCCESSOR && !PENDING(i) && writes < MAXWRITES &&
 		(now > grantEnd[i] || dead[kOwner[i]]) ->
 		if
@@ -252,17 +253,17 @@
 		fi;
 		begin(i, kEpoch[i] + 1, i, c) }
 
-	/* Machine.FollowUnrecorded */
+	/* StateMachine.TakeOverUnrecorded */
 	:: atomic { !dead[i] && role[i] == SUCCESSOR && !PENDING(i) && dead[kOwner[i]] && HELD(i) ->
 		kEpoch[i]++; kOwner[i] = i; kSucc[i] = NONE;
 		role[i] = OWNER; clearOwner(i); clearSuccessor(i); sole[i] = true }
 
-	/* Keeper.probeHolders: no record, or proof that both holders have ended */
+	/* Controller.probeHolders: there is no record, or proof that the owner and the successor have ended */
 	:: atomic { !dead[i] && role[i] == BYSTANDER && !PENDING(i) && found[i] == 0 &&
 		(kOwner[i] == NONE || (dead[kOwner[i]] && (kSucc[i] == NONE || dead[kSucc[i]]))) ->
 		found[i] = kRev[i] + 1 }
 
-	/* Keeper.actAsBystander: a claim under the record that was found free */
+	/* Controller.actAsBystander: a claim under the record with which the shard was found free */
 	:: atomic { !dead[i] && role[i] == BYSTANDER && !PENDING(i) && writes < MAXWRITES && FOUNDFREE(i) ->
 		found[i] = 0;
 		if
@@ -272,7 +273,7 @@
 		fi;
 		begin(i, kEpoch[i] + 1, i, c) }
 
-	/* Machine.Settle */
+	/* StateMachine.FinishWrite */
 	:: atomic { !dead[i] && wState[i] == APPLIED ->
 		if
 		:: sRev == wRev[i] -> adopt(i, wEpoch[i], wOwner[i], wSucc[i], wRev[i])
@@ -282,14 +283,14 @@
 	:: atomic { !dead[i] && wState[i] == REFUSED ->
 		clearWrite(i); role[i] = BYSTANDER; clearOwner(i); clearSuccessor(i) }
 	:: atomic { !dead[i] && wState[i] == SENT && !storeUp ->
-		/* it is known that nothing was sent */
+		/* the process knows that the write was not sent */
 		clearWrite(i); soleCap[i] = 0;
 		if
 		:: role[i] == OWNER -> since[i] = now
 		:: else
 		fi }
 
-	/* the process ends */
+	/* the process dies */
 	:: atomic { !dead[i] && deaths < MAXDEAD && role[i] != BYSTANDER ->
 		deaths++; dead[i] = true; clearOwner(i); clearSuccessor(i);
 		if
@@ -299,7 +300,7 @@
 	od
 }
 
-/* The store carries out writes at any time after they were sent, also of the dead. */
+/* The store applies a write at any time after it was sent, also if the writer has died. */
 proctype Store() {
 	byte i;
 end:	do
--- a/spec/takeover.pml
+++ b/spec/takeover.pml
@@ -1,24 +1,28 @@
-/* Runs, holds, fences, noted ends and takeover on the users' platform (docs/design/platform.md).
+/* Model of task runs, lease renewals, fencing tokens, acknowledged ends and takeover on the users' platform
+ * (docs/design/platform.md).
  *
- * One task, three workers, a former owner with token 1 and a new one with token 2. Orders may
- * be carried out late, by a relay or the network; the former owner learns late that workers accepted its token;
- * owners may be cut off from workers, one by one; time goes on in steps.
- * Shown: the task never runs in two places, and never starts after its end was noted.
+ * There are one task, three workers, a previous owner with token 1 and a new owner with token 2. Orders may
+ * be executed late, because a relay or the network delays them. The previous owner learns late that workers
+ * accepted its token. An owner may lose the connection to single workers. Time advances in steps. Checked:
+ * the task never runs in two places, and it never starts after its end was acknowledged.
  *
- * The former owner stores up to two records, each on condition that it is still the owner on record:
- *   NAMED          to which workers starts of the task may go, before one is sent
- *   RETIRED        of a worker that gets no start any more, whether the task may have a run there (listed)
- * The new owner then waits only for workers that may run the task by these records; without them for all.
+ * The previous owner stores up to two records, each only while it is still the owner on record:
+ *   NAMED          the workers that starts of the task may be sent to; stored before a start is sent
+ *   RETIRED        for a worker that gets no more starts: whether the task may run there (listed)
+ * With these records the new owner waits only for the workers that may run the task, without them for all
+ * workers.
  *
- * Broken variants, each of which has to be found out:
- *   BROKEN_NOWAIT  the new owner does not wait for workers that don't answer
- *   BROKEN_NOFENCE the new owner reads lists without raising the fence
- *   BROKEN_AUTH    the former owner goes on without most workers
- *   BROKEN_NOTE    ends are noted before they are committed
- *   BROKEN_EXTEND  the new owner forgets that leases run on for their whole term
- *   BROKEN_LATE    the former owner counts an answer from when it arrives, not from when it asked
- *   BROKEN_UNNAMED with NAMED: a start goes to a worker that the store does not name
- *   BROKEN_RETIRED with RETIRED: a worker is retired while a start that is not on its list is on the way to it
+ * Broken variants, each of which must violate an assertion:
+ *   BROKEN_NOWAIT  the new owner does not wait for workers that do not answer
+ *   BROKEN_NOFENCE the new owner reads the lists of runs without raising the workers' highest token
+ *   BROKEN_AUTH    the previous owner continues without a majority of the workers
+ *   BROKEN_NOTE    ends are acknowledged before they are committed to the store
+ *   BROKEN_EXTEND  the new owner ignores that a lease granted last is valid for its full duration
+ *   BROKEN_LATE    the previous owner counts its authority from the arrival of an answer instead of the
+ *                  request
+ *   BROKEN_UNNAMED with NAMED: a start is sent to a worker that the stored record does not name
+ *   BROKEN_RETIRED with RETIRED: a worker is retired while a start that is not on its list is on the way to
+ *                  it
  */
 #define W 3
 #define NONE 9
@@ -29,39 +33,39 @@
 #define AUTH 1
 #define NOW t
 
-byte t = 0;                /* the clock of all */
+byte t = 0;                /* the time, on all clocks */
 byte fence[W];             /* highest token that a worker has seen */
-bool runs[W];              /* the task runs there … */
-byte until[W];             /* … leased up to then */
-bool ended[W];             /* its end is listed there and not noted */
-bool sent[W];              /* a start is on its way … */
+bool runs[W];              /* the task runs there, */
+byte until[W];             /* with a lease until this time */
+bool ended[W];             /* its end is listed there and not acknowledged */
+bool sent[W];              /* a start is on the way there, */
 byte sentToken[W];
-byte sentLimit[W];         /* … and is rejected after then */
-bool cut1[W];              /* the former owner does not reach the worker */
-bool cut2[W];
-bool committed = false;    /* the store has the end */
-bool noted = false;        /* a worker has forgotten the end */
-byte record = 1;           /* the owner that the store has */
+byte sentLimit[W];         /* which the worker rejects after this time */
+bool cut1[W];              /* the previous owner is not connected to the worker */
+bool cut2[W];              /* the new owner is not connected to the worker */
+bool committed = false;    /* the end is stored */
+bool noted = false;        /* a worker was told to forget the end */
+byte record = 1;           /* the token of the owner on record in the store */
 
 #ifdef NAMED
-bool named[W];             /* the store has that starts may go there; of at most MAXNAMED workers */
+bool named[W];             /* the stored record names the worker; at most MAXNAMED workers */
 #ifndef MAXNAMED
 #define MAXNAMED 2
 #endif
 #endif
 #ifdef RETIRED
-#define LEAVER 2           /* the worker that the new owner may not reach */
-bool retired = false;      /* the former owner gives LEAVER no start any more … */
-bool listed = false;       /* … and had a run of the task counted there by then … */
-bool stored = false;       /* … which the store has, too */
+#define LEAVER 2           /* the worker that may be disconnected from the new owner */
+bool retired = false;      /* the previous owner sends LEAVER no more starts */
+bool listed = false;       /* and the task may run there */
+bool stored = false;       /* and both are stored */
 #endif
 
 byte assigned1 = NONE, assigned2 = NONE;
-byte confirmed1 = 0;       /* when it was asked whether most workers accept token 1, as it knows */
-byte answered1 = NONE;     /* when most workers accepted it, in an answer that is on its way */
+byte confirmed1 = 0;       /* time of the last request that a majority is known to have accepted */
+byte answered1 = NONE;     /* time of a request that a majority accepted; the answers are on the way */
 bool done1 = false, done2 = false, loaded2 = false;
 bool reported[W];
-byte fenced2 = 0;          /* when most workers had been fenced; 0 for never */
+byte fenced2 = 0;          /* time at which a majority had accepted token 2; 0 for never */
 
 #define AUTH1 (t <= confirmed1 + AUTH)
 #define MOST1 (((!cut1[0] && fence[0] <= 1) + (!cut1[1] && fence[1] <= 1) + (!cut1[2] && fence[2] <= 1)) >= 2)
@@ -98,8 +102,8 @@
 #define COUNTED1 (assigned1 == LEAVER)
 #endif
 #define MAYSTART1(w) (NAMED1(w) && !RETIRED1(w))
-/* UNKNOWN says that a worker may run the task unknown to the new owner. Since the record of the owner is replaced
-   by then, the former one's records stay as they are. */
+/* UNKNOWN reports whether a worker may run the task without the new owner's knowledge. The owner on record has
+   been replaced before, so the previous owner can no longer change its records. */
 #define UNKNOWN(w) (!reported[w] && ((RETIRED2(w) && LISTED2) || (!RETIRED2(w) && NAMED2(w))))
 #define FREE2 (!UNKNOWN(0) && !UNKNOWN(1) && !UNKNOWN(2))
 
@@ -143,7 +147,7 @@
 	od
 }
 
-/* start sends an order to a worker that the owner reaches. */
+/* start sends a start order to a worker that the owner is connected to. */
 inline start(w, token) {
 	sent[w] = true;
 	sentToken[w] = token;
@@ -187,7 +191,7 @@
 	:: atomic { ended[0] && !cut1[0] && fence[0] <= 1 -> done1 = true; ended[0] = false; noted = true }
 	:: atomic { ended[2] && !cut1[2] && fence[2] <= 1 -> done1 = true; ended[2] = false; noted = true }
 #endif
-	/* the end is committed on condition of the record, then noted */
+	/* the end is committed if this owner is still on record, and acknowledged afterwards */
 	:: atomic { !done1 && record == 1 && ((ended[0] && !cut1[0]) || (ended[1] && !cut1[1]) || (ended[2] && !cut1[2])) ->
 		done1 = true; committed = true }
 	:: atomic { done1 && committed -> note1(0); note1(1); note1(2) }
@@ -197,7 +201,7 @@
 	:: atomic { MAYNAME1(2) -> named[2] = true }
 #endif
 #ifdef RETIRED
-	/* a worker that has answered this owner is retired; what it may run is known by then */
+	/* a worker that has answered this owner is retired; the owner knows then whether the task may run there */
 	:: atomic { !done1 && !retired && !cut1[LEAVER] && fence[LEAVER] <= 1 -> retired = true; listed = COUNTED1 }
 	:: atomic { record == 1 && !done1 && retired && !stored -> stored = true }
 #endif
@@ -205,7 +209,7 @@
 	od
 }
 
-/* report2 raises the fence on a worker and takes in what it lists. */
+/* report2 raises the highest token of a worker and processes its list of runs and ends. */
 inline report2(w) {
 #ifndef BROKEN_NOFENCE
 	fence[w] = 2;
--- a/test/e2e/thin_path_test.go
+++ b/test/e2e/thin_path_test.go
@@ -35,13 +35,13 @@
 		Expect(c.call("east-a", "ticks", "goal-1", "another goal").problem.Code).To(Equal(int(result.KeyReused)))
 
 		ginkgo.By("running a batch request once")
-		batch, r := c.batch("north-a", "publish", "sheet-1", "ms=30 not-repeatable sheet")
+		accepted, r := c.batch("north-a", "publish", "sheet-1", "ms=30 not-repeatable sheet")
 		Expect(r.status).To(Equal(http.StatusAccepted), r.body)
-		Eventually(c.batchState("south-b", batch.ID), generous).Should(Equal("done"))
+		Eventually(c.batchState("south-b", accepted.ID), generous).Should(Equal("done"))
 		again, _ := c.batch("east-b", "publish", "sheet-1", "ms=30 not-repeatable sheet")
-		Expect(again.ID).To(Equal(batch.ID))
+		Expect(again.ID).To(Equal(accepted.ID))
 		Expect(again.Result.Value).To(Equal("done: ms=30 not-repeatable sheet"))
-		_, r = c.readBatch("north-a", batch.ID, "somebody else")
+		_, r = c.readBatch("north-a", accepted.ID, "somebody else")
 		Expect(r.problem.Code).To(Equal(int(result.NotYours)))
 
 		ginkgo.By("draining a worker: its instances move")
--- a/test/platform/cell_test.go
+++ b/test/platform/cell_test.go
@@ -202,11 +202,11 @@
 		return
 	}
 	path := filepath.Join(os.TempDir(), strings.ReplaceAll(c.t.Name(), "/", "_")+".log")
-	var logs bytes.Buffer
+	var output bytes.Buffer
 	for _, l := range c.logs {
-		logs.Write(l.Bytes())
+		output.Write(l.Bytes())
 	}
-	_ = os.WriteFile(path, logs.Bytes(), 0o600)
+	_ = os.WriteFile(path, output.Bytes(), 0o600)
 	c.t.Logf("logs of the hosts are in %s", path)
 }
 
--- a/test/platform/faults_test.go
+++ b/test/platform/faults_test.go
@@ -13,9 +13,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// runUnderLoad submits jobs for the given time and calls inject meanwhile. It returns when both have ended.
-func (c *cell) during(span time.Duration, inject func()) {
-	ctx, cancel := context.WithTimeout(context.Background(), span)
+// runUnderLoad submits jobs for the time load and calls inject meanwhile. It returns when both have ended.
+func (c *cell) during(load time.Duration, inject func()) {
+	ctx, cancel := context.WithTimeout(context.Background(), load)
 	defer cancel()
 	submissions := c.load(ctx, 25, quickJob, chainJob, quickJob, gangJob)
 	inject()
--- a/test/platform/soak_test.go
+++ b/test/platform/soak_test.go
@@ -172,9 +172,9 @@
 	load := c.load(ctx, 20, quickJob, chainJob, quickJob, gangJob)
 	customers.play(ctx, c, load)
 	var injections sync.WaitGroup
-	faults := slices.Concat(troubles, buildTroubles())
+	troubles := slices.Concat(troubles, buildTroubles())
 	for ctx.Err() == nil {
-		fault := faults[r.IntN(len(faults))]
+		fault := troubles[r.IntN(len(troubles))]
 		faultRand := rand.New(rand.NewPCG(r.Uint64(), 1))
 		t.Logf("%s", fault.name)
 		injections.Go(func() { fault.do(c, faultRand) })
