--- a/test/platform/soak_test.go
+++ b/test/platform/soak_test.go
@@ -175,9 +175,9 @@
 	troubles := slices.Concat(troubles, buildTroubles())
 	for ctx.Err() == nil {
 		fault := troubles[r.IntN(len(troubles))]
-		faultRand := rand.New(rand.NewPCG(r.Uint64(), 1))
+		faultRNG := rand.New(rand.NewPCG(r.Uint64(), 1))
 		t.Logf("%s", fault.name)
-		injections.Go(func() { fault.do(c, faultRand) })
+		injections.Go(func() { fault.do(c, faultRNG) })
 		time.Sleep(between(r, 200*time.Millisecond, 2*time.Second))
 	}
 	injections.Wait()
--- a/test/platform/lives_test.go
+++ b/test/platform/worker_restart_test.go
@@ -12,7 +12,7 @@
 // twice, also not after its end was acknowledged, and that no worker is given more than its capacity. All
 // jobs have to end. The fault that this guards against is reported as:
 //
-//	TWICE 2b5cb1f5c3227c0f.0.0.0 run 2 on i-m2-0: its end was noted
+//	TWICE 2b5cb1f5c3227c0f.0.0.0 run 2 on i-m2-0: its end was already acknowledged
 func TestWorkersStartAgainUnderTheirIDs(t *testing.T) {
 	for name, c := range map[string]struct {
 		options emulator.Options
