--- a/pkg/job/record.go
+++ b/pkg/job/record.go
@@ -96,7 +96,7 @@
 type Unanswered struct {
 	Run    int    `json:"r"`
 	Worker string `json:"w"`
-	// SentBy is the wall-clock time, at the owner that sent the start, by which it was sent.
+	// SentNoLaterThan is the wall-clock time, at the owner that sent the start, by which it was sent.
 	At time.Time `json:"t"`
 	// Invalidated means that a run with the start's number does not prove that the start was carried out.
 	// Either its owner knew that the start has no effect on the incarnation that it was sent to, so that
--- a/pkg/poolowner/ownership_confirmation.go
+++ b/pkg/poolowner/ownership_confirmation.go
@@ -44,7 +44,7 @@
 		return
 	}
 	o.mu.Lock()
-	o.pool.Confirmed(sentAt)
+	o.pool.RecordOwnershipConfirmed(sentAt)
 	o.mu.Unlock()
 	o.wake()
 }
--- a/pkg/poolowner/sessions.go
+++ b/pkg/poolowner/sessions.go
@@ -122,10 +122,10 @@
 	o := s.owner
 	o.mu.Lock()
 	now := o.deps.Clock.Now()
-	p, ok := o.pool.HoldFor(s.id, raise, o.authority(now), now)
+	p, ok := o.pool.NewPoll(s.id, raise, o.authority(now), now)
 	wait := time.Duration(0)
 	if waits {
-		wait = o.pool.HoldWait(s.id)
+		wait = o.pool.PollWait(s.id)
 	}
 	o.mu.Unlock()
 	if !ok {
@@ -133,7 +133,7 @@
 	}
 	a, report, err := o.callsBy(m).Hold(ctx, platform.HoldOrder{
 		Order:    platform.Order{Worker: p.Worker, Address: p.Address, Token: p.Token},
-		LastSeen: p.LastSeen, Deadline: p.Deadline, Wait: wait, Patience: s.patience(raise),
+		LastSeen: p.AckedEnd, Deadline: p.Deadline, Wait: wait, Patience: s.patience(raise),
 	})
 	if m != nil {
 		s.relayAnswered(m, err == nil)
@@ -143,7 +143,7 @@
 		return false, true
 	}
 	o.mu.Lock()
-	changed := o.pool.HoldAnswered(p, a, report, o.deps.Clock.Now())
+	changed := o.pool.HandlePollAnswer(p, a, report, o.deps.Clock.Now())
 	o.tellUnknownJobs()
 	o.mu.Unlock()
 	if changed {
@@ -155,7 +155,7 @@
 func (o *Owner) holdFailed(id dispatch.WorkerID) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.pool.HoldFailed(id, o.deps.Clock.Now())
+	o.pool.HandlePollFailure(id, o.deps.Clock.Now())
 }
 
 // pollClass returns the class of the session's next poll; answering means that the last poll was
@@ -194,7 +194,7 @@
 	defer limit.Stop()
 	for {
 		s.owner.mu.Lock()
-		areCommitted, committed := s.owner.pool.Noted(s.id), s.owner.committed
+		areCommitted, committed := s.owner.pool.AreEndsCommitted(s.id), s.owner.committed
 		s.owner.mu.Unlock()
 		if areCommitted {
 			return
@@ -252,7 +252,7 @@
 	})
 }
 
-func (o *Owner) sendStart(s *workerSession, a dispatch.Start) {
+func (o *Owner) sendStart(s *workerSession, a dispatch.StartOrder) {
 	sent := s.put(func(ctx context.Context, calls relay.Calls) {
 		if !o.mayOrder() {
 			o.startAnswered(a, dispatch.Answer{}, dispatch.ErrNotSent)
@@ -281,27 +281,27 @@
 
 // cancelIfObsolete cancels a start whose worker may get no new tasks since the start was decided. It
 // returns whether it did.
-func (o *Owner) withhold(a dispatch.Start) bool {
+func (o *Owner) withhold(a dispatch.StartOrder) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if !o.pool.StartIsVoid(a) {
+	if !o.pool.IsStartObsolete(a) {
 		return false
 	}
-	o.pool.StartWithheld(a, o.deps.Clock.Now())
+	o.pool.CancelUnsentStart(a, o.deps.Clock.Now())
 	o.wake()
 	return true
 }
 
-func (o *Owner) startAnswered(a dispatch.Start, answer dispatch.Answer, err error) {
+func (o *Owner) startAnswered(a dispatch.StartOrder, answer dispatch.Answer, err error) {
 	o.mu.Lock()
-	o.pool.StartAnswered(a, answer, err, o.deps.Clock.Now())
+	o.pool.HandleStartAnswer(a, answer, err, o.deps.Clock.Now())
 	o.mu.Unlock()
 	if err != nil || answer.Verdict != dispatch.VerdictDone {
 		o.wake()
 	}
 }
 
-func (o *Owner) sendStop(s *workerSession, a dispatch.Stop) {
+func (o *Owner) sendStop(s *workerSession, a dispatch.StopOrder) {
 	s.put(func(ctx context.Context, calls relay.Calls) {
 		answer, err := calls.Stop(ctx, platform.Order{Worker: a.Worker, Address: a.Address, Token: a.Token}, a.Task, a.Run)
 		if err != nil {
@@ -309,11 +309,11 @@
 		}
 		o.mu.Lock()
 		defer o.mu.Unlock()
-		o.pool.StopAnswered(a, answer, o.deps.Clock.Now())
+		o.pool.HandleStopAnswer(a, answer, o.deps.Clock.Now())
 	})
 }
 
-func (o *Owner) sendPace(s *workerSession, a dispatch.Pace) {
+func (o *Owner) sendPace(s *workerSession, a dispatch.PaceOrder) {
 	sent := s.put(func(ctx context.Context, calls relay.Calls) {
 		answer, err := calls.Pace(ctx, platform.Order{Worker: a.Worker, Address: a.Address, Token: a.Token}, a.Task, a.Run, a.Percent)
 		if err == nil && answer.Verdict == dispatch.VerdictDone {
@@ -326,8 +326,8 @@
 	}
 }
 
-func (o *Owner) paceFailed(a dispatch.Pace) {
+func (o *Owner) paceFailed(a dispatch.PaceOrder) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.pool.PaceFailed(a)
+	o.pool.HandlePaceFailure(a)
 }
--- a/pkg/poolowner/unknown_jobs.go
+++ b/pkg/poolowner/unknown_jobs.go
@@ -63,7 +63,7 @@
 	if found {
 		o.takeJobs([]platform.Item{item}, nil)
 	}
-	o.pool.JobAbsent(id) // also for a record that can't be decoded; no effect for a job that is known by now
+	o.pool.MarkJobAbsent(id) // also for a record that can't be decoded; no effect for a job that is known by now
 	o.mu.Unlock()
 	o.wake()
 }
@@ -71,7 +71,7 @@
 // requestUnknownJobs requests that the records of unknown jobs be read, if there are any. The caller
 // holds o.mu.
 func (o *Owner) tellUnknownJobs() {
-	if o.pool.ListsUnknown() {
+	if o.pool.HasUnknownJobs() {
 		signal(o.unknownJobs)
 	}
 }
--- a/pkg/poolowner/upkeep.go
+++ b/pkg/poolowner/upkeep.go
@@ -56,7 +56,7 @@
 	for _, name := range plan.Close {
 		cordoned[name] = true
 	}
-	o.pool.Close(cordoned)
+	o.pool.SetCordoned(cordoned)
 	o.mu.Unlock()
 	for _, order := range plan.Orders {
 		o.sendUpkeep(ctx, order)
@@ -69,7 +69,7 @@
 // startUpkeep starts the upkeep of a machine once its worker has been vacated.
 func (o *Owner) sendUpkeep(ctx context.Context, order upkeep.Order) {
 	o.mu.Lock()
-	ready := o.pool.Empty(order.Machine.Worker, order.Force)
+	ready := o.pool.VacateWorker(order.Machine.Worker, order.Force)
 	authority := o.authority(o.deps.Clock.Now())
 	o.mu.Unlock()
 	o.wake()
--- a/pkg/poolowner/worker_entries.go
+++ b/pkg/poolowner/worker_entries.go
@@ -22,7 +22,7 @@
 // o.mu.
 func (o *Owner) putEntry(i platform.Item) (id dispatch.WorkerID, ok bool) {
 	info, err := platform.ParseWorker(i)
-	if err == nil && !o.pool.Configured(info.Pool) {
+	if err == nil && !o.pool.IsPoolConfigured(info.Pool) {
 		err = errors.Newf("entry of worker %s: pool %s is not configured", info.ID, info.Pool)
 	}
 	if err != nil {
@@ -36,7 +36,7 @@
 // upsertWorker adds or updates a worker that has a valid entry. The caller holds o.mu.
 func (o *Owner) putWorker(info dispatch.WorkerInfo) {
 	delete(o.unusable, info.ID.Name())
-	if o.pool.PutWorker(info, true, o.deps.Clock.Now()) {
+	if o.pool.UpsertWorker(info, true, o.deps.Clock.Now()) {
 		o.logWorker(info)
 	}
 }
@@ -44,7 +44,7 @@
 // markEntryInvalid records that an entry names no usable worker. The reason is logged only when it
 // changes, since the process that wrote the entry rewrites it with each heartbeat.
 func (o *Owner) leaveOut(name string, e unusableEntry) {
-	o.pool.EntryUnusable(name)
+	o.pool.MarkEntryInvalid(name)
 	metrics.GetOrRegisterCounter("pool.entries_unusable", o.deps.Figures).Inc(1)
 	previous, known := o.unusable[name]
 	if !known && len(o.unusable) >= mostUnusable {
@@ -60,7 +60,7 @@
 // now is. The caller holds o.mu.
 func (o *Owner) putConfigured() {
 	for _, e := range o.unusable {
-		if e.info.ID != "" && o.pool.Configured(e.info.Pool) {
+		if e.info.ID != "" && o.pool.IsPoolConfigured(e.info.Pool) {
 			o.putWorker(e.info)
 		}
 	}
