--- a/pkg/account/account_test.go
+++ b/pkg/account/account_test.go
@@ -38,89 +38,89 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			a := withQuota(test.quota)
-			a.Book(test.used)
-			NewWithT(t).Expect(a.Allowed(1, test.need, test.most)).To(Equal(test.want))
+			a.Charge(test.used)
+			NewWithT(t).Expect(a.StartableTasks(1, test.need, test.most)).To(Equal(test.want))
 		})
 	}
 }
 
 func TestWhatIsGivenBackMayBeUsedAgain(t *testing.T) {
 	g, a := NewWithT(t), withQuota(cores(2))
-	a.Book(cores(1))
-	a.Book(cores(1))
-	g.Expect(a.Allowed(1, cores(1), 5)).To(Equal(0))
-	a.GiveBack(cores(1))
-	g.Expect(a.Allowed(1, cores(1), 5)).To(Equal(1))
+	a.Charge(cores(1))
+	a.Charge(cores(1))
+	g.Expect(a.StartableTasks(1, cores(1), 5)).To(Equal(0))
+	a.Release(cores(1))
+	g.Expect(a.StartableTasks(1, cores(1), 5)).To(Equal(1))
 	g.Expect(a.Used()).To(Equal(cores(1)))
 }
 
 func TestLoweredQuotaIsOverdrawn(t *testing.T) {
 	g, a := NewWithT(t), withQuota(cores(2))
-	a.Book(cores(2))
-	g.Expect(a.OverQuota()).To(BeFalse())
+	a.Charge(cores(2))
+	g.Expect(a.IsOverQuota()).To(BeFalse())
 	a.Update(customer.Customer{Name: "north", Quota: cores(1)})
-	g.Expect(a.OverQuota()).To(BeTrue())
+	g.Expect(a.IsOverQuota()).To(BeTrue())
 }
 
 func TestPromisesHoldForOnePlan(t *testing.T) {
 	g, a := NewWithT(t), withQuota(cores(4))
-	a.Promise(2, cores(3))
-	g.Expect(a.Allowed(1, cores(1), 5)).To(Equal(1))
-	a.ClearPromises()
-	g.Expect(a.Allowed(1, cores(1), 5)).To(Equal(4))
-	a.Promise(2, cores(5))
-	g.Expect(a.Allowed(1, cores(1), 5)).To(Equal(4), "more than the quota ever allows")
+	a.Reserve(2, cores(3))
+	g.Expect(a.StartableTasks(1, cores(1), 5)).To(Equal(1))
+	a.ClearReservations()
+	g.Expect(a.StartableTasks(1, cores(1), 5)).To(Equal(4))
+	a.Reserve(2, cores(5))
+	g.Expect(a.StartableTasks(1, cores(1), 5)).To(Equal(4), "more than the quota ever allows")
 }
 
 func TestOnlyTheFirstStepIsPromisedRoomInALittleUsedQuota(t *testing.T) {
 	g, a := NewWithT(t), withQuota(cores(10))
-	a.Promise(2, cores(3))
-	a.Promise(3, cores(5))
-	g.Expect(a.Allowed(1, cores(1), 9)).To(Equal(7))
-	g.Expect(a.Allowed(2, cores(3), 9)).To(Equal(3), "its own promise does not count against it")
-	g.Expect(a.PromisedToOthers(2)).To(Equal(cell.Resources{}))
-	g.Expect(a.PromisedToOthers(3)).To(Equal(cores(3)))
+	a.Reserve(2, cores(3))
+	a.Reserve(3, cores(5))
+	g.Expect(a.StartableTasks(1, cores(1), 9)).To(Equal(7))
+	g.Expect(a.StartableTasks(2, cores(3), 9)).To(Equal(3), "its own promise does not count against it")
+	g.Expect(a.ReservedForOthers(2)).To(Equal(cell.Resources{}))
+	g.Expect(a.ReservedForOthers(3)).To(Equal(cores(3)))
 }
 
 func TestSeveralStepsArePromisedRoomInAWellUsedQuota(t *testing.T) {
 	g, a := NewWithT(t), withQuota(cores(10))
-	a.Book(cores(7))
-	a.Promise(2, cores(1))
-	a.Promise(3, cores(1))
-	g.Expect(a.Allowed(1, cores(1), 9)).To(Equal(1))
-	g.Expect(a.Allowed(3, cores(1), 9)).To(Equal(2))
+	a.Charge(cores(7))
+	a.Reserve(2, cores(1))
+	a.Reserve(3, cores(1))
+	g.Expect(a.StartableTasks(1, cores(1), 9)).To(Equal(1))
+	g.Expect(a.StartableTasks(3, cores(1), 9)).To(Equal(2))
 }
 
 func TestNothingIsAllowedBesideForeignRuns(t *testing.T) {
 	g, a := NewWithT(t), withQuota(cell.Resources{})
-	a.CountForeign()
-	a.CountForeign()
-	a.ForgetForeign()
-	g.Expect(a.Allowed(1, cores(1), 5)).To(Equal(0))
-	a.ForgetForeign()
-	g.Expect(a.Allowed(1, cores(1), 5)).To(Equal(5))
+	a.AddOrphan()
+	a.AddOrphan()
+	a.RemoveOrphan()
+	g.Expect(a.StartableTasks(1, cores(1), 5)).To(Equal(0))
+	a.RemoveOrphan()
+	g.Expect(a.StartableTasks(1, cores(1), 5)).To(Equal(5))
 }
 
 func TestUnheardCounts(t *testing.T) {
 	g, a := NewWithT(t), withQuota(cores(9))
-	a.CountEnded(cores(2))
-	g.Expect(a.Allowed(1, cores(1), 9)).To(Equal(9), "the sum has not begun")
-	a.BeginUnheard()
-	a.AddUnheard(cores(3))
-	g.Expect(a.Allowed(1, cores(1), 9)).To(Equal(4))
-	a.CapUnheard(cores(4))
-	g.Expect(a.Allowed(1, cores(1), 9)).To(Equal(5), "the workers hold no more")
-	a.ClearUnheard()
-	g.Expect(a.Allowed(1, cores(1), 9)).To(Equal(9))
-	a.ForgetEnded()
-	a.BeginUnheard()
-	g.Expect(a.Allowed(1, cores(1), 9)).To(Equal(9))
+	a.AddEndedJobUse(cores(2))
+	g.Expect(a.StartableTasks(1, cores(1), 9)).To(Equal(9), "the sum has not begun")
+	a.ResetUnreported()
+	a.AddUnreported(cores(3))
+	g.Expect(a.StartableTasks(1, cores(1), 9)).To(Equal(4))
+	a.CapUnreported(cores(4))
+	g.Expect(a.StartableTasks(1, cores(1), 9)).To(Equal(5), "the workers hold no more")
+	a.ClearUnreported()
+	g.Expect(a.StartableTasks(1, cores(1), 9)).To(Equal(9))
+	a.ClearEndedJobUse()
+	a.ResetUnreported()
+	g.Expect(a.StartableTasks(1, cores(1), 9)).To(Equal(9))
 }
 
 func TestBeyondGoesByTheWeightInForce(t *testing.T) {
 	g, a := NewWithT(t), New(customer.Customer{Name: "north", Weight: 1})
 	at := clock.Time(1).Add(time.Second)
-	g.Expect([]bool{a.Beyond(at), a.Beyond(at), a.Beyond(at)}).To(Equal([]bool{false, false, true}), "a burst of two seconds")
+	g.Expect([]bool{a.RecordArrival(at), a.RecordArrival(at), a.RecordArrival(at)}).To(Equal([]bool{false, false, true}), "a burst of two seconds")
 	a.Update(customer.Customer{Name: "north"})
-	g.Expect(a.Beyond(at)).To(BeFalse(), "no weight is no limit")
+	g.Expect(a.RecordArrival(at)).To(BeFalse(), "no weight is no limit")
 }
--- a/pkg/account/doc.go
+++ b/pkg/account/doc.go
@@ -8,12 +8,12 @@
 //
 // # What counts against a quota
 //
-//   - what is booked (Book, GiveBack): also starts without an answer, runs that are being stopped, and those of a worker that can't be heard;
+//   - what is booked (Book, Release): also starts without an answer, runs that are being stopped, and those of a worker that can't be heard;
 //   - what former owners may have running on workers that a new owner has not heard of (unheard.go);
 //   - what steps that come first in the order of the present plan wait for (Promise), so that later ones don't take it. In a quota that is not well used
 //     there is one such step, as in EASY backfilling (Lifka 1995): the others start where they leave it its room.
 //
-// While workers list runs of which only the customer is known (CountForeign), nothing more is allowed, since nobody knows what they take.
+// While workers list runs of which only the customer is known (AddOrphan), nothing more is allowed, since nobody knows what they take.
 //
 // A lowered quota stops nothing. What runs counts, and nothing starts until there is room.
 //
@@ -24,5 +24,5 @@
 //	a.Allowed(7, core, 5) // 3 for step 7
 //	a.Book(core)
 //	a.Allowed(7, core, 5) // 2
-//	a.GiveBack(core)   // the run has certainly ended
+//	a.Release(core)   // the run has certainly ended
 package account
--- a/pkg/admission/doc.go
+++ b/pkg/admission/doc.go
@@ -16,7 +16,7 @@
 //
 //	l := admission.Load{
 //		Age: time.Minute, Advisers: 2, Owed: admission.Owed{0: time.Second, 1: 25 * time.Second},
-//		WellUsed: func(pool string) bool { return false },
+//		IsMostlyUsed: func(pool string) bool { return false },
 //	}
 //	l.Refusals(queues) // of queues of priority 1: Wait 13 s, RetryAfter 4 s; none of priority 0
 //
--- a/pkg/admission/limits_test.go
+++ b/pkg/admission/limits_test.go
@@ -22,8 +22,8 @@
 // demandOf is a customer that waits for a time with all its work, with a tenth of the pool in use by it.
 func demandOf(name string, waits time.Duration) Demand {
 	return Demand{
-		Customer: name, Weight: 2, Beyond: true,
-		Queues: []QueueDemand{{Queue: "sheets", Pool: "pool", Priority: 1, Waiting: waits / 10, PerJob: 10 * time.Millisecond, Running: 0.1, Slack: 3 * time.Second}},
+		Customer: name, Weight: 2, OverShare: true,
+		Queues: []QueueDemand{{Queue: "sheets", Pool: "pool", Priority: 1, Waiting: waits / 10, WorkPerJob: 10 * time.Millisecond, Running: 0.1, Slack: 3 * time.Second}},
 	}
 }
 
@@ -45,22 +45,22 @@
 	g.Expect(limits[0].Queues).To(HaveLen(1))
 	g.Expect(limits[0].Queues[0].Wait).To(BeNumerically("~", 6*time.Second, time.Millisecond))
 	g.Expect(limits[0].Queues[0].RetryAfter).To(BeNumerically("~", 3600*time.Millisecond, time.Millisecond), "then the wait is what is aimed at")
-	g.Expect(limits[1].Queues[0].RetryAfter).To(Equal(MostAdviceWait), "nobody is sent away for longer")
+	g.Expect(limits[1].Queues[0].RetryAfter).To(Equal(MaxAdviceWait), "nobody is sent away for longer")
 }
 
 func TestNothingIsLimitedWhenInDoubt(t *testing.T) {
 	within, noWeight, idle := demandOf("c", time.Minute), demandOf("c", time.Minute), demandOf("c", 0)
-	within.Beyond, noWeight.Weight, idle.Queues[0].Running = false, 0, 0
+	within.OverShare, noWeight.Weight, idle.Queues[0].Running = false, 0, 0
 	for name, test := range map[string]struct {
 		demand     Demand
 		age, lasts time.Duration
 	}{
-		"a young owner":                {demandOf("c", time.Minute), JoinTime - 1, time.Minute},
+		"a young owner":                {demandOf("c", time.Minute), AdviserJoinTime - 1, time.Minute},
 		"a customer within its weight": {within, time.Minute, time.Minute},
 		"no weight":                    {noWeight, time.Minute, time.Minute},
 		"nothing waits":                {idle, time.Minute, time.Minute},
 		"a pool with room":             {demandOf("c", 3*time.Second), time.Minute, time.Minute},
-		"a burst that begins":          {demandOf("c", time.Minute), time.Minute, ExcessTime},
+		"a burst that begins":          {demandOf("c", time.Minute), time.Minute, MinExcessTime},
 	} {
 		t.Run(name, func(t *testing.T) {
 			NewWithT(t).Expect(play(NewLimiter(), []Demand{test.demand}, test.age, test.lasts)).To(BeEmpty())
@@ -123,7 +123,7 @@
 		owed := 0.0
 		for end := now.Add(forTime); now < end; now = now.Add(decideEvery) {
 			for owed += share * perS * decideEvery.Seconds(); owed >= 1; owed-- {
-				l.Accepted("c", "sheets", now)
+				l.RecordAccepted("c", "sheets", now)
 			}
 			share = 1
 			for _, limit := range l.Limits([]Demand{demandOf("c", aim)}, time.Minute, now) {
@@ -132,7 +132,7 @@
 		}
 	}
 	send(100, 20*time.Second)
-	g.Expect(share).To(BeNumerically("~", (2+10*aimedShare/2)/100, 0.01), "its weight, and of what is carried out so much that the wait becomes shorter")
+	g.Expect(share).To(BeNumerically("~", (2+10*targetWaitShare/2)/100, 0.01), "its weight, and of what is carried out so much that the wait becomes shorter")
 	send(4, 10*time.Second)
 	g.Expect(share).To(Equal(1.0), "all that it sends now is within that")
 }
--- a/pkg/admission/refusals.go
+++ b/pkg/admission/refusals.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// MostAdviceWait is how long the calls may take that go before those of a new job. What became of jobs is asked 14 s after
+	// MaxAdviceWait is how long the calls may take that go before those of a new job. What became of jobs is asked 14 s after
 	// the last was handed in: its own call and a run of 4 s come after the wait.
-	MostAdviceWait = 9 * time.Second
-	// JoinTime is how long the processes that make calls may take to join a new owner. Before that it knows of few, and would refuse what
+	MaxAdviceWait = 9 * time.Second
+	// AdviserJoinTime is how long the processes that make calls may take to join a new owner. Before that it knows of few, and would refuse what
 	// all of them get through.
-	JoinTime = 5 * time.Second
+	AdviserJoinTime = 5 * time.Second
 )
 
 // Refusal says that a queue takes in no jobs for now.
@@ -23,11 +23,11 @@
 	Wait, RetryAfter time.Duration
 }
 
-// Owed is the time of the calls for advice that accepted jobs still need, by priority; a lower one goes first.
-type Owed map[int]time.Duration
+// PendingAdvice is the time of the calls for advice that accepted jobs still need, by priority; a lower one goes first.
+type PendingAdvice map[int]time.Duration
 
-// before is the time of the calls that go before those of a new job of a priority.
-func (o Owed) before(priority int) time.Duration {
+// timeAhead is the time of the calls that go before those of a new job of a priority.
+func (o PendingAdvice) timeAhead(priority int) time.Duration {
 	var ahead time.Duration
 	for other, d := range o {
 		if other <= priority {
@@ -42,24 +42,24 @@
 	// Age is how long ago the owner began.
 	Age time.Duration
 	// Advisers counts the processes that make calls, or can.
-	Advisers int
-	Owed     Owed
-	// WellUsed says that most of a pool of workers is in use.
-	WellUsed func(pool string) bool
+	Advisers      int
+	PendingAdvice PendingAdvice
+	// IsMostlyUsed says that most of a pool of workers is in use.
+	IsMostlyUsed func(pool string) bool
 }
 
 // Refusals lists the queues that should take in no jobs, in their order. It lists none before the processes that make calls have joined.
 func (l Load) Refusals(queues []queue.Queue) []Refusal {
-	if l.Advisers == 0 || l.Age < JoinTime {
+	if l.Advisers == 0 || l.Age < AdviserJoinTime {
 		return nil
 	}
 	var out []Refusal
 	for _, q := range queues {
-		if q.Advice == nil || l.WellUsed(q.Pool) {
+		if q.Advice == nil || l.IsMostlyUsed(q.Pool) {
 			continue
 		}
-		if wait := l.Owed.before(q.Priority) / time.Duration(l.Advisers); wait > MostAdviceWait {
-			out = append(out, Refusal{Queue: q.Name, Wait: wait, RetryAfter: min(wait-MostAdviceWait, MostAdviceWait)})
+		if wait := l.PendingAdvice.timeAhead(q.Priority) / time.Duration(l.Advisers); wait > MaxAdviceWait {
+			out = append(out, Refusal{Queue: q.Name, Wait: wait, RetryAfter: min(wait-MaxAdviceWait, MaxAdviceWait)})
 		}
 	}
 	return out
--- a/pkg/advice/prices.go
+++ b/pkg/advice/prices.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// MaxNamed is how many workers a call names at most.
-	MaxNamed = 100
+	// MaxWorkersPerCall is how many workers a call names at most.
+	MaxWorkersPerCall = 100
 	// callOverhead is what a call costs beside the time of the process that makes it, in that time: its messages at the owner
 	// and its price at the platform.
 	callOverhead = 50 * time.Millisecond
@@ -22,39 +22,39 @@
 type Prices struct {
 	Cost queue.AdviceCost
 	// Free counts the processes that can make a call at once; at least 1.
-	Free int
-	// Most is how many calls may go out now.
-	Most int
+	FreeAdvisers int
+	// MaxCalls is how many calls may go out now.
+	MaxCalls int
 }
 
-// MostNamed is how many workers the calls can name.
-func (p Prices) MostNamed() int {
-	return MaxNamed * max(p.Most, 1)
+// MaxWorkers is how many workers the calls can name.
+func (p Prices) MaxWorkers() int {
+	return MaxWorkersPerCall * max(p.MaxCalls, 1)
 }
 
-// parts is the number of calls in which n workers are best named: more parts are answered sooner, and each
+// optimalCalls is the number of calls in which n workers are best named: more parts are answered sooner, and each
 // takes the fixed time of a call. The price's derivative by the number of parts is zero there.
-func (p Prices) parts(n int) int {
-	least := (n + MaxNamed - 1) / MaxNamed
-	fixed := (p.Cost.Base + callOverhead).Seconds() / float64(p.Free)
+func (p Prices) optimalCalls(n int) int {
+	least := (n + MaxWorkersPerCall - 1) / MaxWorkersPerCall
+	fixed := (p.Cost.Base + callOverhead).Seconds() / float64(p.FreeAdvisers)
 	best := math.Sqrt(float64(n) * p.Cost.PerWorker.Seconds() / fixed)
-	return max(min(int(best), p.Most), least, 1)
+	return max(min(int(best), p.MaxCalls), least, 1)
 }
 
-// Size is how many workers a call names when n are named in all.
-func (p Prices) Size(n int) int {
-	parts := p.parts(n)
+// WorkersPerCall is how many workers a call names when n are named in all.
+func (p Prices) WorkersPerCall(n int) int {
+	parts := p.optimalCalls(n)
 	return max((n+parts-1)/parts, 1)
 }
 
-// Wait is how long the calls take that name n workers.
-func (p Prices) Wait(n int) time.Duration {
-	return p.Cost.Of(p.Size(n))
+// CallTime is how long the calls take that name n workers.
+func (p Prices) CallTime(n int) time.Duration {
+	return p.Cost.Of(p.WorkersPerCall(n))
 }
 
 // price is what calls cost that name n workers, in seconds.
 func (p Prices) price(n int) float64 {
-	parts := float64(p.parts(n))
+	parts := float64(p.optimalCalls(n))
 	busy := parts*(p.Cost.Base+callOverhead).Seconds() + float64(n)*p.Cost.PerWorker.Seconds()
-	return p.Wait(n).Seconds() + busy/float64(p.Free)
+	return p.CallTime(n).Seconds() + busy/float64(p.FreeAdvisers)
 }
--- a/pkg/advice/rates_test.go
+++ b/pkg/advice/rates_test.go
@@ -8,7 +8,7 @@
 
 func TestRateFollowsTheAnswers(t *testing.T) {
 	g, r := NewWithT(t), Rates{}
-	g.Expect(r.Of("q")).To(Equal(firstRate))
+	g.Expect(r.Of("q")).To(Equal(initialRate))
 	r.Learn("q", 20, 20)
 	g.Expect(r.Of("q")).To(BeNumerically("~", 0.575, 1e-9))
 	r.Learn("q", 0, 2)
@@ -16,6 +16,6 @@
 	for range 100 {
 		r.Learn("q", 0, 100)
 	}
-	g.Expect(r.Of("q")).To(Equal(leastRate))
-	g.Expect(r.Of("other")).To(Equal(firstRate))
+	g.Expect(r.Of("q")).To(Equal(minRate))
+	g.Expect(r.Of("other")).To(Equal(initialRate))
 }
--- a/pkg/advice/rounds.go
+++ b/pkg/advice/rounds.go
@@ -7,15 +7,15 @@
 	"foldarch.dev/foldarch/pkg/queue"
 )
 
-// spentWeight is the weight of a new step in what a queue's steps take of calls.
-const spentWeight = 0.1
+// roundsWeight is the weight of a new step in what a queue's steps take of calls.
+const roundsWeight = 0.1
 
-// OneRound is what the calls take that name just as many workers as a number of tasks needs at a rate, with one task on each; no more
+// RoundTime is what the calls take that name just as many workers as a number of tasks needs at a rate, with one task on each; no more
 // workers than there are.
-func OneRound(cost queue.AdviceCost, tasks int, rate float64, workers int) time.Duration {
+func RoundTime(cost queue.AdviceCost, tasks int, rate float64, workers int) time.Duration {
 	named := max(int(math.Ceil(float64(tasks)/rate)), 1)
 	named = min(named, max(workers, 1))
-	calls := (named + MaxNamed - 1) / MaxNamed
+	calls := (named + MaxWorkersPerCall - 1) / MaxWorkersPerCall
 	return time.Duration(calls)*cost.Base + time.Duration(named)*cost.PerWorker
 }
 
@@ -33,5 +33,5 @@
 // Learn takes in how long the calls for a step took that has finished, and how long one round takes.
 func (r Rounds) Learn(queueName string, took, oneRound time.Duration) {
 	ratio := float64(took) / float64(max(oneRound, time.Millisecond))
-	r[queueName] = r.Of(queueName)*(1-spentWeight) + ratio*spentWeight
+	r[queueName] = r.Of(queueName)*(1-roundsWeight) + ratio*roundsWeight
 }
--- a/pkg/advice/rounds_test.go
+++ b/pkg/advice/rounds_test.go
@@ -30,7 +30,7 @@
 		"in two calls":                 {75, 0.5, 1000, 1700 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
-			NewWithT(t).Expect(OneRound(cost, test.tasks, test.rate, test.workers)).To(Equal(test.want))
+			NewWithT(t).Expect(RoundTime(cost, test.tasks, test.rate, test.workers)).To(Equal(test.want))
 		})
 	}
 }
--- a/pkg/advice/worker_count_test.go
+++ b/pkg/advice/worker_count_test.go
@@ -16,15 +16,15 @@
 	}{
 		{0, 3, 0.5, 1}, {1, 1, 0.3, 0.3}, {2, 2, 0.5, 0.25}, {1, 2, 0.5, 0.75}, {3, 2, 0.9, 0}, {2, 3, 1, 1},
 	} {
-		NewWithT(t).Expect(atLeast(c.k, c.n, c.rate)).To(BeNumerically("~", c.want, 1e-9), "%+v", c)
+		NewWithT(t).Expect(probabilityAtLeast(c.k, c.n, c.rate)).To(BeNumerically("~", c.want, 1e-9), "%+v", c)
 	}
 }
 
 func TestNamingWithoutCostsNamesTheRoomThatIsNeeded(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(JustEnough([]int{2, 2, 2}, 3, 100)).To(Equal(2))
-	g.Expect(JustEnough([]int{2, 2, 2}, 3, 1)).To(Equal(1))
-	g.Expect(JustEnough(nil, 3, 100)).To(Equal(0))
+	g.Expect(SufficientCount([]int{2, 2, 2}, 3, 100)).To(Equal(2))
+	g.Expect(SufficientCount([]int{2, 2, 2}, 3, 1)).To(Equal(1))
+	g.Expect(SufficientCount(nil, 3, 100)).To(Equal(0))
 }
 
 func TestCheapest(t *testing.T) {
@@ -46,7 +46,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			got, suffices := test.prices.Cheapest(rooms, test.need, test.rate, test.known)
+			got, suffices := test.prices.CheapestCount(rooms, test.need, test.rate, test.known)
 			g.Expect(got).To(Equal(test.want))
 			g.Expect(suffices).To(BeNumerically("~", test.suffices, 1e-3))
 		})
@@ -56,9 +56,9 @@
 func TestPartsFollowTheProcessesThatAreFree(t *testing.T) {
 	g := NewWithT(t)
 	cost := queue.AdviceCost{Base: 50 * time.Millisecond, PerWorker: 10 * time.Millisecond}
-	g.Expect(Prices{cost, 1, 8}.Size(40)).To(Equal(20), "in two calls")
-	g.Expect(Prices{cost, 16, 8}.Size(40)).To(Equal(5), "in eight")
-	g.Expect(Prices{cost, 16, 1}.Size(40)).To(Equal(40), "in one, since no more may go out")
-	g.Expect(Prices{cost, 16, 8}.Wait(40)).To(Equal(100 * time.Millisecond))
-	g.Expect(Prices{cost, 1, 2}.Size(1000)).To(Equal(MaxNamed), "no call names more")
+	g.Expect(Prices{cost, 1, 8}.WorkersPerCall(40)).To(Equal(20), "in two calls")
+	g.Expect(Prices{cost, 16, 8}.WorkersPerCall(40)).To(Equal(5), "in eight")
+	g.Expect(Prices{cost, 16, 1}.WorkersPerCall(40)).To(Equal(40), "in one, since no more may go out")
+	g.Expect(Prices{cost, 16, 8}.CallTime(40)).To(Equal(100 * time.Millisecond))
+	g.Expect(Prices{cost, 1, 2}.WorkersPerCall(1000)).To(Equal(MaxWorkersPerCall), "no call names more")
 }
--- a/pkg/cli/job_show.go
+++ b/pkg/cli/job_show.go
@@ -55,8 +55,8 @@
 	}
 	for _, s := range x.Steps {
 		fmt.Fprintf(out, "\nstep %s: %d of %d done, %d failures%s\n", s.Step, s.Done, s.Count, s.Failures, timeLeft(s.LeftMs))
-		if s.Waits != "" {
-			fmt.Fprintf(out, "    waits for %s\n", s.Waits)
+		if s.WaitReason != "" {
+			fmt.Fprintf(out, "    waits for %s\n", s.WaitReason)
 		}
 		for _, r := range s.Runs {
 			fmt.Fprintf(out, "    task %d run %d on %s: %s, %d%%\n", r.Task, r.Run, r.Worker, r.State, r.Percent)
--- a/pkg/crash/crash_test.go
+++ b/pkg/crash/crash_test.go
@@ -23,9 +23,9 @@
 		return out
 	}
 	sure := func(crashes []job.Crash) int {
-		var x Task
+		var x TaskRecord
 		x.Load(nil, crashes)
-		return x.Sure()
+		return x.ConclusiveCrashes()
 	}
 	g := NewWithT(t)
 	g.Expect(sure(alone("w1@1000", "w1@1900", "w1@2800"))).To(Equal(1))
@@ -34,7 +34,7 @@
 }
 
 func start(id job.ID, run int) Start {
-	return Start{Task: job.TaskID{StepID: job.StepID{Job: id}}, Run: run, Soon: true}
+	return Start{Task: job.TaskID{StepID: job.StepID{Job: id}}, Run: run, InCrashWindow: true}
 }
 
 func address(n byte) netip.AddrPort {
@@ -47,7 +47,7 @@
 	for _, id := range jobs {
 		starts = append(starts, start(id, 1))
 	}
-	return Of(workerid.New("w", int64(worker)), address(worker), when, starts)
+	return NewCrash(workerid.New("w", int64(worker)), address(worker), when, starts)
 }
 
 func none() []*Crash {
@@ -81,8 +81,8 @@
 			x := crashOf(1, at, c.jobs...)
 			h.Add(x, func() []*Crash { return c.silent }, at)
 			s := start("a", 3)
-			s.Soon = c.soon
-			NewWithT(t).Expect(x.Against(s)).To(Equal(job.Crash{Run: 3, Worker: "w@1", Alone: c.alone}))
+			s.InCrashWindow = c.soon
+			NewWithT(t).Expect(x.RecordFor(s)).To(Equal(job.Crash{Run: 3, Worker: "w@1", Alone: c.alone}))
 		})
 	}
 }
@@ -91,61 +91,61 @@
 func TestWorkerAtAnAddressThatCrashedBeforeProvesNothing(t *testing.T) {
 	g := NewWithT(t)
 	h := NewHistory(time.Second, 0)
-	h.Add(Of("w@1", address(1), at, nil), none, at)
-	g.Expect(h.LastAt(address(1))).To(Equal(at))
-	again := Of("w@2", address(1), at.Add(20*time.Second), Starts{start("a", 1)})
+	h.Add(NewCrash("w@1", address(1), at, nil), none, at)
+	g.Expect(h.LastCrashAt(address(1))).To(Equal(at))
+	again := NewCrash("w@2", address(1), at.Add(20*time.Second), Starts{start("a", 1)})
 	h.Add(again, none, at.Add(20*time.Second))
-	g.Expect(again.Against(start("a", 1)).Alone).To(BeFalse())
-	h.Withdraw("w@1")
-	h.Withdraw("w@2")
-	later := Of("w@3", address(1), at.Add(21*time.Second), Starts{start("a", 1)})
+	g.Expect(again.RecordFor(start("a", 1)).Alone).To(BeFalse())
+	h.RemoveCrashesOf("w@1")
+	h.RemoveCrashesOf("w@2")
+	later := NewCrash("w@3", address(1), at.Add(21*time.Second), Starts{start("a", 1)})
 	h.Add(later, none, at.Add(21*time.Second))
-	g.Expect(later.Against(start("a", 1)).Alone).To(BeTrue(), "the others had only been cut off")
+	g.Expect(later.RecordFor(start("a", 1)).Alone).To(BeTrue(), "the others had only been cut off")
 }
 
 // Guards against a job that is given up for two crashes in a row where workers crash often, or where a new owner can't know whether they do.
 func TestMoreCrashesAreNeededWhileWorkersCrashForOtherCauses(t *testing.T) {
 	g := NewWithT(t)
 	h := NewHistory(time.Second, at)
-	g.Expect(h.SureNeeded("a", 100, at.Add(memory-1))).To(Equal(sureAmongMany))
-	late := at.Add(memory)
-	g.Expect(h.SureNeeded("a", 100, late)).To(Equal(sureCrashes))
+	g.Expect(h.ConclusiveCrashesNeeded("a", 100, at.Add(historyTime-1))).To(Equal(conclusiveCrashesNeededWhenUnstable))
+	late := at.Add(historyTime)
+	g.Expect(h.ConclusiveCrashesNeeded("a", 100, late)).To(Equal(conclusiveCrashesNeeded))
 	for n := byte(1); n <= 10; n++ {
 		h.Add(crashOf(n, late, "b", "c"), none, late)
 	}
-	g.Expect(h.SureNeeded("a", 100, late)).To(Equal(sureAmongMany))
-	g.Expect(h.SureNeeded("a", 1000, late)).To(Equal(sureCrashes))
-	g.Expect(h.SureNeeded("b", 100, late)).To(Equal(sureCrashes), "they may be its own")
-	g.Expect(h.Calm("a", late)).To(BeFalse())
-	g.Expect(h.Calm("b", late)).To(BeTrue())
-	g.Expect(h.Calm("a", late.Add(noCrashFor))).To(BeTrue())
+	g.Expect(h.ConclusiveCrashesNeeded("a", 100, late)).To(Equal(conclusiveCrashesNeededWhenUnstable))
+	g.Expect(h.ConclusiveCrashesNeeded("a", 1000, late)).To(Equal(conclusiveCrashesNeeded))
+	g.Expect(h.ConclusiveCrashesNeeded("b", 100, late)).To(Equal(conclusiveCrashesNeeded), "they may be its own")
+	g.Expect(h.IsQuietFor("a", late)).To(BeFalse())
+	g.Expect(h.IsQuietFor("b", late)).To(BeTrue())
+	g.Expect(h.IsQuietFor("a", late.Add(quietPeriod))).To(BeTrue())
 }
 
 // Guards against crashes that are counted against a task after one of its later starts was survived.
 func TestSurvivedStartTakesAllCrashesBack(t *testing.T) {
 	g := NewWithT(t)
-	var x Task
-	x.Attempt(1, "w@1")
-	g.Expect(x.DropAttempt(1)).To(BeTrue())
-	for n := 1; n <= MostInARow; n++ {
-		g.Expect(x.OnLastTry()).To(Equal(n == MostInARow), "before crash %d", n)
-		g.Expect(x.IsCause(sureCrashes)).To(BeFalse())
-		g.Expect(x.Count(job.Crash{Run: n, Worker: "w@1"})).To(BeTrue())
+	var x TaskRecord
+	x.AddAttempt(1, "w@1")
+	g.Expect(x.RemoveAttempt(1)).To(BeTrue())
+	for n := 1; n <= MaxConsecutiveCrashes; n++ {
+		g.Expect(x.IsLastAttempt()).To(Equal(n == MaxConsecutiveCrashes), "before crash %d", n)
+		g.Expect(x.ShouldGiveUp(conclusiveCrashesNeeded)).To(BeFalse())
+		g.Expect(x.AddCrash(job.Crash{Run: n, Worker: "w@1"})).To(BeTrue())
 	}
-	g.Expect(x.IsCause(sureCrashes)).To(BeTrue(), "whatever else crashed")
-	x.Doubt()
-	g.Expect(x.Survived(6)).To(BeTrue())
-	g.Expect(x.Suspected() || x.InDoubt()).To(BeFalse())
-	g.Expect(x.Count(job.Crash{Run: 6, Worker: "w@1"})).To(BeFalse())
-	g.Expect(x.Survived(7)).To(BeFalse(), "the store has nothing of it")
+	g.Expect(x.ShouldGiveUp(conclusiveCrashesNeeded)).To(BeTrue(), "whatever else crashed")
+	x.MarkUnresolved()
+	g.Expect(x.RecordSurvival(6)).To(BeTrue())
+	g.Expect(x.IsSuspect() || x.IsUnresolved()).To(BeFalse())
+	g.Expect(x.AddCrash(job.Crash{Run: 6, Worker: "w@1"})).To(BeFalse())
+	g.Expect(x.RecordSurvival(7)).To(BeFalse(), "the store has nothing of it")
 }
 
 // Guards against starts that are counted against tasks though their worker had crashed before.
 func TestStartAfterASignOfTroubleIsNoCause(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(Worker{HeardAt: at}.MayHaveEndedBefore(at.Add(aliveFor))).To(BeFalse())
-	g.Expect(Worker{HeardAt: at}.MayHaveEndedBefore(at.Add(aliveFor + time.Millisecond))).To(BeTrue())
-	g.Expect(Worker{HeardAt: at, UnansweredAt: at + 10}.MayHaveEndedBefore(at + 11)).To(BeTrue())
-	g.Expect(Worker{HeardAt: at, UnansweredAt: at + 10}.MayHaveEndedBefore(at + 10)).To(BeFalse())
-	g.Expect(Worker{HeardAt: at, UnansweredAt: at + 10}.Lives(at + 11)).To(BeFalse())
+	g.Expect(WorkerLiveness{LastSeenAt: at}.MayPrecede(at.Add(responsiveTime))).To(BeFalse())
+	g.Expect(WorkerLiveness{LastSeenAt: at}.MayPrecede(at.Add(responsiveTime + time.Millisecond))).To(BeTrue())
+	g.Expect(WorkerLiveness{LastSeenAt: at, FirstUnansweredAt: at + 10}.MayPrecede(at + 11)).To(BeTrue())
+	g.Expect(WorkerLiveness{LastSeenAt: at, FirstUnansweredAt: at + 10}.MayPrecede(at + 10)).To(BeFalse())
+	g.Expect(WorkerLiveness{LastSeenAt: at, FirstUnansweredAt: at + 10}.IsResponsive(at + 11)).To(BeFalse())
 }
--- a/pkg/crash/doc.go
+++ b/pkg/crash/doc.go
@@ -30,7 +30,7 @@
 //	h.Add(c, silent, now)
 //	for _, s := range starts {
 //		t := tasks[s.Task]
-//		if t.Count(c.Against(s)) && t.IsCause(h.SureNeeded(s.Task.Job, workers, now)) {
+//		if t.Count(c.Against(s)) && t.ShouldGiveUp(h.ConclusiveCrashesNeeded(s.Task.Job, workers, now)) {
 //			// give the job up
 //		}
 //	}
--- a/pkg/crash/probe.go
+++ b/pkg/crash/probe.go
@@ -8,30 +8,30 @@
 )
 
 const (
-	// ClaimLasts is how long a worker is claimed for a step before something begins there: ProvenAfter and the longest wait of a hold,
+	// ClaimTimeout is how long a worker is claimed for a step before something begins there: SurvivalTime and the longest wait of a hold,
 	// with as much to spare for a busy owner.
-	ClaimLasts = 2 * time.Second
-	// claimShare is the part of the workers, at least one, that may be claimed at once: with all of them a crash of many
+	ClaimTimeout = 2 * time.Second
+	// maxClaimedShare is the part of the workers, at least one, that may be claimed at once: with all of them a crash of many
 	// workers would stop what has nothing to do with it.
-	claimShare = 0.25
+	maxClaimedShare = 0.25
 )
 
-// MayClaimAnother says whether one more worker may be claimed, of so many, of which some are.
-func MayClaimAnother(claimed, all int) bool {
-	return claimed < max(1, int(claimShare*float64(all)))
+// MayClaimWorker says whether one more worker may be claimed, of so many, of which some are.
+func MayClaimWorker(claimed, all int) bool {
+	return claimed < max(1, int(maxClaimedShare*float64(all)))
 }
 
 // ProbeFitness is how well a worker suits a task that is to be started alone.
 type ProbeFitness struct {
-	Beginning int        // runs of other jobs that are not proven
-	CrashedAt clock.Time // at its address; 0 for not lately. Such a worker may crash on its own again
-	HeardAt   clock.Time // one that was heard of lately has not crashed yet
+	RecentRuns int        // runs of other jobs that are not proven
+	CrashedAt  clock.Time // at its address; 0 for not lately. Such a worker may crash on its own again
+	LastSeenAt clock.Time // one that was heard of lately has not crashed yet
 }
 
 // Compare puts workers first on which nothing else is beginning.
 func (f ProbeFitness) Compare(g ProbeFitness) int {
 	return cmp.Or(
-		cmp.Compare(min(f.Beginning, 1), min(g.Beginning, 1)), cmp.Compare(f.CrashedAt, g.CrashedAt),
-		cmp.Compare(f.Beginning, g.Beginning), cmp.Compare(g.HeardAt, f.HeardAt),
+		cmp.Compare(min(f.RecentRuns, 1), min(g.RecentRuns, 1)), cmp.Compare(f.CrashedAt, g.CrashedAt),
+		cmp.Compare(f.RecentRuns, g.RecentRuns), cmp.Compare(g.LastSeenAt, f.LastSeenAt),
 	)
 }
--- a/pkg/crash/start.go
+++ b/pkg/crash/start.go
@@ -11,60 +11,60 @@
 )
 
 const (
-	// ProvenAfter is how long a worker must have lived on after the start of a run, by its own clock, for the start
+	// SurvivalTime is how long a worker must have lived on after the start of a run, by its own clock, for the start
 	// not to be what ends the worker. Tasks that crash their workers were seen to do so 10 ms after their start.
-	ProvenAfter = 300 * time.Millisecond
-	// soonAfter is how long after a start its worker may have been heard of, by its own clock, for the start to be
-	// the only cause that there can be. With ProvenAfter in its place, two workers in a row that crashed on their own gave up a job in two of
+	SurvivalTime = 300 * time.Millisecond
+	// crashWindow is how long after a start its worker may have been heard of, by its own clock, for the start to be
+	// the only cause that there can be. With SurvivalTime in its place, two workers in a row that crashed on their own gave up a job in two of
 	// 5,000 random histories in which each worker does so every 40 s.
-	soonAfter = 150 * time.Millisecond
-	// aliveFor is for how long a worker counts as living after it was heard of, when a start got no answer: one that was ordered later may
+	crashWindow = 150 * time.Millisecond
+	// responsiveTime is for how long a worker counts as living after it was heard of, when a start got no answer: one that was ordered later may
 	// have met a worker that had crashed before. Holds wait up to 0.6 s in pools of usual size, so half of the workers were heard of within it.
-	aliveFor = 300 * time.Millisecond
+	responsiveTime = 300 * time.Millisecond
 )
 
-// Proven says that a worker lives on after a start, by two readings of its own clock in milliseconds.
-func Proven(begun, heard int64) bool {
-	return heard-begun >= ProvenAfter.Milliseconds()
+// HasSurvived says that a worker lives on after a start, by two readings of its own clock in milliseconds.
+func HasSurvived(begun, heard int64) bool {
+	return heard-begun >= SurvivalTime.Milliseconds()
 }
 
-// Soon says that a worker was not heard of for longer than soonAfter after a start, by two readings of its own clock in milliseconds.
-func Soon(begun, heard int64) bool {
-	return heard-begun <= soonAfter.Milliseconds()
+// Soon says that a worker was not heard of for longer than crashWindow after a start, by two readings of its own clock in milliseconds.
+func IsInCrashWindow(begun, heard int64) bool {
+	return heard-begun <= crashWindow.Milliseconds()
 }
 
-// Worker is what is known of a worker's life from its answers.
-type Worker struct {
-	HeardAt clock.Time // last
-	// UnansweredAt is when the first call got no answer since then; 0 when none has failed.
-	UnansweredAt clock.Time
+// WorkerLiveness is what is known of a worker's life from its answers.
+type WorkerLiveness struct {
+	LastSeenAt clock.Time // last
+	// FirstUnansweredAt is when the first call got no answer since then; 0 when none has failed.
+	FirstUnansweredAt clock.Time
 }
 
-// Lives says that the worker was heard of just now, and that no call since has failed. Another one may have crashed already, and a start
+// IsResponsive says that the worker was heard of just now, and that no call since has failed. Another one may have crashed already, and a start
 // there would be counted against its task.
-func (w Worker) Lives(now clock.Time) bool {
-	return w.UnansweredAt == 0 && now.Sub(w.HeardAt) <= aliveFor
+func (w WorkerLiveness) IsResponsive(now clock.Time) bool {
+	return w.FirstUnansweredAt == 0 && now.Sub(w.LastSeenAt) <= responsiveTime
 }
 
-// MayHaveEndedBefore says that the worker may have ended before a start without an answer that was ordered at a time: a call before it got none
+// MayPrecede says that the worker may have ended before a start without an answer that was ordered at a time: a call before it got none
 // either, or the worker had not been heard of for a while.
-func (w Worker) MayHaveEndedBefore(ordered clock.Time) bool {
-	return w.UnansweredAt != 0 && ordered > w.UnansweredAt || ordered.Sub(w.HeardAt) > aliveFor
+func (w WorkerLiveness) MayPrecede(ordered clock.Time) bool {
+	return w.FirstUnansweredAt != 0 && ordered > w.FirstUnansweredAt || ordered.Sub(w.LastSeenAt) > responsiveTime
 }
 
 // Start is a start that may have ended its worker.
 type Start struct {
 	Task job.TaskID
 	Run  int
-	// Soon says that the worker is known to have begun it, and was not heard of for longer than soonAfter after that.
-	Soon bool
+	// Soon says that the worker is known to have begun it, and was not heard of for longer than crashWindow after that.
+	InCrashWindow bool
 }
 
 // Starts are starts on one worker.
 type Starts []Start
 
-// Has says whether a run is among them.
-func (s Starts) Has(id job.TaskID, run int) bool {
+// HasRun says whether a run is among them.
+func (s Starts) HasRun(id job.TaskID, run int) bool {
 	return slices.ContainsFunc(s, func(x Start) bool { return x.Run == run && x.Task == id })
 }
 
--- a/pkg/dispatch/advice.go
+++ b/pkg/dispatch/advice.go
@@ -14,89 +14,89 @@
 )
 
 const (
-	// longAsk is the length of a call from which it must leave some processes free for
+	// longCallThreshold is the length of a call from which it must leave some processes free for
 	// short ones.
-	longAsk = 150 * time.Millisecond
-	// spareForShort is how many processes long calls leave free, but no more than half of them.
-	spareForShort = 2
-	// askSlack is how much longer than it should a call may take.
-	askSlack = 300 * time.Millisecond
-	// choicesPerPlan is for how many steps one plan chooses workers to be named at most: choosing takes as
+	longCallThreshold = 150 * time.Millisecond
+	// advisersKeptFree is how many processes long calls leave free, but no more than half of them.
+	advisersKeptFree = 2
+	// adviceTimeoutMargin is how much longer than it should a call may take.
+	adviceTimeoutMargin = 300 * time.Millisecond
+	// maxAdviceSelectionsPerPlan is for how many steps one plan chooses workers to be named at most: choosing takes as
 	// long as there are workers, and a plan must not hold up what workers answer.
-	choicesPerPlan = 16
-	// askLate is how much longer than it should a call may take before others are made for its step.
-	askLate = 150 * time.Millisecond
-	// askAgain is the least time between two calls for a step.
-	askAgain = 60 * time.Millisecond
-	// nameAgain is the pause after there was nobody to be named in a call, in parts of the fixed time of a
+	maxAdviceSelectionsPerPlan = 16
+	// adviceLateAfter is how much longer than it should a call may take before others are made for its step.
+	adviceLateAfter = 150 * time.Millisecond
+	// minAdviceInterval is the least time between two calls for a step.
+	minAdviceInterval = 60 * time.Millisecond
+	// noTargetBackoff is the pause after there was nobody to be named in a call, in parts of the fixed time of a
 	// call: choosing goes over all workers, and the pause delays the answer by that part at most.
-	nameAgain = 0.125
+	noTargetBackoff = 0.125
 )
 
 // stepAdvice is what is known of the workers that may run a step. Which ones may does not
 // change, but tickets lapse.
 type stepAdvice struct {
-	good    map[WorkerID]bool
+	allowed map[WorkerID]bool
 	denied  map[WorkerID]bool
 	tickets map[WorkerID]ticket
-	// ticketsUntil is when the last of them lapses.
-	ticketsUntil clock.Time
-	pending      []*pendingAsk
-	notBefore    clock.Time
-	// spent is what the calls for the step have taken.
-	spent time.Duration
-	// answeredAt is when a call for the step was answered last, or failed; 0 for never.
-	answeredAt clock.Time
+	// ticketsExpireAt is when the last of them lapses.
+	ticketsExpireAt clock.Time
+	pendingCalls    []*pendingAdviceCall
+	notBefore       clock.Time
+	// callTime is what the calls for the step have taken.
+	callTime time.Duration
+	// lastAnsweredAt is when a call for the step was answered last, or failed; 0 for never.
+	lastAnsweredAt clock.Time
 }
 
-type pendingAsk struct {
-	ask    Ask
-	step   *step // nil when the answer is of no use any more
-	known  int   // how many of the named were known to be allowed; they come first
-	roomy  int   // how many had room, or were expected to; those without come last
-	sentAt clock.Time
-	cost   time.Duration
-	queue  string
-	over   advice.CallOver // but for how it ended
+type pendingAdviceCall struct {
+	call            AdviceCall
+	step            *step // nil when the answer is of no use any more
+	knownTargets    int   // how many of the named were known to be allowed; they come first
+	targetsWithRoom int   // how many had room, or were expected to; those without come last
+	sentAt          clock.Time
+	expectedTime    time.Duration
+	queue           string
+	result          advice.CallResult // but for how it ended
 }
 
-// adviceCalls are the calls for advice that are on their way, with those who make them and what earlier ones have told of queues.
-type adviceCalls struct {
-	advisers *advice.Advisers
-	asks     map[int64]*pendingAsk
-	last     int64 // number of a call
-	long     int   // how many of them are long (longAsk)
-	rates    advice.Rates
-	rounds   advice.Rounds
-	offset   int // shifts which of like workers are named
-	choices  int // of workers to be named, in this plan
-	tally    *advice.Tally
-	issues   []*issue
+// adviceState are the calls for advice that are on their way, with those who make them and what earlier ones have told of queues.
+type adviceState struct {
+	advisers         *advice.Advisers
+	pendingCalls     map[int64]*pendingAdviceCall
+	last             int64 // number of a call
+	longCalls        int   // how many of them are long (longCallThreshold)
+	rates            advice.Rates
+	rounds           advice.Rounds
+	targetOffset     int // shifts which of like workers are named
+	selectionsInPlan int // of workers to be named, in this plan
+	tally            *advice.Tally
+	issuedTickets    []*ticketIssue
 }
 
-func newAdviceCalls() adviceCalls {
-	return adviceCalls{advisers: advice.NewAdvisers(), asks: map[int64]*pendingAsk{}, rates: advice.Rates{}, rounds: advice.Rounds{}, tally: advice.NewTally()}
+func newAdviceState() adviceState {
+	return adviceState{advisers: advice.NewAdvisers(), pendingCalls: map[int64]*pendingAdviceCall{}, rates: advice.Rates{}, rounds: advice.Rounds{}, tally: advice.NewTally()}
 }
 
-// longAtOnce is how many long calls may be on their way.
-func (p *Pool) longAtOnce() int {
-	n := p.advice.advisers.Joined()
-	if p.without(SpareAdvisers) {
+// maxLongCalls is how many long calls may be on their way.
+func (p *Pool) maxLongCalls() int {
+	n := p.advice.advisers.Count()
+	if p.isDisabled(ReservedAdvisers) {
 		return n
 	}
-	return max(1, n-min(spareForShort, n/2))
+	return max(1, n-min(advisersKeptFree, n/2))
 }
 
-// PutAdviser takes in a process that can make calls for advice.
-func (p *Pool) PutAdviser(name string) {
+// AddAdviser takes in a process that can make calls for advice.
+func (p *Pool) AddAdviser(name string) {
 	p.advice.advisers.Put(name)
 }
 
 // RemoveAdviser takes in that a process can't be reached any more.
 func (p *Pool) RemoveAdviser(name string, now clock.Time) {
-	for n, a := range p.advice.asks {
-		if a.ask.Adviser == name {
-			p.AdviceAnswered(n, nil, false, now)
+	for n, a := range p.advice.pendingCalls {
+		if a.call.Adviser == name {
+			p.HandleAdviceAnswer(n, nil, false, now)
 		}
 	}
 	p.advice.advisers.Remove(name)
@@ -104,105 +104,105 @@
 
 // ask has advice called for, if a step needs it and processes are free for calls. No more than so
 // many long calls are to be on their way then.
-func (p *Pool) ask(s *step, longAtOnce int, reserved *reservations, now clock.Time, out *Actions) {
-	if !p.mayAsk(s, now) {
+func (p *Pool) requestAdvice(s *step, longAtOnce int, reserved *reservations, now clock.Time, out *Actions) {
+	if !p.mayRequestAdvice(s, now) {
 		return
 	}
-	calls := p.callPrices(s.time.job.queue.Advice, longAtOnce)
-	if calls.Most <= 0 {
+	calls := p.callPrices(s.occurrence.job.queue.Advice, longAtOnce)
+	if calls.MaxCalls <= 0 {
 		return
 	}
-	p.advice.choices++
-	names := p.name(s, reserved, calls, now)
+	p.advice.selectionsInPlan++
+	names := p.selectAdviceTargets(s, reserved, calls, now)
 	if len(names.workers) == 0 {
-		s.advice.notBefore = now.Add(time.Duration(nameAgain * float64(calls.Cost.Of(1))))
+		s.advice.notBefore = now.Add(time.Duration(noTargetBackoff * float64(calls.Cost.Of(1))))
 		return
 	}
-	for _, part := range names.parts(calls.Size(len(names.workers))) {
-		p.call(s, part, longAtOnce, now, out)
+	for _, part := range names.split(calls.WorkersPerCall(len(names.workers))) {
+		p.sendAdviceCall(s, part, longAtOnce, now, out)
 	}
 }
 
 // callPrices returns the prices for a queue at present, when no more than so many long calls are to be on
 // their way.
 func (p *Pool) callPrices(cost *queue.AdviceCost, longAtOnce int) advice.Prices {
-	most := p.advice.advisers.Free()
-	if cost.Of(1) >= longAsk {
-		most = min(most, longAtOnce-p.advice.long)
+	most := p.advice.advisers.IdleCount()
+	if cost.Of(1) >= longCallThreshold {
+		most = min(most, longAtOnce-p.advice.longCalls)
 	}
-	if p.without(AdviceInParts) {
+	if p.isDisabled(ParallelAdvice) {
 		most = min(most, 1)
 	}
-	return advice.Prices{Cost: *cost, Free: max(p.advice.advisers.Free(), 1), Most: most}
+	return advice.Prices{Cost: *cost, FreeAdvisers: max(p.advice.advisers.IdleCount(), 1), MaxCalls: most}
 }
 
-// mayAsk says whether calls for a step may be made in this plan.
-func (p *Pool) mayAsk(s *step, now clock.Time) bool {
-	return p.advice.advisers.Free() > 0 && p.advice.choices < choicesPerPlan && now >= s.advice.notBefore && !s.advice.awaits(now) &&
-		s.time.job.queue.Advice != nil && s.time.job.outcome == ""
+// mayRequestAdvice says whether calls for a step may be made in this plan.
+func (p *Pool) mayRequestAdvice(s *step, now clock.Time) bool {
+	return p.advice.advisers.IdleCount() > 0 && p.advice.selectionsInPlan < maxAdviceSelectionsPerPlan && now >= s.advice.notBefore && !s.advice.hasTimelyCall(now) &&
+		s.occurrence.job.queue.Advice != nil && s.occurrence.job.outcome == ""
 }
 
 // call has one call made that names workers.
-func (p *Pool) call(s *step, names naming, longAtOnce int, now clock.Time, out *Actions) {
-	q := s.time.job.queue
+func (p *Pool) sendAdviceCall(s *step, names adviceTargets, longAtOnce int, now clock.Time, out *Actions) {
+	q := s.occurrence.job.queue
 	cost := q.Advice.Of(len(names.workers))
-	if p.advice.advisers.Free() == 0 || cost >= longAsk && p.advice.long >= longAtOnce {
+	if p.advice.advisers.IdleCount() == 0 || cost >= longCallThreshold && p.advice.longCalls >= longAtOnce {
 		return
 	}
-	adviser := p.advice.advisers.Take()
+	adviser := p.advice.advisers.Acquire()
 	p.advice.last++
-	a := &pendingAsk{step: s, known: names.known, roomy: names.roomy, sentAt: now, cost: cost, queue: q.Name, ask: Ask{
-		Number: p.advice.last, Step: s.id(), Workers: names.workers, Adviser: adviser, Limit: cost + cost/2 + askSlack,
+	a := &pendingAdviceCall{step: s, knownTargets: names.known, targetsWithRoom: names.withRoom, sentAt: now, expectedTime: cost, queue: q.Name, call: AdviceCall{
+		Number: p.advice.last, Step: s.id(), Workers: names.workers, Adviser: adviser, Timeout: cost + cost/2 + adviceTimeoutMargin,
 	}}
-	a.over = advice.CallOver{Customer: s.time.job.customer.Name, Standing: s.standing(now), Starving: p.starves(s, now)}
-	if cost >= longAsk {
-		p.advice.long++
+	a.result = advice.CallResult{Customer: s.occurrence.job.customer.Name, ValueClass: s.valueClass(now), Delayed: p.isAdviceDelayed(s, now)}
+	if cost >= longCallThreshold {
+		p.advice.longCalls++
 	}
-	p.advice.asks[a.ask.Number] = a
-	s.advice.pending = append(s.advice.pending, a)
+	p.advice.pendingCalls[a.call.Number] = a
+	s.advice.pendingCalls = append(s.advice.pendingCalls, a)
 	for _, id := range names.workers {
-		p.nameWorker(s.time.job, id)
+		p.recordWorker(s.occurrence.job, id)
 	}
-	out.Asks = append(out.Asks, a.ask)
+	out.AdviceCalls = append(out.AdviceCalls, a.call)
 	p.cfg.Log(Event{Name: "advice_asked", Task: job.TaskID{StepID: s.id()}, Detail: fmt.Sprintf(
-		"workers=%d known=%d waiting=%d by=%s cost_ms=%d", len(names.workers), names.known, s.waiting(), adviser, cost.Milliseconds())})
+		"workers=%d known=%d waiting=%d by=%s cost_ms=%d", len(names.workers), names.known, s.waitingTasks(), adviser, cost.Milliseconds())})
 }
 
-// AdviceAnswered takes in the answer of a call for advice, or that it failed.
-func (p *Pool) AdviceAnswered(number int64, tickets []Ticket, ok bool, now clock.Time) {
-	a, known := p.advice.asks[number]
+// HandleAdviceAnswer takes in the answer of a call for advice, or that it failed.
+func (p *Pool) HandleAdviceAnswer(number int64, tickets []Ticket, ok bool, now clock.Time) {
+	a, known := p.advice.pendingCalls[number]
 	if !known {
 		return
 	}
-	delete(p.advice.asks, number)
-	p.advice.advisers.Answered(a.ask.Adviser, ok, now)
-	if a.cost >= longAsk {
-		p.advice.long--
+	delete(p.advice.pendingCalls, number)
+	p.advice.advisers.Release(a.call.Adviser, ok, now)
+	if a.expectedTime >= longCallThreshold {
+		p.advice.longCalls--
 	}
-	a.over.Took, a.over.OK = now.Sub(a.sentAt), ok
-	p.advice.tally.AddCall(a.over)
+	a.result.Duration, a.result.OK = now.Sub(a.sentAt), ok
+	p.advice.tally.AddCall(a.result)
 	if ok {
-		p.learnRate(a, tickets)
+		p.updateAllowedRate(a, tickets)
 	}
 	s := a.step
 	if s == nil {
 		p.advice.tally.AddTickets(advice.TicketStepDone, len(tickets))
 		return
 	}
-	s.advice.pending = slices.DeleteFunc(s.advice.pending, func(other *pendingAsk) bool { return other == a })
+	s.advice.pendingCalls = slices.DeleteFunc(s.advice.pendingCalls, func(other *pendingAdviceCall) bool { return other == a })
 	p.cfg.Log(Event{Name: "advice_answered", Task: job.TaskID{StepID: s.id()}, Detail: fmt.Sprintf(
-		"allowed=%d of=%d ok=%t took_ms=%d", len(tickets), len(a.ask.Workers), ok, now.Sub(a.sentAt).Milliseconds())})
-	s.advice.answeredAt = now
-	s.advice.spent += now.Sub(a.sentAt)
-	s.advice.notBefore = now.Add(askAgain)
+		"allowed=%d of=%d ok=%t took_ms=%d", len(tickets), len(a.call.Workers), ok, now.Sub(a.sentAt).Milliseconds())})
+	s.advice.lastAnsweredAt = now
+	s.advice.callTime += now.Sub(a.sentAt)
+	s.advice.notBefore = now.Add(minAdviceInterval)
 	if ok {
-		p.advice.issues = append(p.advice.issues, s.learnAdvice(a, tickets))
+		p.advice.issuedTickets = append(p.advice.issuedTickets, s.recordAdvice(a, tickets))
 	}
 }
 
-// learnRate takes the share of allowed workers among those named for the first time.
-func (p *Pool) learnRate(a *pendingAsk, tickets []Ticket) {
-	fresh := a.ask.Workers[a.known:]
+// updateAllowedRate takes the share of allowed workers among those named for the first time.
+func (p *Pool) updateAllowedRate(a *pendingAdviceCall, tickets []Ticket) {
+	fresh := a.call.Workers[a.knownTargets:]
 	if len(fresh) == 0 {
 		return
 	}
@@ -215,58 +215,58 @@
 	p.advice.rates.Learn(a.queue, allowed, len(fresh))
 }
 
-// learnAdvice keeps what a call for the step told, and returns what it brought.
-func (s *step) learnAdvice(a *pendingAsk, tickets []Ticket) *issue {
-	i := &issue{step: s, until: a.sentAt.Add(a.cost + s.time.job.queue.Advice.Validity)}
+// recordAdvice keeps what a call for the step told, and returns what it brought.
+func (s *step) recordAdvice(a *pendingAdviceCall, tickets []Ticket) *ticketIssue {
+	i := &ticketIssue{step: s, expireAt: a.sentAt.Add(a.expectedTime + s.occurrence.job.queue.Advice.Validity)}
 	uses := make(map[WorkerID]*ticketUse, len(tickets))
 	for _, t := range tickets {
-		u := &ticketUse{worker: t.Worker, hadRoom: slices.Index(a.ask.Workers, t.Worker) < a.roomy}
+		u := &ticketUse{worker: t.Worker, selectedForRoom: slices.Index(a.call.Workers, t.Worker) < a.targetsWithRoom}
 		uses[t.Worker] = u
 		i.tickets = append(i.tickets, u)
 	}
-	s.advice.learn(a, tickets, i.until, uses)
+	s.advice.recordAnswer(a, tickets, i.expireAt, uses)
 	return i
 }
 
-// learn keeps what a call told. The tickets hold from when the service gave them, which it
+// recordAnswer keeps what a call told. The tickets hold from when the service gave them, which it
 // did not do before the call had taken its time.
-func (s *stepAdvice) learn(a *pendingAsk, tickets []Ticket, until clock.Time, uses map[WorkerID]*ticketUse) {
-	if s.good == nil {
-		s.good, s.denied, s.tickets = map[WorkerID]bool{}, map[WorkerID]bool{}, map[WorkerID]ticket{}
+func (s *stepAdvice) recordAnswer(a *pendingAdviceCall, tickets []Ticket, until clock.Time, uses map[WorkerID]*ticketUse) {
+	if s.allowed == nil {
+		s.allowed, s.denied, s.tickets = map[WorkerID]bool{}, map[WorkerID]bool{}, map[WorkerID]ticket{}
 	}
-	for _, id := range a.ask.Workers {
+	for _, id := range a.call.Workers {
 		s.denied[id] = true
 	}
 	for _, t := range tickets {
 		delete(s.denied, t.Worker)
-		s.good[t.Worker] = true
+		s.allowed[t.Worker] = true
 		s.tickets[t.Worker] = ticket{t.Text, until, uses[t.Worker]}
-		s.ticketsUntil = max(s.ticketsUntil, until)
+		s.ticketsExpireAt = max(s.ticketsExpireAt, until)
 	}
 }
 
-// awaits says that calls for the step are on their way, and not too late.
-func (s *stepAdvice) awaits(now clock.Time) bool {
-	return slices.ContainsFunc(s.pending, func(a *pendingAsk) bool { return now <= a.sentAt.Add(a.cost+askLate) })
+// hasTimelyCall says that calls for the step are on their way, and not too late.
+func (s *stepAdvice) hasTimelyCall(now clock.Time) bool {
+	return slices.ContainsFunc(s.pendingCalls, func(a *pendingAdviceCall) bool { return now <= a.sentAt.Add(a.expectedTime+adviceLateAfter) })
 }
 
-// dropAsk makes the answers of a step's pending calls useless.
-func (p *Pool) dropAsk(s *step) {
-	for _, a := range s.advice.pending {
+// abandonAdviceCalls makes the answers of a step's pending calls useless.
+func (p *Pool) abandonAdviceCalls(s *step) {
+	for _, a := range s.advice.pendingCalls {
 		a.step = nil
 	}
-	s.advice.pending = nil
+	s.advice.pendingCalls = nil
 }
 
-// expireAsks gives up calls whose answers do not come.
-func (p *Pool) expireAsks(now clock.Time) {
+// expireAdviceCalls gives up calls whose answers do not come.
+func (p *Pool) expireAdviceCalls(now clock.Time) {
 	const grace = 500 * time.Millisecond
-	p.advice.choices = 0
-	p.advice.advisers.EndRests(now)
-	p.countLapsed(now)
-	for n, a := range p.advice.asks {
-		if now.Sub(a.sentAt) > a.ask.Limit+grace {
-			p.AdviceAnswered(n, nil, false, now)
+	p.advice.selectionsInPlan = 0
+	p.advice.advisers.EndBackoffs(now)
+	p.countExpiredTickets(now)
+	for n, a := range p.advice.pendingCalls {
+		if now.Sub(a.sentAt) > a.call.Timeout+grace {
+			p.HandleAdviceAnswer(n, nil, false, now)
 		}
 	}
 }
--- a/pkg/dispatch/advice_targets_test.go
+++ b/pkg/dispatch/advice_targets_test.go
@@ -21,7 +21,7 @@
 	for _, o := range f.plan().Starts {
 		f.accept(o)
 	}
-	f.pool.PutAdviser("host")
+	f.pool.AddAdviser("host")
 	r := advisedJob("a", testStep(2))
 	r.Queue.Advice = &queue.AdviceCost{Base: base, PerWorker: perWorker, Validity: 2 * time.Second}
 	f.add(r)
@@ -32,31 +32,31 @@
 // began after 18 calls and 49 s.
 func TestWorkersWithoutRoomAreNamedWhenTheFixedPartOfACallIsLong(t *testing.T) {
 	f := fullPool(t, 10, time.Minute, 500*time.Millisecond, 10*time.Millisecond)
-	asks := f.plan().Asks
+	asks := f.plan().AdviceCalls
 	f.Expect(asks).To(HaveLen(1))
 	f.Expect(len(asks[0].Workers)).To(BeNumerically(">=", 4), "enough for a step that needs half a worker")
 }
 
 func TestWorkersWithoutRoomAreNotNamedWhenEachTakesLong(t *testing.T) {
 	f := fullPool(t, 10, time.Minute, 10*time.Millisecond, 20*time.Millisecond)
-	f.Expect(f.plan().Asks).To(BeEmpty())
+	f.Expect(f.plan().AdviceCalls).To(BeEmpty())
 }
 
 func TestWorkersAreNotNamedToLearnWhenEnoughIsKnown(t *testing.T) {
 	f := fullPool(t, 10, time.Minute, 500*time.Millisecond, 10*time.Millisecond)
-	s := f.pool.jobs["a"].times[0].steps[0]
-	s.advice.good = map[WorkerID]bool{"w0": true, "w1": true, "w2": true, "w3": true}
-	f.Expect(f.plan().Asks).To(BeEmpty())
+	s := f.pool.jobs["a"].occurrences[0].steps[0]
+	s.advice.allowed = map[WorkerID]bool{"w0": true, "w1": true, "w2": true, "w3": true}
+	f.Expect(f.plan().AdviceCalls).To(BeEmpty())
 }
 
 func TestTicketIsAskedForWhenTheRoomWillBeThereWithTheAnswer(t *testing.T) {
 	f := fullPool(t, 1, 2*time.Second, 500*time.Millisecond, 10*time.Millisecond)
-	s := f.pool.jobs["a"].times[0].steps[0]
-	s.advice.good = map[WorkerID]bool{"w0": true}
-	f.Expect(f.plan().Asks).To(BeEmpty(), "the room comes in two seconds")
+	s := f.pool.jobs["a"].occurrences[0].steps[0]
+	s.advice.allowed = map[WorkerID]bool{"w0": true}
+	f.Expect(f.plan().AdviceCalls).To(BeEmpty(), "the room comes in two seconds")
 	f.pass(1600 * time.Millisecond)
 	f.report(0, Report{Active: activeRows(f)})
-	f.Expect(f.plan().Asks).To(HaveLen(1))
+	f.Expect(f.plan().AdviceCalls).To(HaveLen(1))
 }
 
 func TestEndOfARunIsExpectedByItsProgress(t *testing.T) {
@@ -66,13 +66,13 @@
 	o := f.plan().Starts[0]
 	f.accept(o)
 	r := f.pool.task(o.Task).current
-	f.Expect(r.left(f.now)).To(Equal(time.Second), "the estimate")
+	f.Expect(r.timeLeft(f.now)).To(Equal(time.Second), "the estimate")
 	for percent := 0; percent <= 25; percent += 25 {
-		f.report(0, Report{Active: []Active{{Task: o.Task, Run: o.Run, Percent: percent}}})
+		f.report(0, Report{Active: []ActiveRun{{Task: o.Task, Run: o.Run, Percent: percent}}})
 		f.pass(time.Second)
 	}
-	f.Expect(r.left(f.now)).To(BeNumerically("~", 2*time.Second, 20*time.Millisecond), "a quarter took one second, one has passed since")
-	f.Expect(f.pool.workers["w0"].roomIn(&step{spec: &job.Step{Count: 1, Resources: testStep(1).Resources}}, f.now)).To(BeZero())
+	f.Expect(r.timeLeft(f.now)).To(BeNumerically("~", 2*time.Second, 20*time.Millisecond), "a quarter took one second, one has passed since")
+	f.Expect(f.pool.workers["w0"].timeUntilRoom(&step{spec: &job.Step{Count: 1, Resources: testStep(1).Resources}}, f.now)).To(BeZero())
 }
 
 // Found by hunts of hanbit-ops-grown (trouble-3 622615977533 and six others: LOST): gangs of 29 to 35 members
@@ -80,19 +80,19 @@
 // tickets and room on all of them together.
 func TestWideGangIsNotAskedForByRoomThatIsOnlyExpected(t *testing.T) {
 	f := fullPool(t, 4, 2*time.Second, 500*time.Millisecond, 10*time.Millisecond)
-	s := f.pool.jobs["a"].times[0].steps[0]
-	f.pool.finish(s.time.job, job.Cancelled)
+	s := f.pool.jobs["a"].occurrences[0].steps[0]
+	f.pool.finishJob(s.occurrence.job, job.Cancelled)
 	r := advisedJob("wide", testStep(12))
 	r.Job.Steps[0].Gang = true
 	r.Queue.Advice = &queue.AdviceCost{Base: 500 * time.Millisecond, PerWorker: 10 * time.Millisecond, Validity: 2 * time.Second}
 	f.add(r)
-	wide := f.pool.jobs["wide"].times[0].steps[0]
-	wide.advice.good = map[WorkerID]bool{"w0": true, "w1": true, "w2": true, "w3": true}
+	wide := f.pool.jobs["wide"].occurrences[0].steps[0]
+	wide.advice.allowed = map[WorkerID]bool{"w0": true, "w1": true, "w2": true, "w3": true}
 	f.pass(1600 * time.Millisecond)
 	for n := range 4 {
-		f.pool.workers[workerID(n)].lastAnswer = f.now
+		f.pool.workers[workerID(n)].lastAnsweredAt = f.now
 	}
-	f.Expect(f.plan().Asks).To(BeEmpty(), "the room is expected in 0.4 s, and not there")
+	f.Expect(f.plan().AdviceCalls).To(BeEmpty(), "the room is expected in 0.4 s, and not there")
 }
 
 func TestWorkersWithMostRoomComeFirst(t *testing.T) {
@@ -100,24 +100,24 @@
 	for i := range workers {
 		workers[i] = &worker{info: WorkerInfo{ID: workerID(i)}}
 	}
-	var in []roomy
+	var in []workerRoom
 	for i, room := range []int{1, 3, 0, 3, 2, 1, 3} {
-		in = append(in, roomy{workers[i], room})
+		in = append(in, workerRoom{workers[i], room})
 	}
 	want := slices.Clone(in)
-	slices.SortStableFunc(want, func(a, b roomy) int { return b.room - a.room })
+	slices.SortStableFunc(want, func(a, b workerRoom) int { return b.room - a.room })
 	g := NewWithT(t)
-	g.Expect(mostRoomFirst(in)).To(Equal(want))
-	g.Expect(mostRoomFirst(nil)).To(BeEmpty())
+	g.Expect(sortByRoom(in)).To(Equal(want))
+	g.Expect(sortByRoom(nil)).To(BeEmpty())
 }
 
 // Guards against a step that waits for the room of a run which should have ended long ago, while other workers have room.
 func TestStepDoesNotWaitForTheRoomOfARunThatIsOverdue(t *testing.T) {
 	f := fullPool(t, 1, time.Second, 10*time.Millisecond, 100*time.Microsecond)
-	f.pool.jobs["a"].times[0].steps[0].tasks[0].setDone()
-	var runs []Active
+	f.pool.jobs["a"].occurrences[0].steps[0].tasks[0].setDone()
+	var runs []ActiveRun
 	for _, r := range f.pool.workers["w0"].runs {
-		runs = append(runs, Active{Task: r.task.id(), Run: r.number, Percent: almostDone})
+		runs = append(runs, ActiveRun{Task: r.task.id(), Run: r.number, Percent: almostDone})
 	}
 	f.pass(1500 * time.Millisecond)
 	f.report(0, Report{Active: runs})
@@ -138,7 +138,7 @@
 	for _, s := range actions.Starts {
 		f.accept(s)
 	}
-	for _, a := range actions.Asks {
+	for _, a := range actions.AdviceCalls {
 		var tickets []Ticket
 		for _, w := range a.Workers {
 			if slices.Contains(allowed, w) {
@@ -146,6 +146,6 @@
 			}
 		}
 		f.pass(10 * time.Millisecond)
-		f.pool.AdviceAnswered(a.Number, tickets, true, f.now)
+		f.pool.HandleAdviceAnswer(a.Number, tickets, true, f.now)
 	}
 }
--- a/pkg/dispatch/advice_test.go
+++ b/pkg/dispatch/advice_test.go
@@ -19,15 +19,15 @@
 func TestAdviceComesBeforeStarts(t *testing.T) {
 	f := newFixture(t, 3, nil)
 	f.reportAll(3)
-	f.pool.PutAdviser("host")
+	f.pool.AddAdviser("host")
 	f.add(advisedJob("a", testStep(2)))
 	actions := f.plan()
 	f.Expect(actions.Starts).To(BeEmpty())
-	f.Expect(actions.Asks).To(HaveLen(1))
-	ask := actions.Asks[0]
-	f.Expect(f.plan().Asks).To(BeEmpty(), "one call a step")
+	f.Expect(actions.AdviceCalls).To(HaveLen(1))
+	ask := actions.AdviceCalls[0]
+	f.Expect(f.plan().AdviceCalls).To(BeEmpty(), "one call a step")
 	f.pass(50 * time.Millisecond)
-	f.pool.AdviceAnswered(ask.Number, []Ticket{{Worker: ask.Workers[0], Text: "t1"}}, true, f.now)
+	f.pool.HandleAdviceAnswer(ask.Number, []Ticket{{Worker: ask.Workers[0], Text: "t1"}}, true, f.now)
 	starts := f.plan().Starts
 	f.Expect(starts).To(HaveLen(2))
 	for _, s := range starts {
@@ -39,10 +39,10 @@
 func TestLapsedTicketIsAskedForAgain(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.reportAll(1)
-	f.pool.PutAdviser("host")
+	f.pool.AddAdviser("host")
 	f.add(advisedJob("a", testStep(5)))
-	ask := f.plan().Asks[0]
-	f.pool.AdviceAnswered(ask.Number, []Ticket{{Worker: "w0", Text: "t1"}}, true, f.now)
+	ask := f.plan().AdviceCalls[0]
+	f.pool.HandleAdviceAnswer(ask.Number, []Ticket{{Worker: "w0", Text: "t1"}}, true, f.now)
 	starts := f.plan().Starts
 	f.Expect(starts).To(HaveLen(4))
 	for _, s := range starts {
@@ -52,7 +52,7 @@
 	f.report(0, f.end(starts[0], 1, EndDone))
 	actions := f.plan()
 	f.Expect(actions.Starts).To(BeEmpty(), "the ticket has lapsed")
-	f.Expect(actions.Asks).To(HaveLen(1))
+	f.Expect(actions.AdviceCalls).To(HaveLen(1))
 }
 
 func TestLongCallsLeaveHostsForShortOnes(t *testing.T) {
@@ -71,14 +71,14 @@
 	f := newFixture(t, 3, nil)
 	f.reportAll(3)
 	for _, name := range hosts {
-		f.pool.PutAdviser(name)
+		f.pool.AddAdviser(name)
 	}
 	for _, id := range []string{"1", "2", "3", "4"} {
 		r := advisedJob(id, testStep(1))
 		r.Queue.Advice = &queue.AdviceCost{Base: 500 * time.Millisecond, Validity: time.Second}
 		f.add(r)
 	}
-	f.Expect(f.plan().Asks).To(HaveLen(calls))
+	f.Expect(f.plan().AdviceCalls).To(HaveLen(calls))
 }
 
 // A call with a long fixed time names so many workers that it most likely suffices; one
@@ -87,12 +87,12 @@
 	named := func(base, perWorker time.Duration) int {
 		f := newFixture(t, 40, nil)
 		f.reportAll(40)
-		f.pool.PutAdviser("host")
+		f.pool.AddAdviser("host")
 		f.pool.advice.rates["advised"] = 0.3
 		r := advisedJob("a", testStep(8)) // two workers have room for all
 		r.Queue.Advice = &queue.AdviceCost{Base: base, PerWorker: perWorker, Validity: time.Second}
 		f.add(r)
-		return len(f.plan().Asks[0].Workers)
+		return len(f.plan().AdviceCalls[0].Workers)
 	}
 	f := NewWithT(t)
 	f.Expect(named(400*time.Millisecond, 6*time.Millisecond)).To(BeNumerically(">", 15))
@@ -104,21 +104,21 @@
 func TestGangAsksAgainForTicketsThatLapseDuringTheCall(t *testing.T) {
 	f := newFixture(t, 6, nil)
 	f.reportAll(6)
-	f.pool.PutAdviser("host")
+	f.pool.AddAdviser("host")
 	s := testStep(12) // on three workers
 	s.Gang = true
 	r := advisedJob("a", s)
 	r.Queue.Advice = &queue.AdviceCost{Base: 600 * time.Millisecond, Validity: time.Second}
 	f.add(r)
-	first := f.plan().Asks[0]
+	first := f.plan().AdviceCalls[0]
 	f.pass(600 * time.Millisecond)
 	f.reportAll(6)
 	allowed := first.Workers[:2]
-	f.pool.AdviceAnswered(first.Number, []Ticket{{Worker: allowed[0], Text: "t"}, {Worker: allowed[1], Text: "t"}}, true, f.now)
+	f.pool.HandleAdviceAnswer(first.Number, []Ticket{{Worker: allowed[0], Text: "t"}, {Worker: allowed[1], Text: "t"}}, true, f.now)
 	f.addWorker(6)
 	f.reportAll(7)
 	f.pass(500 * time.Millisecond)
-	second := f.plan().Asks[0]
+	second := f.plan().AdviceCalls[0]
 	f.Expect(second.Workers).To(ContainElements(allowed))
 	f.Expect(second.Workers).To(ContainElement(workerID(6)))
 }
@@ -126,14 +126,14 @@
 func TestCallOfAHostThatLeftIsMadeAnew(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.reportAll(1)
-	f.pool.PutAdviser("host")
+	f.pool.AddAdviser("host")
 	f.add(advisedJob("a", testStep(1)))
-	f.Expect(f.plan().Asks).To(HaveLen(1))
+	f.Expect(f.plan().AdviceCalls).To(HaveLen(1))
 	f.pool.RemoveAdviser("host", f.now)
-	f.pool.PutAdviser("other")
+	f.pool.AddAdviser("other")
 	f.pass(time.Second)
 	f.report(0, Report{})
-	asks := f.plan().Asks
+	asks := f.plan().AdviceCalls
 	f.Expect(asks).To(HaveLen(1))
 	f.Expect(asks[0].Adviser).To(Equal("other"))
 }
--- a/pkg/dispatch/bench_test.go
+++ b/pkg/dispatch/bench_test.go
@@ -13,19 +13,19 @@
 func BenchmarkPlan(b *testing.B) {
 	f := newFixture(&testing.T{}, 48, nil)
 	f.reportAll(48)
-	f.pool.PutAdviser("host")
+	f.pool.AddAdviser("host")
 	for n := range 400 {
 		s := testStep(8)
 		s.Resources = cell.Resources{CPUMillis: 900, MemoryMB: 900}
 		f.add(advisedJob(fmt.Sprintf("%016d", n), s))
 	}
 	for range 100 {
-		for _, a := range f.plan().Asks {
+		for _, a := range f.plan().AdviceCalls {
 			var tickets []Ticket
 			for _, w := range a.Workers[:(len(a.Workers)+1)/2] {
 				tickets = append(tickets, Ticket{Worker: w, Text: "t"})
 			}
-			f.pool.AdviceAnswered(a.Number, tickets, true, f.now)
+			f.pool.HandleAdviceAnswer(a.Number, tickets, true, f.now)
 		}
 		for _, s := range f.plan().Starts {
 			f.accept(s)
@@ -46,8 +46,8 @@
 	s := testStep(30)
 	s.Gang = true
 	f.add(advisedJob("a", s))
-	waiting := f.pool.jobs["a"].times[0].steps[0]
+	waiting := f.pool.jobs["a"].occurrences[0].steps[0]
 	for b.Loop() {
-		f.pool.name(waiting, newReservations(), advice.Prices{Cost: *waiting.time.job.queue.Advice, Free: 1, Most: 1}, f.now)
+		f.pool.selectAdviceTargets(waiting, newReservations(), advice.Prices{Cost: *waiting.occurrence.job.queue.Advice, FreeAdvisers: 1, MaxCalls: 1}, f.now)
 	}
 }
--- a/pkg/dispatch/busy_backlog_test.go
+++ b/pkg/dispatch/busy_backlog_test.go
@@ -20,7 +20,7 @@
 )
 
 // newBacklogPool returns a busy pool of 20 customers in which a number of steps wait, of two of them.
-func newBacklogPool(steps int, without Without) *busyPool {
+func newBacklogPool(steps int, without DisabledMechanisms) *busyPool {
 	p := newBusyPool(busyKinds, without)
 	var hot []customer.Customer
 	for n := range hotCustomers + otherCustomers {
@@ -54,7 +54,7 @@
 				p.play(time.Second)
 			}
 			b.ReportMetric(float64(p.started-began)/float64(b.N), "starts/op")
-			b.ReportMetric(float64(p.pool.ready.count), "ready")
+			b.ReportMetric(float64(p.pool.waitingSteps.stepCount), "ready")
 		})
 	}
 }
--- a/pkg/dispatch/busy_pool_test.go
+++ b/pkg/dispatch/busy_pool_test.go
@@ -77,7 +77,7 @@
 	rand    *rand.Rand
 	events  busyEvents
 	numbers map[WorkerID]int64
-	active  map[WorkerID]map[job.TaskID]Start
+	active  map[WorkerID]map[job.TaskID]StartOrder
 	jobs    int
 	started int
 	allowed map[string]float64
@@ -90,15 +90,15 @@
 }
 
 // newBusyPool returns a pool into which jobs of some kinds arrive.
-func newBusyPool(kinds []busyKind, without Without) *busyPool {
+func newBusyPool(kinds []busyKind, without DisabledMechanisms) *busyPool {
 	return newBusyPoolOf(kinds, busyWorkers, busyAdvisers, 1, without)
 }
 
 // newBusyPoolOf returns one with a number of workers and of hosts that make calls for advice.
-func newBusyPoolOf(kinds []busyKind, workers, advisers int, seed uint64, without Without) *busyPool {
+func newBusyPoolOf(kinds []busyKind, workers, advisers int, seed uint64, without DisabledMechanisms) *busyPool {
 	b := &busyPool{
-		fixture: newFixture(&testing.T{}, 0, func(c *Config) { c.Log, c.Without = func(Event) {}, without }), rand: rand.New(rand.NewPCG(seed, 2)),
-		numbers: map[WorkerID]int64{}, active: map[WorkerID]map[job.TaskID]Start{}, allowed: map[string]float64{},
+		fixture: newFixture(&testing.T{}, 0, func(c *Config) { c.Log, c.Disabled = func(Event) {}, without }), rand: rand.New(rand.NewPCG(seed, 2)),
+		numbers: map[WorkerID]int64{}, active: map[WorkerID]map[job.TaskID]StartOrder{}, allowed: map[string]float64{},
 	}
 	b.plan = b.pool.Plan
 	for _, k := range kinds {
@@ -110,12 +110,12 @@
 		b.addWorker(n)
 		w := b.pool.workers[workerID(n)]
 		w.info.Capacity = cell.Resources{CPUMillis: 16000, MemoryMB: 65536}
-		b.active[workerID(n)] = map[job.TaskID]Start{}
+		b.active[workerID(n)] = map[job.TaskID]StartOrder{}
 		b.at(time.Duration(n)*busyHold/time.Duration(workers), func() { b.holdAgain(workerID(n)) })
 	}
 	b.reportAll(workers)
 	for n := range advisers {
-		b.pool.PutAdviser(fmt.Sprintf("host-%d", n))
+		b.pool.AddAdviser(fmt.Sprintf("host-%d", n))
 	}
 	return b
 }
@@ -157,20 +157,20 @@
 	b.at(busyHold, func() { b.holdAgain(id) })
 }
 
-func (b *busyPool) tell(id WorkerID, ended []Finished) {
-	h, ok := b.pool.HoldFor(id, false, true, b.now)
+func (b *busyPool) tell(id WorkerID, ended []FinishedRun) {
+	h, ok := b.pool.NewPoll(id, false, true, b.now)
 	if !ok {
 		return
 	}
 	report := Report{Finished: ended}
 	for _, s := range b.active[id] {
-		report.Active = append(report.Active, Active{Task: s.Task, Run: s.Run, Percent: 10})
+		report.Active = append(report.Active, ActiveRun{Task: s.Task, Run: s.Run, Percent: 10})
 	}
-	b.pool.HoldAnswered(h, Answer{Verdict: VerdictDone, Clock: b.workerClock}, report, b.now)
+	b.pool.HandlePollAnswer(h, Answer{Verdict: VerdictDone, Clock: b.workerClock}, report, b.now)
 }
 
 // start has a worker carry out a start, and end the task by its estimate.
-func (b *busyPool) start(s Start) {
+func (b *busyPool) start(s StartOrder) {
 	b.started++
 	b.active[s.Worker][s.Task] = s
 	b.accept(s)
@@ -181,17 +181,17 @@
 	b.at(t.step.spec.Estimate, func() { b.end(s, EndDone) })
 }
 
-func (b *busyPool) end(s Start, how End) {
+func (b *busyPool) end(s StartOrder, how EndReason) {
 	if held, ok := b.active[s.Worker][s.Task]; !ok || held.Run != s.Run {
 		return
 	}
 	delete(b.active[s.Worker], s.Task)
 	b.numbers[s.Worker]++
-	b.tell(s.Worker, []Finished{{Number: b.numbers[s.Worker], Task: s.Task, Run: s.Run, How: how}})
+	b.tell(s.Worker, []FinishedRun{{Number: b.numbers[s.Worker], Task: s.Task, Run: s.Run, Reason: how}})
 }
 
-func (b *busyPool) answer(a Ask) {
-	s := b.pool.advice.asks[a.Number]
+func (b *busyPool) answer(a AdviceCall) {
+	s := b.pool.advice.pendingCalls[a.Number]
 	if s == nil {
 		return
 	}
@@ -202,7 +202,7 @@
 			tickets = append(tickets, Ticket{Worker: w, Text: "t"})
 		}
 	}
-	b.pool.AdviceAnswered(a.Number, tickets, true, b.now)
+	b.pool.HandleAdviceAnswer(a.Number, tickets, true, b.now)
 }
 
 // allowed is below the share of allowed workers if a step may run on a worker.
@@ -219,7 +219,7 @@
 		for len(b.events) > 0 && b.events[0].at <= b.now {
 			heap.Pop(&b.events).(busyEvent).do()
 		}
-		b.pool.Confirmed(b.now)
+		b.pool.RecordOwnershipConfirmed(b.now)
 		actions := b.plan(b.now, true)
 		if b.planned != nil {
 			b.planned(actions)
@@ -228,13 +228,13 @@
 			b.at(busyStart, func() { b.start(s) })
 		}
 		for _, s := range actions.Stops {
-			b.at(busyStart, func() { b.end(Start{Task: s.Task, Run: s.Run, Worker: s.Worker}, EndStopped) })
+			b.at(busyStart, func() { b.end(StartOrder{Task: s.Task, Run: s.Run, Worker: s.Worker}, EndStopped) })
 		}
-		for _, a := range actions.Asks {
-			b.at(b.pool.advice.asks[a.Number].cost, func() { b.answer(a) })
+		for _, a := range actions.AdviceCalls {
+			b.at(b.pool.advice.pendingCalls[a.Number].expectedTime, func() { b.answer(a) })
 		}
-		c := b.pool.TakeCommit()
-		b.pool.Committed(c)
+		c := b.pool.PrepareCommit()
+		b.pool.ApplyCommit(c)
 	}
 }
 
@@ -283,11 +283,11 @@
 	gangs.perSecond = 0.1
 	gangs.step.Resources.CPUMillis = 7000
 	for name, c := range map[string]struct {
-		without Without
+		without DisabledMechanisms
 		starts  int
 	}{
 		"calls in parts":     {nil, 240},
-		"one call at a time": {only(AdviceInParts), 0},
+		"one call at a time": {only(ParallelAdvice), 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newBusyPool([]busyKind{gangs}, c.without)
--- a/pkg/dispatch/cancel_test.go
+++ b/pkg/dispatch/cancel_test.go
@@ -15,14 +15,14 @@
 	f.reportAll(1)
 	f.add(testJob("a", testStep(1)))
 	s := f.plan().Starts[0]
-	f.pool.StartAnswered(s, Answer{}, errors.New("no answer"), f.now)
+	f.pool.HandleStartAnswer(s, Answer{}, errors.New("no answer"), f.now)
 	f.pool.Cancel("a")
 	for range 3 { // nothing runs yet
 		f.pass(time.Second)
 		f.report(0, Report{})
 		f.plan()
 	}
-	f.report(0, Report{Active: []Active{{Task: s.Task, Run: s.Run}}})
+	f.report(0, Report{Active: []ActiveRun{{Task: s.Task, Run: s.Run}}})
 	f.Expect(stoppedRuns(f.plan())).To(ConsistOf(s.Run))
 }
 
@@ -32,7 +32,7 @@
 	f.add(testJob("a", testStep(1)))
 	f.pool.Cancel("a")
 	task := job.TaskID{StepID: job.StepID{Job: "a"}}
-	f.report(0, Report{Active: []Active{{Task: task, Run: 1}}})
+	f.report(0, Report{Active: []ActiveRun{{Task: task, Run: 1}}})
 	f.Expect(stoppedRuns(f.plan())).To(ConsistOf(1))
 }
 
--- a/pkg/dispatch/capacity_test.go
+++ b/pkg/dispatch/capacity_test.go
@@ -13,7 +13,7 @@
 func (f *fixture) resize(n int, cpu int64) {
 	info := f.pool.workers[workerID(n)].info
 	info.Capacity = cell.Resources{CPUMillis: cpu, MemoryMB: 8000}
-	f.pool.PutWorker(info, true, f.now)
+	f.pool.UpsertWorker(info, true, f.now)
 }
 
 func TestWorkerThatShrinksGetsNothingUntilItHasRoomAgain(t *testing.T) {
@@ -37,10 +37,10 @@
 }
 
 // endFirst is a report by which the first n of the starts have ended and the others run.
-func (f *fixture) endFirst(starts []Start, n int) Report {
+func (f *fixture) endFirst(starts []StartOrder, n int) Report {
 	r := f.end(starts[n-1], int64(n), EndDone)
 	for _, s := range starts[n:] {
-		r.Active = append(r.Active, Active{Task: s.Task, Run: s.Run, Percent: 50})
+		r.Active = append(r.Active, ActiveRun{Task: s.Task, Run: s.Run, Percent: 50})
 	}
 	return r
 }
@@ -71,11 +71,11 @@
 			f.reportAll(1)
 			f.pool.AddJob(testJob("a", testStep(1)), crashedOnce(), true, 0, f.now)
 			f.Expect(f.plan().Starts).To(BeEmpty(), "the start is not in the store")
-			c := f.pool.TakeCommit()
-			f.Expect(c.Starts()).To(BeTrue())
+			c := f.pool.PrepareCommit()
+			f.Expect(c.HasStarts()).To(BeTrue())
 			f.Expect(c.Changes[0].Progress.Tasks[0].Attempts).To(HaveLen(1))
 			change(f)
-			f.pool.Committed(c)
+			f.pool.ApplyCommit(c)
 			f.Expect(f.plan().Starts).To(BeEmpty())
 			f.Expect(f.pool.workers["w0"].runs).To(BeEmpty())
 		})
@@ -88,14 +88,14 @@
 	f.reportAll(1)
 	f.pool.AddJob(testJob("a", testStep(1)), crashedOnce(), true, 0, f.now)
 	f.plan()
-	f.pool.Committed(f.pool.TakeCommit())
+	f.pool.ApplyCommit(f.pool.PrepareCommit())
 	starts := f.plan().Starts
 	f.Expect(starts).To(HaveLen(1))
 	f.Expect(starts[0].Run).To(Equal(2))
 	f.accept(starts[0])
 	f.pass(time.Second)
-	f.report(0, Report{Active: []Active{{Task: starts[0].Task, Run: 2, Percent: 40}}})
-	c := f.pool.TakeCommit()
+	f.report(0, Report{Active: []ActiveRun{{Task: starts[0].Task, Run: 2, Percent: 40}}})
+	c := f.pool.PrepareCommit()
 	f.Expect(c.Changes).To(HaveLen(1))
 	f.Expect(c.Changes[0].Progress.Tasks).To(BeEmpty(), "the worker has survived the start")
 }
@@ -108,7 +108,7 @@
 func (f *fixture) drain(n int) {
 	info := f.pool.workers[workerID(n)].info
 	info.Draining = true
-	f.pool.PutWorker(info, true, f.now)
+	f.pool.UpsertWorker(info, true, f.now)
 }
 
 // A worker is lost while the store takes a start on it. The start was never ordered, so a later owner must not find it.
@@ -117,13 +117,13 @@
 	f.reportAll(1)
 	f.pool.AddJob(testJob("a", testStep(1)), crashedOnce(), true, 0, f.now)
 	f.plan()
-	c := f.pool.TakeCommit()
+	c := f.pool.PrepareCommit()
 	f.Expect(c.Changes[0].Progress.Tasks[0].Attempts).To(HaveLen(1))
-	h, _ := f.pool.HoldFor("w0", false, true, f.now)
-	f.pool.HoldAnswered(h, Answer{Verdict: VerdictOtherIncarnation}, Report{}, f.now)
-	f.pool.Committed(c)
+	h, _ := f.pool.NewPoll("w0", false, true, f.now)
+	f.pool.HandlePollAnswer(h, Answer{Verdict: VerdictWrongWorker}, Report{}, f.now)
+	f.pool.ApplyCommit(c)
 	f.Expect(f.plan().Starts).To(BeEmpty())
-	after := f.pool.TakeCommit()
+	after := f.pool.PrepareCommit()
 	f.Expect(after.Changes).To(HaveLen(1))
 	f.Expect(after.Changes[0].Progress.Tasks[0].Attempts).To(BeEmpty())
 	f.Expect(after.Changes[0].Progress.Tasks[0].Crashes).To(HaveLen(1), "the one before")
@@ -136,8 +136,8 @@
 	f.pool.AddJob(testJob("a", testStep(1)), progress, true, 0, f.now)
 	f.pool.workers["w0"].clock = f.workerClock + 10_000
 	f.report(0, Report{})
-	f.Expect(f.pool.jobs["a"].times[0].steps[0].tasks[0].crash.Attempts()).To(HaveLen(1))
+	f.Expect(f.pool.jobs["a"].occurrences[0].steps[0].tasks[0].crash.Attempts()).To(HaveLen(1))
 	f.workerClock += 20_000
 	f.report(0, Report{})
-	f.Expect(f.pool.jobs["a"].times[0].steps[0].tasks[0].crash.Attempts()).To(BeEmpty())
+	f.Expect(f.pool.jobs["a"].occurrences[0].steps[0].tasks[0].crash.Attempts()).To(BeEmpty())
 }
--- a/pkg/dispatch/cordon.go
+++ b/pkg/dispatch/cordon.go
@@ -2,58 +2,58 @@
 
 import "slices"
 
-// Close keeps exactly the named workers from getting new tasks, in all their lives.
-func (p *Pool) Close(names map[string]bool) {
+// SetCordoned keeps exactly the named workers from getting new tasks, in all their lives.
+func (p *Pool) SetCordoned(names map[string]bool) {
 	for name := range names {
-		p.lineageOf(name)
+		p.historyOf(name)
 	}
-	for name, l := range p.lineages {
-		l.closed = names[name]
+	for name, l := range p.workerHistories {
+		l.cordoned = names[name]
 	}
 }
 
 // Empty says whether a worker may be taken away: nothing runs there any more. With force,
 // what runs there is moved first; a step that lasts loses no more tasks than it allows.
-func (p *Pool) Empty(name string, force bool) bool {
-	l, ok := p.lineages[name]
+func (p *Pool) VacateWorker(name string, force bool) bool {
+	l, ok := p.workerHistories[name]
 	if !ok {
 		return true
 	}
 	empty := true
-	for _, w := range slices.Clone(l.lives) {
-		empty = p.empty(w, force) && empty
+	for _, w := range slices.Clone(l.incarnations) {
+		empty = p.vacate(w, force) && empty
 	}
 	return empty
 }
 
-func (p *Pool) empty(w *worker, force bool) bool {
-	if w.gone {
+func (p *Pool) vacate(w *worker, force bool) bool {
+	if w.terminated {
 		return true
 	}
-	if !w.reported || !w.line.closed {
+	if !w.reported || !w.history.cordoned {
 		return false
 	}
 	for _, r := range sortedRuns(w) {
 		lasting := r.task.step.spec.LongRunning
-		if (force || lasting) && r.state == runActive && !r.stopAsked && r.task.step.spares(r.task) {
-			p.move(r, "its machine goes into upkeep")
+		if (force || lasting) && r.state == runActive && !r.stopRequested && r.task.step.toleratesAbsenceOf(r.task) {
+			p.restartElsewhere(r, "its machine goes into upkeep")
 		}
 	}
-	return len(w.runs) == 0 && w.foreign == 0 && len(w.unread) == 0
+	return len(w.runs) == 0 && w.orphanRuns == 0 && len(w.deferredEnds) == 0
 }
 
-// atWork is the progress of a lasting task that serves.
-const atWork = 100
+// servingPercent is the progress of a lasting task that serves.
+const servingPercent = 100
 
-// spares says whether a step bears that one more of its tasks is away.
-func (s *step) spares(t *task) bool {
+// toleratesAbsenceOf says whether a step bears that one more of its tasks is away.
+func (s *step) toleratesAbsenceOf(t *task) bool {
 	if !s.spec.LongRunning || s.spec.MissAllowed == 0 {
 		return true
 	}
 	away := 0
 	for i := range s.tasks {
 		x := &s.tasks[i]
-		if x != t && (x.current == nil || x.current.state != runActive || x.current.stopAsked || x.current.progress.Percent < atWork) {
+		if x != t && (x.current == nil || x.current.state != runActive || x.current.stopRequested || x.current.progress.Percent < servingPercent) {
 			away++
 		}
 	}
--- a/pkg/dispatch/crash_test.go
+++ b/pkg/dispatch/crash_test.go
@@ -17,7 +17,7 @@
 )
 
 // mostCrashes is how many crashes in a row give a task up whatever else crashed.
-const mostCrashes = crash.MostInARow
+const mostCrashes = crash.MaxConsecutiveCrashes
 
 // A task may crash each worker that starts it. The worker is silent from 10 ms after the start on, and seconds later
 // another incarnation answers at its address. An owner took that for a run like one on a worker that was cut off, ended
@@ -250,7 +250,7 @@
 	downAt  clock.Time // when the present life ended; 0 while it goes on
 	cut     bool
 	runs    map[job.TaskID]machineRun
-	ends    []Finished
+	ends    []FinishedRun
 	lastEnd int64
 }
 
@@ -325,23 +325,23 @@
 func (m *machines) newOwner() {
 	m.term++
 	m.pool = New(Config{
-		Hold: 5700 * time.Millisecond, MaxHold: 5700 * time.Millisecond, Drain: time.Second, StopGrace: 400 * time.Millisecond,
-		Token: m.term << 20, Term: m.term, FirstRun: int(m.term) * 1000, Takeover: m.term > 1,
-		Wall: func() time.Time { return time.Unix(1_700_000_000, 0) }, Log: func(Event) {},
+		LeaseDuration: 5700 * time.Millisecond, MaxLeaseDuration: 5700 * time.Millisecond, MinDrainTime: time.Second, StopGrace: 400 * time.Millisecond,
+		Token: m.term << 20, Term: m.term, RunNumberBase: int(m.term) * 1000, HasPreviousOwner: m.term > 1,
+		WallClock: func() time.Time { return time.Unix(1_700_000_000, 0) }, Log: func(Event) {},
 	}, m.now)
 	m.pool.SetConfig(queue.NewConfig(1, []queue.Queue{testQueue}, nil))
 	for n, w := range m.workers {
 		if w.downAt == 0 || m.now.Sub(w.downAt) < downFor {
-			m.pool.PutWorker(m.info(n), true, m.now)
+			m.pool.UpsertWorker(m.info(n), true, m.now)
 		}
 	}
 	for _, w := range m.roster {
 		if w.Crashed {
-			m.pool.MissCrash(w)
+			m.pool.RecordUncountedCrash(w)
 			continue
 		}
 		if !slices.ContainsFunc(m.pool.Workers(), func(x WorkerInfo) bool { return x.ID == w.ID }) {
-			m.pool.PutWorker(w, false, m.now)
+			m.pool.UpsertWorker(w, false, m.now)
 		}
 	}
 	for id, r := range m.records {
@@ -352,14 +352,14 @@
 		p, stored := m.progress[id]
 		m.pool.AddJob(r, p, stored, 0, m.now)
 	}
-	m.pool.SetLoaded()
+	m.pool.MarkJobsLoaded()
 	m.writeRoster()
 }
 
 func (m *machines) writeRoster() {
 	m.roster = m.pool.Roster()
 	for _, w := range m.roster {
-		m.pool.Rostered([]WorkerID{w.ID})
+		m.pool.MarkInRoster([]WorkerID{w.ID})
 	}
 }
 
@@ -420,10 +420,10 @@
 	w.downAt = m.now
 	w.runs, w.ends, w.lastEnd = map[job.TaskID]machineRun{}, nil, 0
 	m.later(downFor, func() {
-		m.pool.UnlistWorker(m.id(n), false, m.now)
+		m.pool.RemoveEntry(m.id(n), false, m.now)
 		w.life++
 		w.downAt = 0
-		m.pool.PutWorker(m.info(n), true, m.now)
+		m.pool.UpsertWorker(m.info(n), true, m.now)
 		m.writeRoster()
 	})
 }
@@ -438,10 +438,10 @@
 }
 
 // end ends a run; the worker lists that until it is noted.
-func (m *machines) end(n int, id job.TaskID, how End) {
+func (m *machines) end(n int, id job.TaskID, how EndReason) {
 	w := m.workers[n]
 	w.lastEnd++
-	w.ends = append(w.ends, Finished{Number: w.lastEnd, Task: id, Run: w.runs[id].number, How: how})
+	w.ends = append(w.ends, FinishedRun{Number: w.lastEnd, Task: id, Run: w.runs[id].number, Reason: how})
 	delete(w.runs, id)
 }
 
@@ -460,24 +460,24 @@
 	m.asked[n] = m.now.Add(holdEvery)
 	for life := max(1, w.life-2); life <= w.life; life++ {
 		id := WorkerID(fmt.Sprintf("m%d-%d", n, life))
-		h, ok := m.pool.HoldFor(id, false, true, m.now)
+		h, ok := m.pool.NewPoll(id, false, true, m.now)
 		switch {
 		case !ok || w.downAt != 0 || w.cut:
 		case life < w.life:
-			m.pool.HoldAnswered(h, Answer{Verdict: VerdictOtherIncarnation}, Report{}, m.now)
+			m.pool.HandlePollAnswer(h, Answer{Verdict: VerdictWrongWorker}, Report{}, m.now)
 		default:
-			w.ends = slices.DeleteFunc(w.ends, func(f Finished) bool { return f.Number <= h.LastSeen })
+			w.ends = slices.DeleteFunc(w.ends, func(f FinishedRun) bool { return f.Number <= h.AckedEnd })
 			report := Report{Finished: slices.Clone(w.ends)}
 			for id, r := range w.runs {
-				report.Active = append(report.Active, Active{Task: id, Run: r.number, Percent: 50})
+				report.Active = append(report.Active, ActiveRun{Task: id, Run: r.number, Percent: 50})
 			}
-			m.pool.HoldAnswered(h, Answer{Verdict: VerdictDone, Clock: int64(m.now)}, report, m.now)
+			m.pool.HandlePollAnswer(h, Answer{Verdict: VerdictDone, Clock: int64(m.now)}, report, m.now)
 		}
 	}
 }
 
 func (m *machines) plan() {
-	m.pool.Confirmed(m.now)
+	m.pool.RecordOwnershipConfirmed(m.now)
 	actions := m.pool.Plan(m.now, true)
 	for _, s := range actions.Stops {
 		n, _ := m.find(s.Worker)
@@ -489,11 +489,11 @@
 		n, life := m.find(s.Worker)
 		w := m.workers[n]
 		if w.downAt != 0 || w.cut || life != w.life {
-			m.pool.StartAnswered(s, Answer{}, fmt.Errorf("no answer"), m.now)
+			m.pool.HandleStartAnswer(s, Answer{}, fmt.Errorf("no answer"), m.now)
 			continue
 		}
 		w.runs[s.Task] = machineRun{number: s.Run, endsAt: m.now.Add(runFor)}
-		m.pool.StartAnswered(s, Answer{Verdict: VerdictDone, Clock: int64(m.now)}, nil, m.now)
+		m.pool.HandleStartAnswer(s, Answer{Verdict: VerdictDone, Clock: int64(m.now)}, nil, m.now)
 		m.at = n
 		m.begun(s.Task)
 		if m.crashes[s.Task.Job] {
@@ -511,8 +511,8 @@
 }
 
 func (m *machines) commit() {
-	c := m.pool.TakeCommit()
-	if c.Empty() {
+	c := m.pool.PrepareCommit()
+	if c.IsEmpty() {
 		return
 	}
 	for _, change := range c.Changes {
@@ -522,5 +522,5 @@
 			m.progress[change.Job] = change.Progress
 		}
 	}
-	m.pool.Committed(c)
+	m.pool.ApplyCommit(c)
 }
--- a/pkg/dispatch/customer_limits.go
+++ b/pkg/dispatch/customer_limits.go
@@ -11,33 +11,33 @@
 	"foldarch.dev/foldarch/pkg/worth"
 )
 
-// Limits lists the customers of whom only so much is to be taken in now, by name. While former owners' runs are looked for, nobody
+// CustomerLimits lists the customers of whom only so much is to be taken in now, by name. While former owners' runs are looked for, nobody
 // knows what is carried out.
-func (p *Pool) Limits(now clock.Time) []admission.Limit {
-	if p.config == nil || !p.loaded || p.takeover.mayRunAnything() {
+func (p *Pool) CustomerLimits(now clock.Time) []admission.Limit {
+	if p.config == nil || !p.jobsLoaded || p.takeover.mayRunAnyJob() {
 		return nil
 	}
-	return p.limiter.Limits(p.demands(), now.Sub(p.createdAt), now)
+	return p.limiter.Limits(p.customerDemands(), now.Sub(p.createdAt), now)
 }
 
-// countSent takes in a job that a customer has sent.
-func (p *Pool) countSent(j *jobState) {
+// countArrival takes in a job that a customer has sent.
+func (p *Pool) countArrival(j *jobState) {
 	if j.account != nil {
-		p.limiter.Accepted(j.customer.Name, j.queue.Name, p.now)
+		p.limiter.RecordAccepted(j.customer.Name, j.queue.Name, p.now)
 	}
 }
 
-// queueWork is what one customer has in one queue. Work is an amount of resources times milliseconds.
-type queueWork struct {
+// queueTotals is what one customer has in one queue. Work is an amount of resources times milliseconds.
+type queueTotals struct {
 	demand                 admission.QueueDemand
 	jobs                   int
-	slack                  time.Duration // of all jobs
+	totalSlack             time.Duration // of all jobs
 	waiting, running, work cell.Resources
 }
 
-// demands sums up what each customer has waiting and running.
-func (p *Pool) demands() []admission.Demand {
-	sums := map[string]map[string]*queueWork{} // by customer and queue
+// customerDemands sums up what each customer has waiting and running.
+func (p *Pool) customerDemands() []admission.Demand {
+	sums := map[string]map[string]*queueTotals{} // by customer and queue
 	beyond := map[string]bool{}
 	for _, j := range p.jobs {
 		if j.account == nil || j.outcome != "" {
@@ -45,56 +45,56 @@
 		}
 		name, q := j.customer.Name, &j.queue
 		if sums[name] == nil {
-			sums[name] = map[string]*queueWork{}
+			sums[name] = map[string]*queueTotals{}
 		}
 		w := sums[name][q.Name]
 		if w == nil {
-			w = &queueWork{demand: admission.QueueDemand{Queue: q.Name, Pool: q.Pool, Priority: q.Priority}}
+			w = &queueTotals{demand: admission.QueueDemand{Queue: q.Name, Pool: q.Pool, Priority: q.Priority}}
 			sums[name][q.Name] = w
 		}
-		if w.add(j) && j.beyond {
+		if w.addJob(j) && j.overShare {
 			beyond[name] = true
 		}
 	}
 	var out []admission.Demand
 	for _, name := range slices.Sorted(maps.Keys(sums)) {
-		d := admission.Demand{Customer: name, Weight: p.accounts[name].Customer().Weight, Beyond: beyond[name]}
+		d := admission.Demand{Customer: name, Weight: p.accounts[name].Customer().Weight, OverShare: beyond[name]}
 		for _, queueName := range slices.Sorted(maps.Keys(sums[name])) {
 			w := sums[name][queueName]
-			d.Queues = append(d.Queues, w.of(p.load(w.demand.Pool).capacity))
+			d.Queues = append(d.Queues, w.toDemand(p.poolLoad(w.demand.Pool).capacity))
 		}
 		out = append(out, d)
 	}
 	return out
 }
 
-// add takes in a job's work, also what is still to come after other steps. It says whether some of it waits. Tasks that last and that fill
+// addJob takes in a job's work, also what is still to come after other steps. It says whether some of it waits. Tasks that last and that fill
 // are never worked off.
-func (w *queueWork) add(j *jobState) (waits bool) {
+func (w *queueTotals) addJob(j *jobState) (waits bool) {
 	for s := range j.steps() {
 		if s.spec.LongRunning || s.spec.Filler {
 			continue
 		}
 		need, ms := s.spec.Need(), s.spec.Estimate.Milliseconds()
-		w.waiting = w.waiting.Add(need.Times(int64(s.idle) * ms))
+		w.waiting = w.waiting.Add(need.Times(int64(s.idleTasks) * ms))
 		w.work = w.work.Add(need.Times(int64(len(s.tasks)) * ms))
-		w.running = w.running.Add(need.Times(int64(s.counted)))
-		waits = waits || s.idle > 0
+		w.running = w.running.Add(need.Times(int64(s.countedRuns)))
+		waits = waits || s.idleTasks > 0
 	}
-	longest := slices.Max(j.chains)
+	longest := slices.Max(j.chainEstimates)
 	objective, _ := worth.Deadlines(0, longest, j.queue.Extension, j.queue.TargetLatency)
-	w.slack += objective.Sub(clock.Time(0).Add(longest))
+	w.totalSlack += objective.Sub(clock.Time(0).Add(longest))
 	w.jobs++
 	return waits
 }
 
-// of returns the sums as a demand on a pool of a capacity.
-func (w *queueWork) of(capacity cell.Resources) admission.QueueDemand {
+// toDemand returns the sums as a demand on a pool of a capacity.
+func (w *queueTotals) toDemand(capacity cell.Resources) admission.QueueDemand {
 	poolTime := func(work cell.Resources) time.Duration {
 		return time.Duration(work.DominantShare(capacity) * float64(time.Millisecond))
 	}
-	w.demand.Waiting, w.demand.PerJob = poolTime(w.waiting), poolTime(w.work)/time.Duration(w.jobs)
-	w.demand.Slack = w.slack / time.Duration(w.jobs)
+	w.demand.Waiting, w.demand.WorkPerJob = poolTime(w.waiting), poolTime(w.work)/time.Duration(w.jobs)
+	w.demand.Slack = w.totalSlack / time.Duration(w.jobs)
 	w.demand.Running = w.running.DominantShare(capacity)
 	return w.demand
 }
--- a/pkg/dispatch/customer_limits_test.go
+++ b/pkg/dispatch/customer_limits_test.go
@@ -54,7 +54,7 @@
 	told := l.now
 	for l.last = l.now; l.now < stop.Add(askedAfter); l.pass(loadTick) {
 		if l.now.Sub(told) >= beatEvery {
-			limits, told = l.pool.Limits(l.now), l.now
+			limits, told = l.pool.CustomerLimits(l.now), l.now
 		}
 		passed := l.now.Sub(l.last).Seconds()
 		for _, c := range loadCustomers() {
@@ -123,7 +123,7 @@
 	f := newFixture(t, 1, nil)
 	hot := customer.Customer{Name: "hot", Weight: 1}
 	f.configure(2, hot, customer.Customer{Name: "other", Weight: 1})
-	f.pass(admission.JoinTime)
+	f.pass(admission.AdviserJoinTime)
 	f.reportAll(1)
 	for n := range 20 {
 		f.add(sheet(fmt.Sprint("h", n), hot, 2))
@@ -136,9 +136,9 @@
 
 // limited asks for the limits until they have had time to come into force.
 func (f *fixture) limited() []admission.Limit {
-	f.pool.Limits(f.now)
-	f.pass(admission.ExcessTime)
-	return f.pool.Limits(f.now)
+	f.pool.CustomerLimits(f.now)
+	f.pass(admission.MinExcessTime)
+	return f.pool.CustomerLimits(f.now)
 }
 
 func TestDemandsCountWhatWaitsAndWhatRuns(t *testing.T) {
@@ -148,16 +148,16 @@
 	second := testStep(1)
 	second.After = []int{0}
 	f.add(of(customer.Customer{Name: "other", Weight: 1}, testJob("o", testStep(2), second)))
-	demands := f.pool.demands()
+	demands := f.pool.customerDemands()
 	f.Expect(demands).To(HaveLen(2))
 	f.Expect(demands[0].Customer).To(Equal("hot"))
-	f.Expect(demands[0].Beyond).To(BeTrue())
+	f.Expect(demands[0].OverShare).To(BeTrue())
 	f.Expect(demands[0].Queues).To(HaveLen(1))
 	f.Expect(demands[0].Queues[0].Running).To(Equal(1.0))
-	f.Expect(demands[0].Queues[0].PerJob).To(Equal(500 * time.Millisecond))
+	f.Expect(demands[0].Queues[0].WorkPerJob).To(Equal(500 * time.Millisecond))
 	f.Expect(demands[0].Queues[0].Waiting).To(Equal(9*time.Second), "36 tasks of a second, four at a time")
 	f.Expect(demands[0].Queues[0].Slack).To(Equal(2*time.Second), "an extension of 1 s, and the target")
-	f.Expect(demands[1].Beyond).To(BeFalse())
+	f.Expect(demands[1].OverShare).To(BeFalse())
 	f.Expect(demands[1].Queues[0].Waiting).To(Equal(750*time.Millisecond), "also what comes after")
 	f.Expect(customerNames(f.limited())).To(Equal([]string{"hot"}))
 }
@@ -181,13 +181,13 @@
 
 func TestNobodyIsLimitedWithoutCustomers(t *testing.T) {
 	f := newFixture(t, 1, nil)
-	f.pass(admission.JoinTime)
+	f.pass(admission.AdviserJoinTime)
 	f.reportAll(1)
 	for n := range 20 {
 		f.add(testJob(fmt.Sprint("n", n), testStep(2)))
 	}
 	f.plan()
-	f.Expect(f.pool.demands()).To(BeEmpty())
+	f.Expect(f.pool.customerDemands()).To(BeEmpty())
 	f.Expect(f.limited()).To(BeEmpty())
 }
 
@@ -195,7 +195,7 @@
 func TestCustomerThatWaitsForItsQuotaIsLimited(t *testing.T) {
 	f := newFixture(t, 2, nil)
 	f.configure(2, north(1000))
-	f.pass(admission.JoinTime)
+	f.pass(admission.AdviserJoinTime)
 	f.reportAll(2)
 	for n := range 20 {
 		f.add(of(north(1000), testJob(fmt.Sprint("q", n), testStep(1))))
--- a/pkg/dispatch/customer_status.go
+++ b/pkg/dispatch/customer_status.go
@@ -28,28 +28,28 @@
 func (p *Pool) Customers() []CustomerStatus {
 	var capacity cell.Resources
 	for _, w := range p.workers {
-		if !w.gone {
+		if !w.terminated {
 			capacity = capacity.Add(w.info.Capacity)
 		}
 	}
 	rows := make(map[string]*CustomerStatus, len(p.accounts))
 	for name, a := range p.accounts {
 		c, used := a.Customer(), a.Used()
-		rows[name] = &CustomerStatus{Name: name, Weight: c.Weight, Quota: c.Quota, Used: used, Share: used.DominantShare(capacity), AdviceMs: p.advice.tally.SpentFor(name).Milliseconds()}
+		rows[name] = &CustomerStatus{Name: name, Weight: c.Weight, Quota: c.Quota, Used: used, Share: used.DominantShare(capacity), AdviceMs: p.advice.tally.CustomerCallTime(name).Milliseconds()}
 	}
 	for _, j := range p.jobs {
 		if row := rows[j.customer.Name]; row != nil && j.outcome == "" {
 			row.Jobs++
 		}
 	}
-	for s := range p.ready.all() {
-		row := rows[s.time.job.customer.Name]
+	for s := range p.waitingSteps.all() {
+		row := rows[s.occurrence.job.customer.Name]
 		if row == nil {
 			continue
 		}
-		waiting := s.waiting()
+		waiting := s.waitingTasks()
 		row.Waiting += waiting
-		row.AwaitQuota += waiting - p.startable(s)
+		row.AwaitQuota += waiting - p.startableTasks(s)
 	}
 	out := make([]CustomerStatus, 0, len(rows))
 	for _, name := range slices.Sorted(maps.Keys(rows)) {
--- a/pkg/dispatch/deferred_ends_takeover_test.go
+++ b/pkg/dispatch/deferred_ends_takeover_test.go
@@ -25,10 +25,10 @@
 // The store is slow, and the list of jobs takes 10 s. The first lists after it come from one worker before the other.
 func TestTakeoverIsNotOverByTimeWhileAWorkerIsHeldOn(t *testing.T) {
 	f := newFixture(t, 2, afterFormerOwner)
-	f.pool.loaded = false
+	f.pool.jobsLoaded = false
 	f.holdsOn(Report{Active: running(0)}, Report{})
 	f.add(testJob("a", testStep(1)))
-	f.pool.SetLoaded()
+	f.pool.MarkJobsLoaded()
 	f.report(1, Report{})
 	f.Expect(f.plan().Starts).To(BeEmpty(), "w0 runs a.0 and answered half a second ago")
 }
@@ -38,7 +38,7 @@
 	f := newFixture(t, 2, afterFormerOwner)
 	f.add(testJob("a", testStep(1)))
 	f.storeAway = true
-	f.holdsOn(Report{Finished: []Finished{endOf(1, "b", 0)}, More: true}, Report{})
+	f.holdsOn(Report{Finished: []FinishedRun{endOf(1, "b", 0)}, Truncated: true}, Report{})
 	f.storeAway = false
 	f.Expect(f.plan().Starts).To(BeEmpty(), "the end of a.0 may be among those that w0 has not listed")
 }
@@ -48,6 +48,6 @@
 func TestRunsOfAWorkerWhoseFirstListsWereNotWholeLapse(t *testing.T) {
 	f := newFixture(t, 2, afterFormerOwner)
 	f.add(testJob("a", testStep(1)))
-	f.report(0, Report{Active: running(0), Finished: []Finished{endOf(1, "b", 0)}, More: true})
+	f.report(0, Report{Active: running(0), Finished: []FinishedRun{endOf(1, "b", 0)}, Truncated: true})
 	f.Expect(f.startedAgain(1).Task).To(Equal(taskOf("a", 0)), "every lease on w0 has lapsed")
 }
--- a/pkg/dispatch/deferred_ends_test.go
+++ b/pkg/dispatch/deferred_ends_test.go
@@ -32,15 +32,15 @@
 }
 
 // endOf is an end as done of the first run of a task.
-func endOf(number int64, id job.ID, n int) Finished {
-	return Finished{Number: number, Task: taskOf(id, n), Run: 1, How: EndDone}
+func endOf(number int64, id job.ID, n int) FinishedRun {
+	return FinishedRun{Number: number, Task: taskOf(id, n), Run: 1, Reason: EndDone}
 }
 
 // running lists the first runs of tasks of job a.
-func running(tasks ...int) []Active {
-	var rows []Active
+func running(tasks ...int) []ActiveRun {
+	var rows []ActiveRun
 	for _, n := range tasks {
-		rows = append(rows, Active{Task: taskOf("a", n), Run: 1, Percent: 50})
+		rows = append(rows, ActiveRun{Task: taskOf("a", n), Run: 1, Percent: 50})
 	}
 	return rows
 }
@@ -55,20 +55,20 @@
 
 // commits has the store take what the pool wants written.
 func (f *fixture) commits() {
-	f.pool.Committed(f.pool.TakeCommit())
+	f.pool.ApplyCommit(f.pool.PrepareCommit())
 }
 
 // noted is up to which number a worker is told that its ends are noted.
 func (f *fixture) noted(n int) int64 {
 	f.commits()
-	h, ok := f.pool.HoldFor(workerID(n), false, true, f.now)
+	h, ok := f.pool.NewPoll(workerID(n), false, true, f.now)
 	f.Expect(ok).To(BeTrue())
-	f.pool.HoldFailed(workerID(n), f.now)
-	return h.LastSeen
+	f.pool.HandlePollFailure(workerID(n), f.now)
+	return h.AckedEnd
 }
 
 // newOwnerOf returns an owner that is done with its takeover from another one: the first of its two workers runs all tasks of a job.
-func newOwnerOf(t *testing.T, r job.Record, runs []Active) *fixture {
+func newOwnerOf(t *testing.T, r job.Record, runs []ActiveRun) *fixture {
 	f := newFixture(t, 2, afterFormerOwner)
 	f.add(r)
 	f.report(0, Report{Active: runs})
@@ -80,12 +80,12 @@
 
 func TestEndsBehindThatOfAnUnknownJobCount(t *testing.T) {
 	f := newOwnerOf(t, testJob("a", testStep(2)), running(0, 1))
-	f.reportsAgain(Report{Active: running(1), Finished: []Finished{endOf(1, "x", 0), endOf(2, "a", 0)}}, "a.0 is done")
-	f.reportsAgain(Report{Finished: []Finished{endOf(1, "x", 0), endOf(2, "a", 0), endOf(3, "a", 1)}}, "a.1 is done, too")
-	state, _, _ := f.pool.State("a")
+	f.reportsAgain(Report{Active: running(1), Finished: []FinishedRun{endOf(1, "x", 0), endOf(2, "a", 0)}}, "a.0 is done")
+	f.reportsAgain(Report{Finished: []FinishedRun{endOf(1, "x", 0), endOf(2, "a", 0), endOf(3, "a", 1)}}, "a.1 is done, too")
+	state, _, _ := f.pool.JobState("a")
 	f.Expect(state).To(Equal(job.Running), "its end is not committed")
 	f.Expect(f.noted(0)).To(BeZero(), "the first end is of a job that may become known")
-	state, _, _ = f.pool.State("a")
+	state, _, _ = f.pool.JobState("a")
 	f.Expect(state).To(Equal(job.Completed))
 }
 
@@ -93,7 +93,7 @@
 	f := newFixture(t, 2, afterFormerOwner)
 	f.add(testJob("a", testStep(2)))
 	f.report(1, Report{})
-	f.reportsAgain(Report{Active: running(1), Finished: []Finished{endOf(1, "x", 0), endOf(2, "a", 0)}}, "a.0 is done")
+	f.reportsAgain(Report{Active: running(1), Finished: []FinishedRun{endOf(1, "x", 0), endOf(2, "a", 0)}}, "a.0 is done")
 }
 
 func TestStartWhoseEndIsUnreadIsNotVoid(t *testing.T) {
@@ -103,18 +103,18 @@
 	starts := f.plan().Starts
 	f.Expect(starts).To(HaveLen(1))
 	s := starts[0]
-	f.pool.StartAnswered(s, Answer{}, errors.New("no answer"), f.now)
-	h, _ := f.pool.HoldFor(s.Worker, true, true, f.now)
+	f.pool.HandleStartAnswer(s, Answer{}, errors.New("no answer"), f.now)
+	h, _ := f.pool.NewPoll(s.Worker, true, true, f.now)
 	f.pass(time.Millisecond)
-	unread := Report{Finished: []Finished{endOf(1, "x", 0), {Number: 2, Task: s.Task, Run: s.Run, How: EndDone}}}
-	f.pool.HoldAnswered(h, Answer{Verdict: VerdictDone, Clock: f.workerClock}, unread, f.now)
+	unread := Report{Finished: []FinishedRun{endOf(1, "x", 0), {Number: 2, Task: s.Task, Run: s.Run, Reason: EndDone}}}
+	f.pool.HandlePollAnswer(h, Answer{Verdict: VerdictDone, Clock: f.workerClock}, unread, f.now)
 	f.Expect(f.plan().Starts).To(BeEmpty(), "it was carried out, and its task is done")
 }
 
 // A job becomes known half a second after a worker has listed a run of it. A plan that comes between that and the next report would start it again.
 func TestJobThatBecomesKnownHasTheRunsThatWorkersListed(t *testing.T) {
 	f := newOwnerOf(t, testJob("a", testStep(1)), running(0))
-	f.report(0, Report{Active: append(running(0), Active{Task: taskOf("x", 0), Run: 1})})
+	f.report(0, Report{Active: append(running(0), ActiveRun{Task: taskOf("x", 0), Run: 1})})
 	f.add(stranger())
 	f.Expect(f.plan().Starts).To(BeEmpty(), "x.0 runs on w0")
 }
@@ -122,11 +122,11 @@
 // The same of a run that has ended by then.
 func TestJobThatBecomesKnownHasTheEndsThatWorkersListed(t *testing.T) {
 	f := newOwnerOf(t, testJob("a", testStep(1)), running(0))
-	f.report(0, Report{Active: running(0), Finished: []Finished{endOf(1, "x", 0)}})
+	f.report(0, Report{Active: running(0), Finished: []FinishedRun{endOf(1, "x", 0)}})
 	f.add(stranger())
 	f.Expect(f.plan().Starts).To(BeEmpty(), "x.0 is done")
 	f.commits()
-	state, _, _ := f.pool.State("x")
+	state, _, _ := f.pool.JobState("x")
 	f.Expect(state).To(Equal(job.Completed))
 }
 
@@ -134,7 +134,7 @@
 // what runs of it must not be stopped.
 func TestEndOfAnUnknownJobWaitsUntilTheJobsWereLookedThrough(t *testing.T) {
 	f := newOwnerOf(t, testJob("a", testStep(1)), running(0))
-	r := Report{Active: append(running(0), Active{Task: taskOf("y", 0), Run: 1}), Finished: []Finished{endOf(1, "x", 0)}}
+	r := Report{Active: append(running(0), ActiveRun{Task: taskOf("y", 0), Run: 1}), Finished: []FinishedRun{endOf(1, "x", 0)}}
 	f.report(0, r)
 	f.pass(5 * time.Second)
 	f.report(0, r)
@@ -147,11 +147,11 @@
 // An end of a job of which the store has no record is noted, and what runs of one is stopped: its outcome was dropped long ago.
 func TestWhatIsListedOfAForgottenJobIsNotedAndStopped(t *testing.T) {
 	f := newOwnerOf(t, testJob("a", testStep(1)), running(0))
-	r := Report{Active: append(running(0), Active{Task: taskOf("y", 0), Run: 1}), Finished: []Finished{endOf(1, "x", 0)}}
+	r := Report{Active: append(running(0), ActiveRun{Task: taskOf("y", 0), Run: 1}), Finished: []FinishedRun{endOf(1, "x", 0)}}
 	f.report(0, r)
 	f.Expect(f.pool.UnknownJobs()).To(Equal([]job.ID{"x", "y"}))
-	f.pool.JobAbsent("x")
-	f.pool.JobAbsent("y")
+	f.pool.MarkJobAbsent("x")
+	f.pool.MarkJobAbsent("y")
 	f.Expect(f.pool.UnknownJobs()).To(BeEmpty())
 	f.report(0, r)
 	f.Expect(f.plan().Stops).To(HaveLen(1), "nobody knows job y")
@@ -161,7 +161,7 @@
 // A worker lists 500 ends at once; what stands behind them is listed when these are noted.
 func TestRunWhoseEndIsNotListedYetIsNotLost(t *testing.T) {
 	f := newOwnerOf(t, testJob("a", testStep(2)), running(0, 1))
-	more := Report{Finished: []Finished{endOf(1, "a", 0)}, More: true}
+	more := Report{Finished: []FinishedRun{endOf(1, "a", 0)}, Truncated: true}
 	f.reportsAgain(more, "the end of a.1 may be among those that are to come")
 }
 
@@ -170,8 +170,8 @@
 	f := newFixture(t, 2, afterFormerOwner)
 	f.add(testJob("a", testStep(2)))
 	f.report(1, Report{})
-	f.reportsAgain(Report{Active: running(1), Finished: []Finished{endOf(1, "b", 0)}, More: true}, "the end of a.0 may be among those that are to come")
-	f.report(0, Report{Active: running(1), Finished: []Finished{endOf(501, "a", 0)}})
+	f.reportsAgain(Report{Active: running(1), Finished: []FinishedRun{endOf(1, "b", 0)}, Truncated: true}, "the end of a.0 may be among those that are to come")
+	f.report(0, Report{Active: running(1), Finished: []FinishedRun{endOf(501, "a", 0)}})
 	f.Expect(f.plan().Starts).To(BeEmpty(), "a.0 is done")
 }
 
@@ -180,8 +180,8 @@
 	f := newFixture(t, 2, afterFormerOwner)
 	f.add(testJob("a", testStep(1)))
 	f.report(1, Report{})
-	h, _ := f.pool.HoldFor("w0", false, true, f.now)
-	f.pool.StopAnswered(Stop{Worker: "w0"}, Answer{Verdict: VerdictDone, Clock: f.workerClock + 10}, f.now)
-	f.pool.HoldAnswered(h, Answer{Verdict: VerdictDone, Clock: f.workerClock}, Report{Active: running(0)}, f.now)
+	h, _ := f.pool.NewPoll("w0", false, true, f.now)
+	f.pool.HandleStopAnswer(StopOrder{Worker: "w0"}, Answer{Verdict: VerdictDone, Clock: f.workerClock + 10}, f.now)
+	f.pool.HandlePollAnswer(h, Answer{Verdict: VerdictDone, Clock: f.workerClock}, Report{Active: running(0)}, f.now)
 	f.Expect(f.plan().Starts).To(BeEmpty(), "a.0 runs on w0")
 }
--- a/pkg/dispatch/delayed_advice_test.go
+++ b/pkg/dispatch/delayed_advice_test.go
@@ -22,7 +22,7 @@
 // asked plans once and returns the jobs for which calls for advice are made.
 func (f *fixture) asked() []job.ID {
 	var out []job.ID
-	for _, a := range f.plan().Asks {
+	for _, a := range f.plan().AdviceCalls {
 		out = append(out, a.Step.Job)
 	}
 	return out
@@ -33,9 +33,9 @@
 func TestJobOfTheLastPriorityIsAskedForInTime(t *testing.T) {
 	f := newFixture(t, 4, nil)
 	f.reportAll(4)
-	f.pool.PutAdviser("host")
+	f.pool.AddAdviser("host")
 	f.add(adviceJob("last", 3, 200*time.Millisecond))
-	f.pass(starvingAfter)
+	f.pass(adviceDelayLimit)
 	f.reportAll(4)
 	f.add(adviceJob("first", 0, 200*time.Millisecond))
 	f.Expect(f.asked()).To(Equal([]job.ID{"last"}))
@@ -44,11 +44,11 @@
 func TestOfStarvingStepsThoseGoFirstThatWaitedLongestForTheirCalls(t *testing.T) {
 	f := newFixture(t, 4, nil)
 	f.reportAll(4)
-	f.pool.PutAdviser("host")
+	f.pool.AddAdviser("host")
 	f.add(adviceJob("long", 1, 600*time.Millisecond))
 	f.pass(200 * time.Millisecond)
 	f.add(adviceJob("short", 2, 20*time.Millisecond))
-	f.pass(starvingAfter)
+	f.pass(adviceDelayLimit)
 	f.reportAll(4)
 	f.Expect(f.asked()).To(Equal([]job.ID{"short"}))
 }
@@ -56,12 +56,12 @@
 func TestTaskThatLastsIsAskedForBeforeOtherStarvingSteps(t *testing.T) {
 	f := newFixture(t, 4, nil)
 	f.reportAll(4)
-	f.pool.PutAdviser("host")
+	f.pool.AddAdviser("host")
 	f.add(adviceJob("short", 0, 20*time.Millisecond))
 	r := adviceJob("lasts", 3, 600*time.Millisecond)
 	r.Job.Steps = []job.Step{servingStep(1)}
 	f.add(r)
-	f.pass(worth.OverdueAfter + 50*time.Millisecond)
+	f.pass(worth.MaxServiceWait + 50*time.Millisecond)
 	f.reportAll(4)
 	f.Expect(f.asked()).To(Equal([]job.ID{"lasts"}))
 }
@@ -69,15 +69,15 @@
 // A plan chooses workers for a few steps only. Starving steps that wait for their customer's quota, and can't be given any, took all of these turns.
 func TestStepsThatWaitForTheirQuotaTakeNoTurnsForAdvice(t *testing.T) {
 	f := quotaFixture(t)
-	f.pool.PutAdviser("host")
+	f.pool.AddAdviser("host")
 	f.add(of(north(0), testJob("runs", testStep(3))))
 	for _, s := range f.plan().Starts {
 		f.accept(s)
 	}
-	for n := range choicesPerPlan {
+	for n := range maxAdviceSelectionsPerPlan {
 		f.add(of(north(0), adviceJob(fmt.Sprintf("waits-%d", n), 0, 20*time.Millisecond)))
 	}
-	f.pass(2 * starvingAfter)
+	f.pass(2 * adviceDelayLimit)
 	f.reportAll(2)
 	f.add(adviceJob("new", 0, 20*time.Millisecond))
 	f.Expect(f.asked()).To(Equal([]job.ID{"new"}))
@@ -105,7 +105,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, 4, nil)
 			f.reportAll(4)
-			f.pool.PutAdviser("host")
+			f.pool.AddAdviser("host")
 			f.fillPool(test.cores)
 			f.add(adviceJob("old", 0, 200*time.Millisecond))
 			f.pass(10 * time.Second)
--- a/pkg/dispatch/doc.go
+++ b/pkg/dispatch/doc.go
@@ -61,7 +61,7 @@
 //	p.PutWorker(info, now)
 //	p.AddJob(record, progress, now)
 //	actions := p.Plan(now)
-//	// carry them out; tell the answers: p.StartAnswered(…), p.HoldAnswered(…)
-//	commit := p.TakeCommit()
+//	// carry them out; tell the answers: p.HandleStartAnswer(…), p.HandlePollAnswer(…)
+//	commit := p.PrepareCommit()
 //	// write it to the store, then p.Committed(commit)
 package dispatch
--- a/pkg/dispatch/evacuation_test.go
+++ b/pkg/dispatch/evacuation_test.go
@@ -12,7 +12,7 @@
 func (f *fixture) inHalls(halls ...string) {
 	for n, w := range f.pool.Workers() {
 		w.Zone = halls[n%len(halls)]
-		f.pool.PutWorker(w, true, f.now)
+		f.pool.UpsertWorker(w, true, f.now)
 	}
 }
 
@@ -20,7 +20,7 @@
 	f := newFixture(t, 2, nil)
 	f.inHalls("a", "b")
 	f.reportAll(2)
-	f.pool.SetEvacuated([]string{"a", "no such hall"})
+	f.pool.SetEvacuatedHalls([]string{"a", "no such hall"})
 	f.add(testJob("j", testStep(8))) // two workers hold them
 	starts := f.plan().Starts
 	f.Expect(starts).NotTo(BeEmpty())
@@ -28,7 +28,7 @@
 		f.Expect(numberOf(s.Worker)).To(Equal(1))
 		f.accept(s)
 	}
-	f.pool.SetEvacuated([]string{"b"})
+	f.pool.SetEvacuatedHalls([]string{"b"})
 	for _, s := range f.plan().Starts {
 		f.Expect(numberOf(s.Worker)).To(Equal(0))
 	}
@@ -38,12 +38,12 @@
 	f := newFixture(t, 2, nil)
 	f.inHalls("a", "b")
 	f.reportAll(2)
-	f.pool.SetEvacuated([]string{"a", "b"})
+	f.pool.SetEvacuatedHalls([]string{"a", "b"})
 	f.add(testJob("j", testStep(1)))
 	f.Expect(f.plan().Starts).To(BeEmpty())
 	e, _ := f.pool.Explain("j", f.now)
-	f.Expect(e.Steps[0].Waits).To(ContainSubstring("2 workers get nothing while halls are evacuated: a, b"))
-	f.pool.SetEvacuated(nil)
+	f.Expect(e.Steps[0].WaitReason).To(ContainSubstring("2 workers get nothing while halls are evacuated: a, b"))
+	f.pool.SetEvacuatedHalls(nil)
 	f.Expect(f.plan().Starts).To(HaveLen(1))
 }
 
@@ -54,24 +54,24 @@
 	f.add(testJob("j", testStep(1)))
 	s := f.plan().Starts[0]
 	f.accept(s)
-	f.pool.SetEvacuated([]string{"a"})
+	f.pool.SetEvacuatedHalls([]string{"a"})
 	f.pass(time.Second)
-	f.report(0, Report{Active: []Active{{Task: s.Task, Run: s.Run, Percent: 50}}})
-	f.pool.Inspect(f.now)
+	f.report(0, Report{Active: []ActiveRun{{Task: s.Task, Run: s.Run, Percent: 50}}})
+	f.pool.InspectRuns(f.now)
 	f.Expect(f.plan().Stops).To(BeEmpty())
 	f.report(0, f.end(s, 1, EndDone))
-	state, _, _ := f.pool.State("j")
+	state, _, _ := f.pool.JobState("j")
 	f.Expect(f.pool.jobs["j"].outcome).To(Equal(job.Completed), "%s", state)
 }
 
 func TestWorkerThatComesToAnEvacuatedHallGetsNothing(t *testing.T) {
 	f := newFixture(t, 0, nil)
-	f.pool.SetEvacuated([]string{"a"})
+	f.pool.SetEvacuatedHalls([]string{"a"})
 	w := firstLife(0)
 	info := w.info()
 	info.Zone = "a"
-	f.pool.PutWorker(info, true, f.now)
-	f.pool.Rostered([]WorkerID{w.id})
+	f.pool.UpsertWorker(info, true, f.now)
+	f.pool.MarkInRoster([]WorkerID{w.id})
 	f.reports(w, Report{})
 	f.add(testJob("j", testStep(1)))
 	f.Expect(f.plan().Starts).To(BeEmpty())
@@ -84,11 +84,11 @@
 	f.reportAll(2)
 	f.add(testJob("j", testStep(1)))
 	s := f.plan().Starts[0]
-	f.Expect(f.pool.StartIsVoid(s)).To(BeFalse())
+	f.Expect(f.pool.IsStartObsolete(s)).To(BeFalse())
 	hall := []string{"a", "b"}[numberOf(s.Worker)]
-	f.pool.SetEvacuated([]string{hall})
-	f.Expect(f.pool.StartIsVoid(s)).To(BeTrue())
-	f.pool.StartWithheld(s, f.now)
+	f.pool.SetEvacuatedHalls([]string{hall})
+	f.Expect(f.pool.IsStartObsolete(s)).To(BeTrue())
+	f.pool.CancelUnsentStart(s, f.now)
 	again := f.plan().Starts
 	f.Expect(again).To(HaveLen(1))
 	f.Expect(again[0].Worker).NotTo(Equal(s.Worker))
@@ -106,10 +106,10 @@
 	f.add(testJob("j", gang))
 	starts := f.plan().Starts
 	f.Expect(starts).To(HaveLen(2))
-	f.pool.SetEvacuated([]string{"a"})
+	f.pool.SetEvacuatedHalls([]string{"a"})
 	for _, s := range starts {
-		if f.pool.StartIsVoid(s) {
-			f.pool.StartWithheld(s, f.now)
+		if f.pool.IsStartObsolete(s) {
+			f.pool.CancelUnsentStart(s, f.now)
 		} else {
 			f.accept(s)
 		}
@@ -126,15 +126,15 @@
 	f.reportAll(1)
 	f.add(testJob("j", testStep(1)))
 	task := f.pool.task(job.TaskID{StepID: job.StepID{Job: "j"}})
-	task.crash.Doubt()
+	task.crash.MarkUnresolved()
 	f.Expect(f.plan().Starts).To(BeEmpty())
-	f.pool.SetEvacuated([]string{"a"})
-	f.pool.Committed(f.pool.TakeCommit())
+	f.pool.SetEvacuatedHalls([]string{"a"})
+	f.pool.ApplyCommit(f.pool.PrepareCommit())
 	f.Expect(f.plan().Starts).To(BeEmpty())
-	f.pool.SetEvacuated(nil)
-	f.pass(rejectedPause + time.Millisecond)
+	f.pool.SetEvacuatedHalls(nil)
+	f.pass(rejectedStartBackoff + time.Millisecond)
 	f.report(0, Report{})
 	f.plan()
-	f.pool.Committed(f.pool.TakeCommit())
+	f.pool.ApplyCommit(f.pool.PrepareCommit())
 	f.Expect(f.plan().Starts).To(HaveLen(1))
 }
--- a/pkg/dispatch/explain.go
+++ b/pkg/dispatch/explain.go
@@ -26,10 +26,10 @@
 	Done  int    `json:"done"`
 	Count int    `json:"count"`
 	// LeftMs is what is left of the objective, below 0 once that has passed; 0 for tasks that last, which have none.
-	LeftMs   int64     `json:"left_ms"`
-	Waits    string    `json:"waits,omitempty"`
-	Runs     []RunView `json:"runs,omitempty"`
-	Failures int       `json:"failures,omitempty"`
+	LeftMs     int64     `json:"left_ms"`
+	WaitReason string    `json:"waits,omitempty"`
+	Runs       []RunView `json:"runs,omitempty"`
+	Failures   int       `json:"failures,omitempty"`
 	// Crashes are those of workers in a row that are counted against tasks.
 	Crashes int `json:"crashes,omitempty"`
 }
@@ -43,22 +43,22 @@
 	State   string `json:"state"`
 }
 
-// blockedText is what a job waits for that a former owner may have started.
-const blockedText = "runs of a former owner are still looked for"
+// blockedJobReason is what a job waits for that a former owner may have started.
+const blockedJobReason = "runs of a former owner are still looked for"
 
 var runStateNames = [...]string{"starting", "unsettled", "running", "being stored"}
 
 // Explain tells what is known of a job; ok is false when nothing is.
 func (p *Pool) Explain(id job.ID, now clock.Time) (e Explanation, ok bool) {
-	state, holder, ok := p.State(id)
+	state, holder, ok := p.JobState(id)
 	e = Explanation{Job: id, State: state, Customer: holder}
 	j, open := p.jobs[id]
 	if !open {
 		return e, ok
 	}
 	e.Queue = j.queue.Name
-	if p.blocked(j) {
-		e.Blocked = blockedText
+	if p.isBlockedByTakeover(j) {
+		e.Blocked = blockedJobReason
 	}
 	for s := range j.steps() {
 		e.Steps = append(e.Steps, p.explainStep(s, now))
@@ -68,7 +68,7 @@
 
 func (p *Pool) explainStep(s *step, now clock.Time) StepView {
 	v := StepView{
-		Step: s.id().String(), Done: s.done, Count: len(s.tasks), LeftMs: s.left(now).Milliseconds(), Waits: p.waitsFor(s, now),
+		Step: s.id().String(), Done: s.doneTasks, Count: len(s.tasks), LeftMs: s.timeLeft(now).Milliseconds(), WaitReason: p.waitReason(s, now),
 	}
 	for i := range s.tasks {
 		t := &s.tasks[i]
@@ -81,85 +81,85 @@
 	return v
 }
 
-// waitsFor tells what the waiting tasks of a step wait for; empty when none waits.
-func (p *Pool) waitsFor(s *step, now clock.Time) string {
+// waitReason tells what the waiting tasks of a step wait for; empty when none waits.
+func (p *Pool) waitReason(s *step, now clock.Time) string {
 	switch {
 	case s.finished():
 		return ""
-	case !s.turnHasCome():
+	case !s.dependenciesDone():
 		return fmt.Sprintf("steps %v", s.spec.After)
-	case s.waiting() == 0:
+	case s.waitingTasks() == 0:
 		return ""
 	case p.awaitsQuota(s):
-		return p.waitsForQuota(s)
-	case s.held(now):
+		return p.quotaWaitReason(s)
+	case s.awaitsProbe(now):
 		return "a start to be proven, since a worker crashed under one of its tasks"
-	case s.outwaited() != 0:
-		return fmt.Sprintf("an earlier start without an answer, which its worker may carry out for %s", max(s.outwaited().Sub(now), 0))
-	case len(s.advice.pending) > 0:
-		return "advice from " + s.advice.pending[0].ask.Adviser + p.gangRoom(s, now)
-	case s.spec.Gang && len(s.advice.good) > 0:
-		return "tickets and room" + p.gangRoom(s, now)
+	case s.blockedUntil() != 0:
+		return fmt.Sprintf("an earlier start without an answer, which its worker may carry out for %s", max(s.blockedUntil().Sub(now), 0))
+	case len(s.advice.pendingCalls) > 0:
+		return "advice from " + s.advice.pendingCalls[0].call.Adviser + p.gangRoomText(s, now)
+	case s.spec.Gang && len(s.advice.allowed) > 0:
+		return "tickets and room" + p.gangRoomText(s, now)
 	case len(p.candidates(s, newReservations(), now)) > 0:
 		return "its turn"
-	case s.time.job.queue.Advice != nil && len(s.advice.good) == 0:
-		return fmt.Sprintf("a call for advice (%d of %d hosts are free)", p.advice.advisers.Free(), p.advice.advisers.Joined())
+	case s.occurrence.job.queue.Advice != nil && len(s.advice.allowed) == 0:
+		return fmt.Sprintf("a call for advice (%d of %d hosts are free)", p.advice.advisers.IdleCount(), p.advice.advisers.Count())
 	}
 	eligible := 0
 	for _, w := range p.workers {
-		if p.eligible(s, w, now) && !s.advice.denied[w.info.ID] {
+		if p.isEligible(s, w, now) && !s.advice.denied[w.info.ID] {
 			eligible++
 		}
 	}
 	waits := fmt.Sprintf("room for %s on one of %d workers that may run it", s.spec.Need(), eligible)
-	if n := p.evacuatedWorkers(s.time.job.queue.Pool); n > 0 {
-		waits += fmt.Sprintf("; %d workers get nothing while halls are evacuated: %s", n, strings.Join(p.evacuated, ", "))
+	if n := p.evacuatedWorkerCount(s.occurrence.job.queue.Pool); n > 0 {
+		waits += fmt.Sprintf("; %d workers get nothing while halls are evacuated: %s", n, strings.Join(p.evacuatedHalls, ", "))
 	}
 	return waits
 }
 
-// waitsForQuota tells what the quota of a step's customer lacks, and what else than runs counts against it.
-func (p *Pool) waitsForQuota(s *step) string {
-	a := s.time.job.account
+// quotaWaitReason tells what the quota of a step's customer lacks, and what else than runs counts against it.
+func (p *Pool) quotaWaitReason(s *step) string {
+	a := s.occurrence.job.account
 	waits := fmt.Sprintf("its customer's quota: %s runs, and %s may", a.Used(), a.Customer().Quota)
 	if s.spec.Gang {
 		waits += fmt.Sprintf("; %d members need %s at once", len(s.tasks), s.spec.AtOnce())
 	}
-	if n := a.Unheard(); n != (cell.Resources{}) {
+	if n := a.Unreported(); n != (cell.Resources{}) {
 		waits += fmt.Sprintf("; %s may run on workers that have not told", n)
 	}
-	if n := a.PromisedTo(s.claimant()); n != (cell.Resources{}) {
+	if n := a.ReservedFor(s.claimant()); n != (cell.Resources{}) {
 		waits += fmt.Sprintf("; %s is kept for it", n)
 	}
-	if n := a.PromisedToOthers(s.claimant()); n != (cell.Resources{}) {
+	if n := a.ReservedForOthers(s.claimant()); n != (cell.Resources{}) {
 		waits += fmt.Sprintf("; %s is kept for steps that go first", n)
 	}
-	if n := a.Foreign(); n > 0 {
+	if n := a.Orphans(); n > 0 {
 		waits += fmt.Sprintf("; %d runs of its ended jobs are being stopped", n)
 	}
-	if p.ListsUnknown() {
+	if p.HasUnknownJobs() {
 		waits += "; records of jobs that workers list are being read"
 	}
 	return waits
 }
 
-// gangRoom tells how many members of a gang have room and tickets at this moment; empty for other steps, and while
+// gangRoomText tells how many members of a gang have room and tickets at this moment; empty for other steps, and while
 // nothing is known.
-func (p *Pool) gangRoom(s *step, now clock.Time) string {
-	if !s.spec.Gang || len(s.advice.good) == 0 {
+func (p *Pool) gangRoomText(s *step, now clock.Time) string {
+	if !s.spec.Gang || len(s.advice.allowed) == 0 {
 		return ""
 	}
-	allowed := roomOn(s, p.allowedWorkers(s, now))
-	withTickets := roomOn(s, p.candidates(s, newReservations(), now))
+	allowed := totalFit(s, p.allowedWorkers(s, now))
+	withTickets := totalFit(s, p.candidates(s, newReservations(), now))
 	return fmt.Sprintf("; %d members at once, room for %d on %d workers known to be allowed, for %d of them with tickets",
-		len(s.tasks), allowed, len(s.advice.good), withTickets)
+		len(s.tasks), allowed, len(s.advice.allowed), withTickets)
 }
 
-// roomOn is how many more tasks of a step some workers have room for.
-func roomOn(s *step, workers []*worker) int {
+// totalFit is how many more tasks of a step some workers have room for.
+func totalFit(s *step, workers []*worker) int {
 	room := 0
 	for _, w := range workers {
-		room += fits(s, w)
+		room += roomFor(s, w)
 	}
 	return room
 }
--- a/pkg/dispatch/explain_test.go
+++ b/pkg/dispatch/explain_test.go
@@ -21,8 +21,8 @@
 	e, ok := f.pool.Explain("a", f.now)
 	f.Expect(ok).To(BeTrue())
 	f.Expect(e.Steps[0].Runs).To(HaveLen(4))
-	f.Expect(e.Steps[0].Waits).To(ContainSubstring("room for cpu=1000m"))
-	f.Expect(e.Steps[1].Waits).To(Equal("steps [0]"))
+	f.Expect(e.Steps[0].WaitReason).To(ContainSubstring("room for cpu=1000m"))
+	f.Expect(e.Steps[1].WaitReason).To(Equal("steps [0]"))
 	_, ok = f.pool.Explain("b", f.now)
 	f.Expect(ok).To(BeFalse())
 }
@@ -45,13 +45,13 @@
 	for _, s := range f.plan().Starts {
 		f.accept(s)
 	}
-	f.Expect(f.pool.LongWaits(3*time.Second, 5, f.now)).To(BeEmpty())
+	f.Expect(f.pool.DelayedSteps(3*time.Second, 5, f.now)).To(BeEmpty())
 	f.pass(3 * time.Second)
-	waits := f.pool.LongWaits(3*time.Second, 5, f.now)
+	waits := f.pool.DelayedSteps(3*time.Second, 5, f.now)
 	f.Expect(waits).To(HaveLen(1))
 	f.Expect(waits[0].Step.Job).To(Equal(job.ID("waits")))
-	f.Expect(waits[0].Waits).To(Equal("a call for advice (0 of 0 hosts are free)"))
-	f.Expect(f.pool.LongWaits(3*time.Second, 0, f.now)).To(BeEmpty())
+	f.Expect(waits[0].WaitReason).To(Equal("a call for advice (0 of 0 hosts are free)"))
+	f.Expect(f.pool.DelayedSteps(3*time.Second, 0, f.now)).To(BeEmpty())
 }
 
 // A gang that waits tells what it lacks at once, so that a log shows whether its customer's quota, tickets or room hold it up.
@@ -65,11 +65,11 @@
 		f.add(of(north(0), testJob("gang", gangOf(2))))
 		f.plan()
 		f.pass(3 * time.Second)
-		waits := f.pool.LongWaits(3*time.Second, 5, f.now)
+		waits := f.pool.DelayedSteps(3*time.Second, 5, f.now)
 		f.Expect(waits).To(HaveLen(1))
-		f.Expect(waits[0].Waits).To(And(ContainSubstring("cpu=2000m"), ContainSubstring("2 members need cpu=2000m"), ContainSubstring("cpu=2000m mem=2000MB acc=0 is kept for it")))
-		f.Expect(waits[0].Waits).NotTo(ContainSubstring("is kept for steps"), "nothing is kept for others")
-		f.Expect(waits[0].Left).To(BeNumerically("<", testQueue.TargetLatency), "its objective has begun to pass")
+		f.Expect(waits[0].WaitReason).To(And(ContainSubstring("cpu=2000m"), ContainSubstring("2 members need cpu=2000m"), ContainSubstring("cpu=2000m mem=2000MB acc=0 is kept for it")))
+		f.Expect(waits[0].WaitReason).NotTo(ContainSubstring("is kept for steps"), "nothing is kept for others")
+		f.Expect(waits[0].TimeLeft).To(BeNumerically("<", testQueue.TargetLatency), "its objective has begun to pass")
 	})
 	t.Run("quota that is kept for a gang", func(t *testing.T) {
 		f := quotaFixture(t)
@@ -81,11 +81,11 @@
 		f.add(of(north(0), testJob("next", testStep(1))))
 		f.plan()
 		e, _ := f.pool.Explain("next", f.now)
-		f.Expect(e.Steps[0].Waits).To(ContainSubstring("cpu=2000m mem=2000MB acc=0 is kept for steps"))
+		f.Expect(e.Steps[0].WaitReason).To(ContainSubstring("cpu=2000m mem=2000MB acc=0 is kept for steps"))
 	})
 	t.Run("tickets", func(t *testing.T) {
 		f := waitingGang(t)
 		e, _ := f.pool.Explain("a", f.now)
-		f.Expect(e.Steps[0].Waits).To(Equal("tickets and room; 4 members at once, room for 4 on 4 workers known to be allowed, for 0 of them with tickets"))
+		f.Expect(e.Steps[0].WaitReason).To(Equal("tickets and room; 4 members at once, room for 4 on 4 workers known to be allowed, for 0 of them with tickets"))
 	})
 }
--- a/pkg/dispatch/gang_promotion.go
+++ b/pkg/dispatch/gang_promotion.go
@@ -16,144 +16,144 @@
 // starts, whatever its end is still worth, and calls for advice are made for it meanwhile, so that it starts as soon as
 // there is enough. In a pool that is well used gangs take their turns like others: room is scarce there.
 
-// firstTurns are the gangs that go first.
-type firstTurns struct {
-	turns    []firstTurn // by when the gangs' jobs were accepted
-	chosenAt clock.Time
+// gangPromotions are the gangs that go first.
+type gangPromotions struct {
+	promotions []gangPromotion // by when the gangs' jobs were accepted
+	updatedAt  clock.Time
 }
 
-// firstTurn is the time in which a gang goes first.
-type firstTurn struct {
+// gangPromotion is the time in which a gang goes first.
+type gangPromotion struct {
 	gang  *step
 	since clock.Time
 }
 
 const (
-	// chooseFirstEvery is the least time between two choices of the gangs that go first: one goes over all steps that
+	// promotionInterval is the least time between two choices of the gangs that go first: one goes over all steps that
 	// wait.
-	chooseFirstEvery = 100 * time.Millisecond
-	// starvesForLong is how long a gang may starve while smaller steps of its customer use the quota.
-	starvesForLong = 6 * time.Second
-	// A gang goes first for firstTurnLasts at most, and then not for as long: one for which no workers have room must not
+	promotionInterval = 100 * time.Millisecond
+	// maxGangWait is how long a gang may starve while smaller steps of its customer use the quota.
+	maxGangWait = 6 * time.Second
+	// A gang goes first for maxPromotionTime at most, and then not for as long: one for which no workers have room must not
 	// keep its customer's quota unused.
-	firstTurnLasts = 10 * time.Second
-	// unusedFor is how long a quota may be little used while a gang is kept room in it that lacks workers or tickets, too: the
+	maxPromotionTime = 10 * time.Second
+	// maxReservedLowQuotaTime is how long a quota may be little used while a gang is kept room in it that lacks workers or tickets, too: the
 	// platform allows 3 s, of which a call for advice and a start take up to 0.9 s.
-	unusedFor = 2 * time.Second
+	maxReservedLowQuotaTime = 2 * time.Second
 )
 
-// placeFirst has those gangs have their turns that go first.
-func (p *Pool) placeFirst(reserved *reservations, now clock.Time, out *Actions) {
-	if p.ready.gangs == 0 && len(p.first.turns) == 0 || p.without(StarvingGangsFirst) {
+// placePromotedGangs has those gangs have their turns that go first.
+func (p *Pool) placePromotedGangs(reserved *reservations, now clock.Time, out *Actions) {
+	if p.waitingSteps.gangCount == 0 && len(p.promotedGangs.promotions) == 0 || p.isDisabled(GangPromotion) {
 		return
 	}
-	if now.Sub(p.first.chosenAt) >= chooseFirstEvery {
-		p.chooseFirst(now)
+	if now.Sub(p.promotedGangs.updatedAt) >= promotionInterval {
+		p.updatePromotions(now)
 	}
-	p.first.turns = slices.DeleteFunc(p.first.turns, func(t firstTurn) bool {
-		t.gang.goesFirst = t.gang.waits()
-		return !t.gang.goesFirst
+	p.promotedGangs.promotions = slices.DeleteFunc(p.promotedGangs.promotions, func(t gangPromotion) bool {
+		t.gang.promoted = t.gang.isQueued()
+		return !t.gang.promoted
 	})
-	for _, t := range p.first.turns {
-		if !p.blocked(t.gang.time.job) {
-			p.placeFirstGang(t.gang, reserved, now, out)
+	for _, t := range p.promotedGangs.promotions {
+		if !p.isBlockedByTakeover(t.gang.occurrence.job) {
+			p.placePromotedGang(t.gang, reserved, now, out)
 		}
 	}
 }
 
-// placeFirstGang starts a gang that goes first, or keeps what it lacks of its customer's quota.
-func (p *Pool) placeFirstGang(s *step, reserved *reservations, now clock.Time, out *Actions) {
-	if s.held(now) {
+// placePromotedGang starts a gang that goes first, or keeps what it lacks of its customer's quota.
+func (p *Pool) placePromotedGang(s *step, reserved *reservations, now clock.Time, out *Actions) {
+	if s.awaitsProbe(now) {
 		return
 	}
-	longAtOnce := p.longAtOnce() + longForStarving
+	longAtOnce := p.maxLongCalls() + extraLongCalls
 	if p.awaitsQuota(s) {
-		longAtOnce = p.advice.advisers.Joined() / 2 // these calls bring no start at once, so others go beside them
-		p.stopForQuota(s, reserved, now)
+		longAtOnce = p.advice.advisers.Count() / 2 // these calls bring no start at once, so others go beside them
+		p.preemptForQuota(s, reserved, now)
 	} else {
-		s.quotaIdleSince = 0
+		s.awaitsLowQuotaSince = 0
 		p.placeGang(s, reserved, now, out)
 		p.preempt(s, now)
 	}
-	if s.waiting() == 0 {
-		p.ready.remove(s)
+	if s.waitingTasks() == 0 {
+		p.waitingSteps.remove(s)
 		return
 	}
-	p.ask(s, longAtOnce, reserved, now, out)
-	p.reserve(s, reserved, now)
-	if p.keepsQuota(s, reserved, now) {
-		s.promiseQuota()
+	p.requestAdvice(s, longAtOnce, reserved, now, out)
+	p.reserveWorkers(s, reserved, now)
+	if p.mayReserveQuota(s, reserved, now) {
+		s.reserveQuota()
 	}
 }
 
-// keepsQuota says whether a gang that goes first is kept room in its customer's quota. One that lacks workers or tickets is not kept any when little of the quota
+// mayReserveQuota says whether a gang that goes first is kept room in its customer's quota. One that lacks workers or tickets is not kept any when little of the quota
 // has been used for too long.
-func (p *Pool) keepsQuota(s *step, reserved *reservations, now clock.Time) bool {
-	a := s.time.job.account
-	if a.Used().DominantShare(a.Customer().Quota) >= quotaLittleUsed {
-		s.quotaUnusedSince = 0
+func (p *Pool) mayReserveQuota(s *step, reserved *reservations, now clock.Time) bool {
+	a := s.occurrence.job.account
+	if a.Used().DominantShare(a.Customer().Quota) >= lowQuotaShare {
+		s.lowQuotaSince = 0
 		return true
 	}
-	if s.quotaUnusedSince == 0 {
-		s.quotaUnusedSince = now
+	if s.lowQuotaSince == 0 {
+		s.lowQuotaSince = now
 	}
-	return now.Sub(s.quotaUnusedSince) < unusedFor || p.gangWorkers(s, p.gangCandidates(s, reserved, now)) != nil
+	return now.Sub(s.lowQuotaSince) < maxReservedLowQuotaTime || p.gangWorkers(s, p.gangCandidates(s, reserved, now)) != nil
 }
 
-// chooseFirst chooses the gangs that go first: of each customer the one whose job was accepted first, of those that
+// updatePromotions chooses the gangs that go first: of each customer the one whose job was accepted first, of those that
 // starve.
-func (p *Pool) chooseFirst(now clock.Time) {
-	since := p.endFirstTurns(now)
+func (p *Pool) updatePromotions(now clock.Time) {
+	since := p.clearPromotions(now)
 	oldest := map[*account.Account]*step{}
-	for s := range p.ready.all() {
-		a := s.time.job.account
-		if a == nil || !p.mayGoFirst(s, now) {
+	for s := range p.waitingSteps.all() {
+		a := s.occurrence.job.account
+		if a == nil || !p.mayPromote(s, now) {
 			continue
 		}
 		if o := oldest[a]; o == nil || compareAccepted(s, o) < 0 {
 			oldest[a] = s
 		}
 	}
-	p.first.chosenAt = now
+	p.promotedGangs.updatedAt = now
 	for _, s := range oldest {
-		s.goesFirst = true
+		s.promoted = true
 		if since[s] == 0 {
-			since[s], s.quotaIdleSince, s.quotaUnusedSince = now, 0, 0
+			since[s], s.awaitsLowQuotaSince, s.lowQuotaSince = now, 0, 0
 		}
-		p.first.turns = append(p.first.turns, firstTurn{s, since[s]})
+		p.promotedGangs.promotions = append(p.promotedGangs.promotions, gangPromotion{s, since[s]})
 	}
-	slices.SortFunc(p.first.turns, func(a, b firstTurn) int { return compareAccepted(a.gang, b.gang) })
+	slices.SortFunc(p.promotedGangs.promotions, func(a, b gangPromotion) int { return compareAccepted(a.gang, b.gang) })
 }
 
-// endFirstTurns ends all turns, and returns since when the gangs have gone first that may do so again at once.
-func (p *Pool) endFirstTurns(now clock.Time) map[*step]clock.Time {
-	since := make(map[*step]clock.Time, len(p.first.turns))
-	for _, t := range p.first.turns {
-		t.gang.goesFirst = false
-		if now.Sub(t.since) >= firstTurnLasts {
-			t.gang.firstNotBefore = now.Add(firstTurnLasts)
+// clearPromotions ends all turns, and returns since when the gangs have gone first that may do so again at once.
+func (p *Pool) clearPromotions(now clock.Time) map[*step]clock.Time {
+	since := make(map[*step]clock.Time, len(p.promotedGangs.promotions))
+	for _, t := range p.promotedGangs.promotions {
+		t.gang.promoted = false
+		if now.Sub(t.since) >= maxPromotionTime {
+			t.gang.promotionNotBefore = now.Add(maxPromotionTime)
 		} else {
 			since[t.gang] = t.since
 		}
 	}
-	p.first.turns = p.first.turns[:0]
+	p.promotedGangs.promotions = p.promotedGangs.promotions[:0]
 	return since
 }
 
-// mayGoFirst says that a step is a gang that starves in a pool that is not well used, and that its customer has a quota
+// mayPromote says that a step is a gang that starves in a pool that is not well used, and that its customer has a quota
 // that is not well used either, or it has starved for long.
-func (p *Pool) mayGoFirst(s *step, now clock.Time) bool {
-	if !s.spec.Gang || s.missing() || now < s.firstNotBefore || p.load(s.time.job.queue.Pool).isWellUsed() {
+func (p *Pool) mayPromote(s *step, now clock.Time) bool {
+	if !s.spec.Gang || s.hasMissingMembers() || now < s.promotionNotBefore || p.poolLoad(s.occurrence.job.queue.Pool).isMostlyUsed() {
 		return false
 	}
-	a, waited := s.time.job.account, now.Sub(s.readySince)
+	a, waited := s.occurrence.job.account, now.Sub(s.readySince)
 	if a.Customer().Quota == (cell.Resources{}) {
 		return false
 	}
-	return waited > starvesForLong || waited > starvingAfter && !a.WellUsed()
+	return waited > maxGangWait || waited > adviceDelayLimit && !a.IsMostlyUsed()
 }
 
 // compareAccepted orders steps by when their jobs were accepted.
 func compareAccepted(a, b *step) int {
-	return cmp.Or(cmp.Compare(a.time.job.accepted, b.time.job.accepted), cmp.Compare(a.number, b.number))
+	return cmp.Or(cmp.Compare(a.occurrence.job.accepted, b.occurrence.job.accepted), cmp.Compare(a.seq, b.seq))
 }
--- a/pkg/dispatch/gang_promotion_test.go
+++ b/pkg/dispatch/gang_promotion_test.go
@@ -19,8 +19,8 @@
 	f := newFixture(t, workers, nil)
 	f.configure(2, north(int64(quotaCores)*1000))
 	f.reportAll(workers)
-	f.pool.PutAdviser("host")
-	f.pool.PutAdviser("other host")
+	f.pool.AddAdviser("host")
+	f.pool.AddAdviser("other host")
 	others := testStep(othersRun)
 	others.Estimate = time.Minute
 	f.add(of(north(0), testJob("others", others)))
@@ -42,7 +42,7 @@
 			for i := range s.tasks {
 				if r := s.tasks[i].current; r != nil {
 					n := numberOf(r.worker.info.ID)
-					reports[n] = Report{Active: append(reports[n].Active, Active{Task: r.task.id(), Run: r.number, Percent: 10})}
+					reports[n] = Report{Active: append(reports[n].Active, ActiveRun{Task: r.task.id(), Run: r.number, Percent: 10})}
 				}
 			}
 		}
@@ -56,26 +56,26 @@
 
 // answer answers calls for advice: all workers that they name are allowed.
 func (f *fixture) answer(actions Actions) {
-	for _, a := range actions.Asks {
+	for _, a := range actions.AdviceCalls {
 		var tickets []Ticket
 		for _, w := range a.Workers {
 			tickets = append(tickets, Ticket{Worker: w, Text: "t"})
 		}
-		f.pool.AdviceAnswered(a.Number, tickets, true, f.now)
+		f.pool.HandleAdviceAnswer(a.Number, tickets, true, f.now)
 	}
 }
 
 func TestStarvingGangIsAskedForWhileItWaitsForItsQuota(t *testing.T) {
 	f := starvingGang(t, 4, 2, 3)
-	f.Expect(f.plan().Asks).To(BeEmpty(), "it does not starve yet")
-	asks := f.wait(starvingAfter + 100*time.Millisecond).Asks
+	f.Expect(f.plan().AdviceCalls).To(BeEmpty(), "it does not starve yet")
+	asks := f.wait(adviceDelayLimit + 100*time.Millisecond).AdviceCalls
 	f.Expect(asks).To(HaveLen(1))
 	f.Expect(asks[0].Step.Job).To(Equal(job.ID("gang")))
 }
 
 func TestStarvingGangKeepsItsCustomersQuotaFromUrgentSteps(t *testing.T) {
 	f := starvingGang(t, 4, 2, 3)
-	f.wait(starvingAfter + 100*time.Millisecond)
+	f.wait(adviceDelayLimit + 100*time.Millisecond)
 	urgent := testJob("urgent", testStep(2))
 	urgent.Queue.Name = "urgent"
 	f.add(of(north(0), urgent))
@@ -86,38 +86,38 @@
 
 func TestGangTakesItsTurnWhereItsCustomersQuotaIsWellUsed(t *testing.T) {
 	f := starvingGang(t, 4, 3, 3)
-	f.Expect(f.wait(starvingAfter + 100*time.Millisecond).Asks).To(BeEmpty())
-	f.Expect(f.wait(starvesForLong).Asks).To(HaveLen(1), "it has starved for long")
+	f.Expect(f.wait(adviceDelayLimit + 100*time.Millisecond).AdviceCalls).To(BeEmpty())
+	f.Expect(f.wait(maxGangWait).AdviceCalls).To(HaveLen(1), "it has starved for long")
 }
 
 // A run of a customer whose quota is little used is stopped for a gang that lacks nothing else.
 func TestRunsOfALittleUsedQuotaAreStoppedForAGang(t *testing.T) {
 	f := starvingGang(t, 5, 2, 4)
-	f.answer(f.wait(starvingAfter + 100*time.Millisecond))
-	f.Expect(f.wait(littleUsedFor / 2).Stops).To(BeEmpty())
-	f.Expect(f.wait(littleUsedFor).Stops).To(HaveLen(1), "the other run may go on")
+	f.answer(f.wait(adviceDelayLimit + 100*time.Millisecond))
+	f.Expect(f.wait(maxLowQuotaTime / 2).Stops).To(BeEmpty())
+	f.Expect(f.wait(maxLowQuotaTime).Stops).To(HaveLen(1), "the other run may go on")
 }
 
 func TestRunsOfAWellUsedQuotaGoOnBesideAGangThatWaits(t *testing.T) {
 	f := starvingGang(t, 5, 3, 4)
-	f.wait(starvesForLong + 100*time.Millisecond)
-	f.Expect(f.wait(2 * littleUsedFor).Stops).To(BeEmpty())
+	f.wait(maxGangWait + 100*time.Millisecond)
+	f.Expect(f.wait(2 * maxLowQuotaTime).Stops).To(BeEmpty())
 }
 
 // A gang for which no workers have room does not keep its customer's quota unused for long.
 func TestGangThatCanNotStartGivesUpItsFirstTurn(t *testing.T) {
 	f := starvingGang(t, 20, 2, 19) // the pool has 8 cores
-	f.wait(starvingAfter + 100*time.Millisecond)
+	f.wait(adviceDelayLimit + 100*time.Millisecond)
 	f.add(of(north(0), testJob("next", testStep(2))))
 	f.Expect(f.plan().Starts).To(BeEmpty())
-	f.Expect(f.wait(firstTurnLasts).Starts).To(HaveLen(2))
+	f.Expect(f.wait(maxPromotionTime).Starts).To(HaveLen(2))
 }
 
 // A quota that was little used in an earlier turn is no reason to stop runs at the beginning of the next one.
 func TestTimeOfALittleUsedQuotaBeginsAnewWithEachTurn(t *testing.T) {
 	f := starvingGang(t, 5, 2, 4)
-	f.answer(f.wait(starvingAfter + 100*time.Millisecond))
-	f.pool.jobs["gang"].times[0].steps[0].firstNotBefore = f.now.Add(littleUsedFor)
-	f.wait(littleUsedFor / 2)
-	f.Expect(f.wait(littleUsedFor).Stops).To(BeEmpty())
+	f.answer(f.wait(adviceDelayLimit + 100*time.Millisecond))
+	f.pool.jobs["gang"].occurrences[0].steps[0].promotionNotBefore = f.now.Add(maxLowQuotaTime)
+	f.wait(maxLowQuotaTime / 2)
+	f.Expect(f.wait(maxLowQuotaTime).Stops).To(BeEmpty())
 }
--- a/pkg/dispatch/gang_quota_wait_test.go
+++ b/pkg/dispatch/gang_quota_wait_test.go
@@ -79,7 +79,7 @@
 }
 
 func (p *calmPool) look(j *jobState) {
-	if j.outcome != "" || j.runs() || !p.couldRun(j) {
+	if j.outcome != "" || j.hasRuns() || !p.couldRun(j) {
 		delete(p.since, j.job.ID)
 		return
 	}
@@ -103,19 +103,19 @@
 // couldRun says that a job's customer and the pool have less than half in use, and that the workers allowed have twice
 // the room for what is to start at once.
 func (p *calmPool) couldRun(j *jobState) bool {
-	load, used, quota := p.pool.load("pool"), j.account.Used(), j.account.Customer().Quota
+	load, used, quota := p.pool.poolLoad("pool"), j.account.Used(), j.account.Customer().Quota
 	if load.used.DominantShare(load.capacity) >= 0.5 || used.DominantShare(quota) >= 0.5 {
 		return false
 	}
-	s := j.times[0].steps[0]
+	s := j.occurrences[0].steps[0]
 	atOnce := 1
 	if s.spec.Gang {
 		atOnce = len(s.tasks)
 	}
 	room := 0
 	for _, w := range p.pool.workers {
-		if allowed(s.id(), w.info.ID) < p.allowed[j.queue.Name] && p.pool.eligible(s, w, p.now) {
-			room += fits(s, w)
+		if allowed(s.id(), w.info.ID) < p.allowed[j.queue.Name] && p.pool.isEligible(s, w, p.now) {
+			room += roomFor(s, w)
 		}
 	}
 	return room >= 2*atOnce
--- a/pkg/dispatch/gang_test.go
+++ b/pkg/dispatch/gang_test.go
@@ -32,7 +32,7 @@
 	f.add(testJob("a", gang))
 	starts := f.plan().Starts
 	f.accept(starts[0])
-	f.pool.StartAnswered(starts[1], Answer{Verdict: VerdictUnhealthy}, nil, f.now)
+	f.pool.HandleStartAnswer(starts[1], Answer{Verdict: VerdictUnhealthy}, nil, f.now)
 	f.pass(100 * time.Millisecond)
 	again := f.plan().Starts
 	f.Expect(again).To(HaveLen(1))
@@ -49,9 +49,9 @@
 	f.add(testJob("a", gang))
 	starts := f.plan().Starts
 	f.accept(starts[0])
-	f.pool.StartAnswered(starts[1], Answer{Verdict: VerdictUnhealthy}, nil, f.now)
+	f.pool.HandleStartAnswer(starts[1], Answer{Verdict: VerdictUnhealthy}, nil, f.now)
 	f.pass(1500 * time.Millisecond)
-	active := Report{Active: []Active{{Task: starts[0].Task, Run: 1, Percent: 0}}}
+	active := Report{Active: []ActiveRun{{Task: starts[0].Task, Run: 1, Percent: 0}}}
 	f.report(0, active)
 	actions := f.plan()
 	f.Expect(actions.Starts).To(BeEmpty())
@@ -78,7 +78,7 @@
 	f.accept(starts[1])
 	f.report(numberOf(starts[0].Worker), f.end(starts[0], 1, EndDone))
 	f.Expect(f.plan().Stops).To(BeEmpty())
-	f.pool.Committed(f.pool.TakeCommit())
-	state, _, _ := f.pool.State("a")
+	f.pool.ApplyCommit(f.pool.PrepareCommit())
+	state, _, _ := f.pool.JobState("a")
 	f.Expect(state).To(Equal(job.Completed))
 }
--- a/pkg/dispatch/history_call_test.go
+++ b/pkg/dispatch/history_call_test.go
@@ -65,16 +65,16 @@
 
 // sendStart sends a start as platform.Workers do: only over a connection over which the life that is meant has answered. With that life the connection ends, so
 // another one gets no start from the network. It may carry one out late that the former life held back.
-func (w *world) sendStart(o *modelOwner, s Start) {
+func (w *world) sendStart(o *modelOwner, s StartOrder) {
 	w.checkOrdered(o, s)
 	m := w.worker[numberOf(s.Worker)]
 	if m.replaced {
-		a := Answer{Verdict: VerdictOtherIncarnation}
-		w.later(callLimit/2, func() { o.pool.StartAnswered(s, a, nil, w.now) })
+		a := Answer{Verdict: VerdictWrongWorker}
+		w.later(callLimit/2, func() { o.pool.HandleStartAnswer(s, a, nil, w.now) })
 		return
 	}
-	if m.born != s.Worker.Born() {
-		w.later(callLimit/2, func() { o.pool.StartAnswered(s, Answer{}, ErrNotSent, w.now) })
+	if m.born != s.Worker.StartedAt() {
+		w.later(callLimit/2, func() { o.pool.HandleStartAnswer(s, Answer{}, ErrNotSent, w.now) })
 		return
 	}
 	sentAt, born := w.now, m.born
@@ -86,27 +86,27 @@
 		if a.Verdict == VerdictDone && w.now.Sub(sentAt) < callLimit {
 			w.checkNotShown(m, s)
 		}
-		return func() { o.pool.StartAnswered(s, a, nil, w.now) }
-	}, func() { o.pool.StartAnswered(s, Answer{}, fmt.Errorf("no answer"), w.now) }, func() bool { return m.born != born && o != w.present() && !w.awaited(m, s) })
+		return func() { o.pool.HandleStartAnswer(s, a, nil, w.now) }
+	}, func() { o.pool.HandleStartAnswer(s, Answer{}, fmt.Errorf("no answer"), w.now) }, func() bool { return m.born != born && o != w.present() && !w.awaited(m, s) })
 }
 
-func (w *world) sendStop(o *modelOwner, s Stop) {
+func (w *world) sendStop(o *modelOwner, s StopOrder) {
 	m := w.worker[numberOf(s.Worker)]
 	w.send(m, callLimit, func() func() {
 		a := w.stop(m, s)
-		return func() { o.pool.StopAnswered(s, a, w.now) }
+		return func() { o.pool.HandleStopAnswer(s, a, w.now) }
 	}, func() {})
 }
 
 func (w *world) sendHold(o *modelOwner, id WorkerID, raise bool) {
-	h, ok := o.pool.HoldFor(id, raise, true, w.now)
+	h, ok := o.pool.NewPoll(id, raise, true, w.now)
 	if !ok {
 		return
 	}
 	m := w.worker[numberOf(id)]
 	if m.replaced {
-		a := Answer{Verdict: VerdictOtherIncarnation}
-		w.later(callLimit/2, func() { o.pool.HoldAnswered(h, a, Report{}, w.now) })
+		a := Answer{Verdict: VerdictWrongWorker}
+		w.later(callLimit/2, func() { o.pool.HandlePollAnswer(h, a, Report{}, w.now) })
 		return
 	}
 	pause := w.between(historyTick, 300*time.Millisecond)
@@ -117,11 +117,11 @@
 	w.send(m, relayLimit, func() func() {
 		a, report := w.hold(m, h)
 		return func() {
-			o.pool.HoldAnswered(h, a, report, w.now)
+			o.pool.HandlePollAnswer(h, a, report, w.now)
 			w.holdAnswered(o, id, report)
 		}
 	}, func() {
-		o.pool.HoldFailed(id, w.now)
+		o.pool.HandlePollFailure(id, w.now)
 		if raise {
 			w.sendHold(o, id, true)
 		}
--- a/pkg/dispatch/history_incarnations_test.go
+++ b/pkg/dispatch/history_incarnations_test.go
@@ -68,7 +68,7 @@
 		}
 		info := w.infoOf(m)
 		info.ID = lifeID(numberOf(m.id), born)
-		if m.entry.gone || m.entry.info.ID.Born() != born {
+		if m.entry.gone || m.entry.info.ID.StartedAt() != born {
 			m.entry.info, m.entry.gone = info, false
 			m.entry.version++
 			w.note("%s: the entry of life %d is written", m.id, born)
@@ -110,9 +110,9 @@
 		}
 		o.entries[n] = m.entry.version
 		if m.entry.gone {
-			o.pool.EntryGone(string(workerID(n)), false, w.now)
+			o.pool.RemoveEntryByName(string(workerID(n)), false, w.now)
 		} else {
-			o.pool.PutWorker(m.entry.info, true, w.now)
+			o.pool.UpsertWorker(m.entry.info, true, w.now)
 		}
 	}
 }
@@ -123,11 +123,11 @@
 	for _, info := range w.roster {
 		switch {
 		case info.Crashed:
-			o.pool.MissCrash(info)
+			o.pool.RecordUncountedCrash(info)
 		case !slices.ContainsFunc(known, func(k WorkerInfo) bool { return k.ID == info.ID }):
-			o.pool.PutWorker(info, false, w.now)
+			o.pool.UpsertWorker(info, false, w.now)
 		}
-		o.pool.TakeRetired(info)
+		o.pool.LoadRetired(info)
 	}
 }
 
@@ -142,11 +142,11 @@
 	for _, info := range w.roster {
 		ids = append(ids, info.ID)
 	}
-	o.pool.Rostered(ids)
+	o.pool.MarkInRoster(ids)
 }
 
 // keepUnanswered keeps the starts without an answer of which a change tells the store.
-func (w *world) keepUnanswered(c Change) {
+func (w *world) keepUnanswered(c JobChange) {
 	for _, row := range c.Progress.Tasks {
 		t := job.TaskID{StepID: job.StepID{Job: c.Job, Time: row.Time, Step: row.Step}, Index: row.Index}
 		for _, u := range row.Unanswered {
@@ -157,7 +157,7 @@
 
 // awaited says that the present owner still counts with a start on a worker, or that the store was told that it got no answer. That owner knows nothing of other
 // starts of former owners, so it can't prevent that the next life of their worker, which has seen no token, carries them out beside or after what it has started.
-func (w *world) awaited(m *modelWorker, s Start) bool {
+func (w *world) awaited(m *modelWorker, s StartOrder) bool {
 	if w.unanswered[runKey{s.Task, s.Run}] {
 		return true
 	}
--- a/pkg/dispatch/history_informed_owner_test.go
+++ b/pkg/dispatch/history_informed_owner_test.go
@@ -202,7 +202,7 @@
 	for _, id := range found {
 		s := w.store[id]
 		switch {
-		case o.pool.knows(id):
+		case o.pool.isJobKnown(id):
 		case s.record.Term > o.term:
 			o.ended = true
 			return
@@ -225,12 +225,12 @@
 		return
 	}
 	o.holding[id] = w.now
-	if !o.counts(id) || id.Born() != report.Born {
+	if !o.counts(id) || id.StartedAt() != report.IncarnationStart {
 		return // the owner takes nothing from it
 	}
 	for _, f := range report.Finished {
-		if f.How == EndDone && !o.restarted(f) {
-			o.doneAt[f.Task] = modelLife{id, report.Born}
+		if f.Reason == EndDone && !o.restarted(f) {
+			o.doneAt[f.Task] = modelLife{id, report.IncarnationStart}
 		}
 	}
 }
@@ -244,19 +244,19 @@
 // counts says that an owner knows a worker and does not hold it for gone.
 func (o *modelOwner) counts(id WorkerID) bool {
 	x, known := o.pool.workers[id]
-	return known && !x.gone
+	return known && !x.terminated
 }
 
 // restarted says that an owner has begun a gang anew, since a member's worker seemed lost, when that lists an end of the run before. It does not
 // count then.
-func (o *modelOwner) restarted(f Finished) bool {
+func (o *modelOwner) restarted(f FinishedRun) bool {
 	t := o.pool.task(f.Task)
 	return t != nil && t.step.spec.Gang && t.current != nil && t.current.number != f.Run
 }
 
 // checkOrdered checks that an owner does not order a task again whose end as done a worker has listed to it. It may do so when that worker has
 // crashed since, or is held for gone.
-func (w *world) checkOrdered(o *modelOwner, s Start) {
+func (w *world) checkOrdered(o *modelOwner, s StartOrder) {
 	at, listed := o.doneAt[s.Task]
 	if !listed || !o.counts(at.id) {
 		return
--- a/pkg/dispatch/history_owner_test.go
+++ b/pkg/dispatch/history_owner_test.go
@@ -21,12 +21,12 @@
 	term := w.term
 	o := &modelOwner{term: term, holding: map[WorkerID]clock.Time{}, entries: map[int]int{}, doneAt: map[job.TaskID]modelLife{}}
 	o.pool = New(Config{
-		Hold: 5700 * time.Millisecond, MaxHold: 5700 * time.Millisecond, LongestLease: platformHold, Drain: time.Second, StopGrace: 400 * time.Millisecond,
-		Token: w.term << 20, Term: w.term, FirstRun: int(w.term) * 1000, Takeover: w.term > 1, AuthorityTerm: ownerTerm + 200*time.Millisecond,
-		Wall: func() time.Time { return w.wall }, Without: w.without, NamedFrom: w.namedFrom,
+		LeaseDuration: 5700 * time.Millisecond, MaxLeaseDuration: 5700 * time.Millisecond, WorkerMaxLease: platformHold, MinDrainTime: time.Second, StopGrace: 400 * time.Millisecond,
+		Token: w.term << 20, Term: w.term, RunNumberBase: int(w.term) * 1000, HasPreviousOwner: w.term > 1, AuthorityTerm: ownerTerm + 200*time.Millisecond,
+		WallClock: func() time.Time { return w.wall }, Disabled: w.without, RecordWorkersFromTerm: w.namedFrom,
 		Log: func(e Event) {
 			w.note("owner %d %s %s run %d %s %s", term, e.Name, e.Task, e.Run, e.Worker, e.Detail)
-			if m := w.worker[numberOf(e.Worker)]; e.Name == "crash_counted" && (m.dead || m.born != e.Worker.Born()) {
+			if m := w.worker[numberOf(e.Worker)]; e.Name == "crash_counted" && (m.dead || m.born != e.Worker.StartedAt()) {
 				w.lost[e.Task]++
 			}
 		},
@@ -58,20 +58,20 @@
 	for _, info := range w.roster {
 		switch {
 		case info.Crashed:
-			o.pool.MissCrash(info)
+			o.pool.RecordUncountedCrash(info)
 		case w.worker[numberOf(info.ID)].dead:
-			o.pool.PutWorker(info, false, w.now)
+			o.pool.UpsertWorker(info, false, w.now)
 		}
-		o.pool.TakeRetired(info)
+		o.pool.LoadRetired(info)
 	}
 }
 
 // meet takes in a worker's entry. Only the present owner can put a worker into the roster, since
 // that is a write on condition of the owner's record.
 func (w *world) meet(o *modelOwner, m *modelWorker) {
-	o.pool.PutWorker(WorkerInfo{ID: m.id, Pool: "pool", Address: m.address, Capacity: m.capacity, Draining: m.draining}, true, w.now)
+	o.pool.UpsertWorker(WorkerInfo{ID: m.id, Pool: "pool", Address: m.address, Capacity: m.capacity, Draining: m.draining}, true, w.now)
 	if o == w.present() {
-		o.pool.Rostered([]WorkerID{m.id})
+		o.pool.MarkInRoster([]WorkerID{m.id})
 	}
 }
 
@@ -117,7 +117,7 @@
 
 // act lets an owner plan, commit and call workers.
 func (w *world) act(o *modelOwner) {
-	if o.ended || o.pool.Fenced() || o.until != 0 && w.now >= o.until {
+	if o.ended || o.pool.IsFenced() || o.until != 0 && w.now >= o.until {
 		o.ended = true
 		return
 	}
@@ -136,14 +136,14 @@
 	for _, s := range actions.Stops {
 		w.sendStop(o, s)
 	}
-	for _, id := range actions.Settles {
+	for _, id := range actions.FenceWorkers {
 		w.sendHold(o, id, true)
 	}
 	w.holdAll(o)
-	if actions.Confirm {
+	if actions.ConfirmOwnership {
 		w.confirm(o)
 	}
-	o.pool.Inspect(w.now)
+	o.pool.InspectRuns(w.now)
 	w.commit(o)
 	if w.reborn {
 		w.writeRoster(o)
@@ -176,7 +176,7 @@
 				o.ended = true
 				return
 			}
-			o.pool.Confirmed(sentAt)
+			o.pool.RecordOwnershipConfirmed(sentAt)
 		})
 	})
 }
@@ -186,8 +186,8 @@
 	if w.now < o.storeAwayUntil {
 		return
 	}
-	c := o.pool.TakeCommit()
-	if c.Empty() {
+	c := o.pool.PrepareCommit()
+	if c.IsEmpty() {
 		return
 	}
 	if o != w.present() {
@@ -197,11 +197,11 @@
 	for _, change := range c.Changes {
 		w.checkOutcome(change)
 		s := w.store[change.Job]
-		s.outcome, s.progress, s.unended, s.lateStart, s.stored = change.Outcome, change.Progress, change.Unended, change.LateStart, true
+		s.outcome, s.progress, s.unended, s.lateStart, s.stored = change.Outcome, change.Progress, change.RemainingUse, change.LastLateStart, true
 		w.keepUnanswered(change)
 		if s.outcome == job.Completed {
 			s.shownAt = w.now
 		}
 	}
-	o.pool.Committed(c)
+	o.pool.ApplyCommit(c)
 }
--- a/pkg/dispatch/history_previous_owner_test.go
+++ b/pkg/dispatch/history_previous_owner_test.go
@@ -42,7 +42,7 @@
 	for _, s := range jobs {
 		o.take(w, s.id, &s.storedJob)
 	}
-	o.pool.SetLoaded()
+	o.pool.MarkJobsLoaded()
 	o.loading = false
 }
 
@@ -77,7 +77,7 @@
 // hearsOfJobs is the owner that is told of a job: a former one that still gives orders, where hosts tell these, or the present one.
 func (w *world) hearsOfJobs() *modelOwner {
 	for _, o := range w.owners {
-		if w.tellsFormer && !o.ended && !o.loading && o.until != 0 && w.now < o.until && !o.pool.Fenced() {
+		if w.tellsFormer && !o.ended && !o.loading && o.until != 0 && w.now < o.until && !o.pool.IsFenced() {
 			return o
 		}
 	}
@@ -119,7 +119,7 @@
 		w.later(w.between(time.Millisecond, readWithin), func() {
 			delete(o.reading, id)
 			if !w.chance(0.2) && !w.find(o, id) {
-				o.pool.JobAbsent(id)
+				o.pool.MarkJobAbsent(id)
 			}
 		})
 	}
--- a/pkg/dispatch/history_test.go
+++ b/pkg/dispatch/history_test.go
@@ -93,7 +93,7 @@
 	// unanswered are the starts without an answer of which the store was told.
 	unanswered map[runKey]bool
 	// without leaves mechanisms out of all owners.
-	without Without
+	without DisabledMechanisms
 	// namedFrom is the first term from which on owners name the workers of jobs; 0 for none.
 	namedFrom int64
 	// relayed says that some answers are held up on their way by relays that are slow or frozen for a while.
--- a/pkg/dispatch/history_worker_test.go
+++ b/pkg/dispatch/history_worker_test.go
@@ -51,7 +51,7 @@
 	token    int64
 	lease    int64 // on its clock
 	runs     map[runKey]modelRun
-	ended    []Finished
+	ended    []FinishedRun
 	endedAt  map[int64]clock.Time // of the ends, by their numbers
 	lapsedAt clock.Time           // when its lease had lapsed last
 	lastEnd  int64
@@ -94,7 +94,7 @@
 	m.lease = max(m.lease, min(deadline, m.clock(now)+platformHold.Milliseconds()))
 }
 
-func (w *world) start(m *modelWorker, s Start) Answer {
+func (w *world) start(m *modelWorker, s StartOrder) Answer {
 	a := Answer{Clock: m.clock(w.now)}
 	key := runKey{s.Task, s.Run}
 	switch _, there := m.runs[key]; {
@@ -102,7 +102,7 @@
 		a.Verdict = VerdictFenced
 		return a
 	case s.Deadline <= a.Clock:
-		a.Verdict = VerdictLate
+		a.Verdict = VerdictDeadlinePassed
 		return a
 	case there:
 		a.Verdict = VerdictDone
@@ -118,7 +118,7 @@
 	return a
 }
 
-func (w *world) newRun(s Start) modelRun {
+func (w *world) newRun(s StartOrder) modelRun {
 	step := w.store[s.Task.Job].record.Job.Steps[s.Task.Step]
 	r := modelRun{
 		task: s.Task, run: s.Run, need: step.Resources, fails: w.chance(0.05),
@@ -164,8 +164,8 @@
 }
 
 // noted takes in that an owner has taken note of an end.
-func (w *world) noted(f Finished) {
-	switch f.How {
+func (w *world) noted(f FinishedRun) {
+	switch f.Reason {
 	case EndDone:
 		for i := range w.store[f.Task.Job].record.Job.Steps[f.Task.Step].Count {
 			if t := (job.TaskID{StepID: f.Task.StepID, Index: i}); t == f.Task || w.counted(t) == w.counted(f.Task) {
@@ -178,15 +178,15 @@
 }
 
 // checkNotBegunAgain checks that a task whose end as done is noted did not begin again after that end.
-func (w *world) checkNotBegunAgain(m *modelWorker, f Finished) {
-	if at := w.begun[f.Task]; f.How == EndDone && at > m.endedAt[f.Number] {
+func (w *world) checkNotBegunAgain(m *modelWorker, f FinishedRun) {
+	if at := w.begun[f.Task]; f.Reason == EndDone && at > m.endedAt[f.Number] {
 		w.broken("%s began again at %d, and the end as done of run %d on %s at %d is noted", f.Task, at, f.Run, m.id, m.endedAt[f.Number])
 	}
 }
 
 // checkNotShown checks that a task does not begin more than a second after its job was shown as
 // completed. Orders that are carried out late are not to be checked.
-func (w *world) checkNotShown(m *modelWorker, s Start) {
+func (w *world) checkNotShown(m *modelWorker, s StartOrder) {
 	const allowed = time.Second
 	if shown := w.store[s.Task.Job].shownAt; shown != 0 && w.now.Sub(shown) > allowed {
 		w.broken("%s begins as run %d on %s after its job was shown as completed", s.Task, s.Run, m.id)
@@ -269,7 +269,7 @@
 }
 
 // checkOutcome checks that a job is given up only for the failures of a task, or for crashes.
-func (w *world) checkOutcome(c Change) {
+func (w *world) checkOutcome(c JobChange) {
 	if _, crashes := w.crashers[c.Job]; c.Outcome != job.Failed || crashes {
 		return
 	}
@@ -286,7 +286,7 @@
 	w.broken("%s is given up without a cause", c.Job)
 }
 
-func (w *world) stop(m *modelWorker, s Stop) Answer {
+func (w *world) stop(m *modelWorker, s StopOrder) Answer {
 	a := Answer{Clock: m.clock(w.now), Verdict: VerdictDone}
 	if !m.fence(s.Token) {
 		a.Verdict = VerdictFenced
@@ -298,7 +298,7 @@
 	return a
 }
 
-func (w *world) hold(m *modelWorker, h Hold) (Answer, Report) {
+func (w *world) hold(m *modelWorker, h PollOrder) (Answer, Report) {
 	a := Answer{Clock: m.clock(w.now), Verdict: VerdictDone}
 	if !m.fence(h.Token) {
 		a.Verdict = VerdictFenced
@@ -308,22 +308,22 @@
 		m.extend(h.Deadline, w.now)
 	}
 	for _, f := range m.ended {
-		if f.Number <= h.LastSeen && m.lapsedAt < m.endedAt[f.Number] {
+		if f.Number <= h.AckedEnd && m.lapsedAt < m.endedAt[f.Number] {
 			w.note("%s: the end of %s run %d is noted", m.id, f.Task, f.Run)
 			w.noted(f)
 			w.checkNotBegunAgain(m, f)
 		}
 	}
-	m.ended = slices.DeleteFunc(m.ended, func(f Finished) bool { return f.Number <= h.LastSeen })
-	report := Report{Born: m.born, Finished: slices.Clone(m.ended)}
+	m.ended = slices.DeleteFunc(m.ended, func(f FinishedRun) bool { return f.Number <= h.AckedEnd })
+	report := Report{IncarnationStart: m.born, Finished: slices.Clone(m.ended)}
 	for _, r := range w.runsOf(m) {
-		report.Active = append(report.Active, Active{Task: r.task, Run: r.run, Percent: 1 + w.rand.IntN(90)})
+		report.Active = append(report.Active, ActiveRun{Task: r.task, Run: r.run, Percent: 1 + w.rand.IntN(90)})
 	}
 	return a, report
 }
 
 // end ends a run, if it is still there.
-func (w *world) end(m *modelWorker, r modelRun, how End) {
+func (w *world) end(m *modelWorker, r modelRun, how EndReason) {
 	key := runKey{r.task, r.run}
 	if _, ok := m.runs[key]; !ok || m.dead {
 		return
@@ -341,7 +341,7 @@
 	}
 	m.lastEnd++
 	m.endedAt[m.lastEnd] = w.now
-	m.ended = append(m.ended, Finished{Number: m.lastEnd, Task: r.task, Run: r.run, How: how})
+	m.ended = append(m.ended, FinishedRun{Number: m.lastEnd, Task: r.task, Run: r.run, Reason: how})
 	w.note("%s ends %s run %d %s", m.id, r.task, r.run, how)
 }
 
@@ -354,7 +354,7 @@
 	for _, r := range w.runsOf(m) {
 		switch {
 		case lapsed:
-			w.end(m, r, EndLapsed)
+			w.end(m, r, EndLeaseExpired)
 		case r.gang != nil:
 			w.advanceGang(m, r)
 		case w.now < r.endsAt:
@@ -371,9 +371,9 @@
 	g := r.gang
 	switch {
 	case g.broken:
-		w.end(m, r, EndBroken)
+		w.end(m, r, EndGangBroken)
 	case g.endsAt == 0 && w.now >= r.endsAt:
-		w.end(m, r, EndAlone)
+		w.end(m, r, EndGangIncomplete)
 	case g.endsAt == 0 || w.now < g.endsAt:
 	case g.fails:
 		w.end(m, r, EndFailed)
@@ -402,7 +402,7 @@
 		next := w.addWorker()
 		next.address = m.address
 		for _, o := range w.owners {
-			o.pool.UnlistWorker(m.id, false, w.now)
+			o.pool.RemoveEntry(m.id, false, w.now)
 			w.meet(o, next)
 		}
 	})
--- a/pkg/dispatch/hot_customer_test.go
+++ b/pkg/dispatch/hot_customer_test.go
@@ -95,7 +95,7 @@
 			second.Job.Steps = []job.Step{gangOf(test.second)}
 			second.Queue.TargetLatency = time.Minute // in time
 			f.add(of(north(0), second))
-			f.wait(starvingAfter + 100*time.Millisecond)
+			f.wait(adviceDelayLimit + 100*time.Millisecond)
 			small := testJob("small", testStep(test.small))
 			small.Queue.Name, small.Queue.Priority = "later", 5
 			f.add(of(north(0), small))
--- a/pkg/dispatch/incarnations_ends_test.go
+++ b/pkg/dispatch/incarnations_ends_test.go
@@ -19,11 +19,11 @@
 	f.add(testJob("b", testStep(1)))
 	s := f.onlyStart()
 	f.acceptBy(s, secondLife(0))
-	f.Expect(f.hold(secondLife(0), false).LastSeen).To(BeZero())
+	f.Expect(f.hold(secondLife(0), false).AckedEnd).To(BeZero())
 	f.reports(secondLife(0), f.end(s, 1, EndDone))
 	f.Expect(f.pool.jobs["b"].outcome).To(Equal(job.Completed))
-	f.pool.Committed(f.pool.TakeCommit())
-	f.Expect(f.hold(secondLife(0), false).LastSeen).To(Equal(int64(1)))
+	f.pool.ApplyCommit(f.pool.PrepareCommit())
+	f.Expect(f.hold(secondLife(0), false).AckedEnd).To(Equal(int64(1)))
 	f.Expect(f.plan().Starts).To(BeEmpty())
 }
 
@@ -49,7 +49,7 @@
 	gang := testStep(8)
 	gang.Gang = true
 	f.add(testJob("a", gang))
-	var first, other []Start
+	var first, other []StartOrder
 	for _, s := range f.plan().Starts {
 		f.acceptBy(s, firstLife(numberOf(s.Worker)))
 		if numberOf(s.Worker) == 0 {
@@ -66,7 +66,7 @@
 	f.reports(secondLife(0), Report{})
 	var broken Report
 	for n, s := range other {
-		broken.Finished = append(broken.Finished, Finished{Number: int64(n + 1), Task: s.Task, Run: s.Run, How: EndBroken})
+		broken.Finished = append(broken.Finished, FinishedRun{Number: int64(n + 1), Task: s.Task, Run: s.Run, Reason: EndGangBroken})
 	}
 	f.reports(firstLife(1), broken)
 	f.Expect(f.plan().Starts).To(HaveLen(8))
@@ -90,13 +90,13 @@
 func noEndIsNotedUnseen(t *testing.T) {
 	f := newLives(t, 1, nil)
 	f.doneOnFirst("a")
-	f.Expect(f.hold(firstLife(0), false).LastSeen).To(Equal(int64(7)), "heard of just now")
+	f.Expect(f.hold(firstLife(0), false).AckedEnd).To(Equal(int64(7)), "heard of just now")
 	f.add(testJob("b", testStep(1)))
 	s := f.onlyStart()
 	f.acceptBy(s, secondLife(0)) // it started again, and took the order
 	f.pass(700 * time.Millisecond)
 	h := f.hold(firstLife(0), false)
-	f.Expect(h.LastSeen).To(BeZero(), "the next life would forget an end that nobody has read")
+	f.Expect(h.AckedEnd).To(BeZero(), "the next life would forget an end that nobody has read")
 	f.answers(h, secondLife(0), f.end(s, 1, EndDone))
 	f.reports(secondLife(0), f.end(s, 1, EndDone))
 	f.Expect(f.pool.jobs["b"].outcome).To(Equal(job.Completed))
@@ -110,27 +110,27 @@
 	f.lists(secondLife(0))
 	f.pass(time.Millisecond)
 	h := f.hold(firstLife(0), false)
-	f.Expect(h.LastSeen).To(BeZero())
+	f.Expect(h.AckedEnd).To(BeZero())
 	f.Expect(h.Deadline).To(BeZero())
 	f.answers(h, firstLife(0), Report{}) // it is there after all
 	f.pass(time.Millisecond)
-	f.Expect(f.hold(firstLife(0), false).LastSeen).To(Equal(int64(7)))
+	f.Expect(f.hold(firstLife(0), false).AckedEnd).To(Equal(int64(7)))
 }
 
 // notedAgain has the entry of the former life come after that of the next one, and returns a hold for the former life that notes its ends again.
-func notedAgain(t *testing.T) (f *fixture, late Hold) {
+func notedAgain(t *testing.T) (f *fixture, late PollOrder) {
 	f = newLives(t, 1, nil)
 	f.doneOnFirst("a")
 	f.lists(secondLife(0))
 	f.lists(firstLife(0))
 	f.pass(time.Millisecond)
 	late = f.hold(firstLife(0), false)
-	f.Expect(late.LastSeen).To(Equal(int64(7)), "it is not doubted")
+	f.Expect(late.AckedEnd).To(Equal(int64(7)), "it is not doubted")
 	return f, late
 }
 
 // startHasHigherToken has the next life answer and checks that a start for it has a higher token than a hold for the former one.
-func (f *fixture) startHasHigherToken(late Hold) {
+func (f *fixture) startHasHigherToken(late PollOrder) {
 	f.begins(secondLife(0), Report{})
 	f.reports(secondLife(0), Report{})
 	f.add(testJob("b", testStep(1)))
--- a/pkg/dispatch/incarnations_evidence_test.go
+++ b/pkg/dispatch/incarnations_evidence_test.go
@@ -19,7 +19,7 @@
 	f.survives(firstLife(0), s)
 	f.pass(500 * time.Millisecond)
 	f.answers(f.hold(firstLife(0), false), secondLife(0), Report{})
-	meets := f.plan().Meets
+	meets := f.plan().NewWorkers
 	f.Expect(meets).To(HaveLen(1), "it is asked from now on")
 	f.Expect(meets[0].ID).To(Equal(secondLife(0).id))
 	f.reports(secondLife(0), Report{})
@@ -55,7 +55,7 @@
 	f.pass(500 * time.Millisecond)
 	f.begins(secondLife(0), Report{})
 	f.reports(secondLife(0), Report{})
-	f.answers(late, firstLife(0), f.end(s, 9, EndLapsed))
+	f.answers(late, firstLife(0), f.end(s, 9, EndLeaseExpired))
 	again := f.onlyStart()
 	f.acceptBy(again, secondLife(0))
 	f.answers(late, firstLife(0), listed(s))
--- a/pkg/dispatch/incarnations_fixture_test.go
+++ b/pkg/dispatch/incarnations_fixture_test.go
@@ -51,27 +51,27 @@
 
 // lists has the entry of a life stand in the store, and the roster written.
 func (f *fixture) lists(l life) {
-	f.pool.PutWorker(l.info(), true, f.now)
-	f.pool.Rostered([]WorkerID{l.id})
+	f.pool.UpsertWorker(l.info(), true, f.now)
+	f.pool.MarkInRoster([]WorkerID{l.id})
 }
 
 // entryGoes has the entry of a worker go.
 func (f *fixture) entryGoes(l life) {
-	f.pool.EntryGone(l.id.Name(), false, f.now)
+	f.pool.RemoveEntryByName(l.id.Name(), false, f.now)
 }
 
 // hold is the next hold that is sent to a life.
-func (f *fixture) hold(to life, raise bool) Hold {
-	h, ok := f.pool.HoldFor(to.id, raise, true, f.now)
+func (f *fixture) hold(to life, raise bool) PollOrder {
+	h, ok := f.pool.NewPoll(to.id, raise, true, f.now)
 	f.Expect(ok).To(BeTrue(), "there is a hold for %s", to.id)
 	f.pass(time.Millisecond)
 	return h
 }
 
 // answers has a life answer a hold, whichever life that was sent to.
-func (f *fixture) answers(h Hold, by life, r Report) {
-	r.Born = by.born
-	f.pool.HoldAnswered(h, Answer{Verdict: VerdictDone, Clock: f.workerClock - by.behind}, r, f.now)
+func (f *fixture) answers(h PollOrder, by life, r Report) {
+	r.IncarnationStart = by.born
+	f.pool.HandlePollAnswer(h, Answer{Verdict: VerdictDone, Clock: f.workerClock - by.behind}, r, f.now)
 }
 
 // reports has a life answer a hold that was sent to it.
@@ -86,19 +86,19 @@
 	f.pass(time.Millisecond)
 }
 
-func (f *fixture) acceptBy(s Start, by life) {
-	f.pool.StartAnswered(s, Answer{Verdict: VerdictDone, Clock: f.workerClock - by.behind}, nil, f.now)
+func (f *fixture) acceptBy(s StartOrder, by life) {
+	f.pool.HandleStartAnswer(s, Answer{Verdict: VerdictDone, Clock: f.workerClock - by.behind}, nil, f.now)
 }
 
-func (f *fixture) noAnswer(s Start) {
-	f.pool.StartAnswered(s, Answer{}, fmt.Errorf("no answer"), f.now)
+func (f *fixture) noAnswer(s StartOrder) {
+	f.pool.HandleStartAnswer(s, Answer{}, fmt.Errorf("no answer"), f.now)
 }
 
-func activeRow(s Start) Active {
-	return Active{Task: s.Task, Run: s.Run, Percent: 10}
+func activeRow(s StartOrder) ActiveRun {
+	return ActiveRun{Task: s.Task, Run: s.Run, Percent: 10}
 }
 
-func listed(starts ...Start) Report {
+func listed(starts ...StartOrder) Report {
 	var r Report
 	for _, s := range starts {
 		r.Active = append(r.Active, activeRow(s))
@@ -116,34 +116,34 @@
 }
 
 // onlyStart is the one start of the next plan.
-func (f *fixture) onlyStart() Start {
+func (f *fixture) onlyStart() StartOrder {
 	starts := f.plan().Starts
 	f.Expect(starts).To(HaveLen(1))
 	return starts[0]
 }
 
 // survives has a life list runs until their starts are known not to be what ends it.
-func (f *fixture) survives(l life, starts ...Start) {
+func (f *fixture) survives(l life, starts ...StartOrder) {
 	f.reports(l, listed(starts...))
-	f.pass(crash.ProvenAfter + 50*time.Millisecond)
+	f.pass(crash.SurvivalTime + 50*time.Millisecond)
 	f.reports(l, listed(starts...))
 }
 
 // startsAgain is what is started within a second in which a life goes on to list the same. What may have crashed a worker is stored
 // before it is started.
-func (f *fixture) startsAgain(by life, r Report) []Start {
-	var starts []Start
+func (f *fixture) startsAgain(by life, r Report) []StartOrder {
+	var starts []StartOrder
 	for range 10 {
 		f.pass(100 * time.Millisecond)
 		f.reports(by, r)
 		starts = append(starts, f.plan().Starts...)
-		f.pool.Committed(f.pool.TakeCommit())
+		f.pool.ApplyCommit(f.pool.PrepareCommit())
 	}
 	return starts
 }
 
 // onlyStartAgain is the one start of startsAgain.
-func (f *fixture) onlyStartAgain(by life, r Report) Start {
+func (f *fixture) onlyStartAgain(by life, r Report) StartOrder {
 	starts := f.startsAgain(by, r)
 	f.Expect(starts).To(HaveLen(1))
 	return starts[0]
@@ -155,5 +155,5 @@
 	s := f.onlyStart()
 	f.acceptBy(s, firstLife(0))
 	f.reports(firstLife(0), f.end(s, 7, EndDone))
-	f.pool.Committed(f.pool.TakeCommit())
+	f.pool.ApplyCommit(f.pool.PrepareCommit())
 }
--- a/pkg/dispatch/incarnations_starts_test.go
+++ b/pkg/dispatch/incarnations_starts_test.go
@@ -11,7 +11,7 @@
 // Starts that the next life may have taken.
 
 // unanswered is a start that got no answer from the first life of worker 0, which has ended since, with another worker to go to.
-func unanswered(t *testing.T, change func(*Config)) (*fixture, Start) {
+func unanswered(t *testing.T, change func(*Config)) (*fixture, StartOrder) {
 	f := newLives(t, 1, change)
 	f.add(testJob("a", testStep(1)))
 	s := f.onlyStart()
@@ -100,7 +100,7 @@
 	gang := testStep(8)
 	gang.Gang = true
 	f.add(testJob("a", gang))
-	of := map[int][]Start{}
+	of := map[int][]StartOrder{}
 	for _, s := range f.plan().Starts {
 		of[numberOf(s.Worker)] = append(of[numberOf(s.Worker)], s)
 	}
@@ -120,7 +120,7 @@
 	for n, l := range []life{secondLife(0), firstLife(1)} {
 		var done Report
 		for i, s := range of[n] {
-			done.Finished = append(done.Finished, Finished{Number: int64(i + 1), Task: s.Task, Run: s.Run, How: EndDone})
+			done.Finished = append(done.Finished, FinishedRun{Number: int64(i + 1), Task: s.Task, Run: s.Run, Reason: EndDone})
 		}
 		f.reports(l, done)
 	}
--- a/pkg/dispatch/incarnations_transferred_test.go
+++ b/pkg/dispatch/incarnations_transferred_test.go
@@ -20,8 +20,8 @@
 	f.Expect(f.plan().Starts).To(BeEmpty(), "what the former life held is no sign of what this one does")
 	small := secondLife(0).info()
 	small.Capacity = cell.Resources{CPUMillis: 2000, MemoryMB: 8000}
-	f.pool.PutWorker(small, true, f.now)
-	f.pool.Rostered([]WorkerID{small.ID})
+	f.pool.UpsertWorker(small, true, f.now)
+	f.pool.MarkInRoster([]WorkerID{small.ID})
 	f.reports(secondLife(0), Report{})
 	f.Expect(f.plan().Starts).To(HaveLen(2))
 }
@@ -30,7 +30,7 @@
 func nextLifeTakesNoOrder(t *testing.T) {
 	f := newLives(t, 1, nil)
 	f.pass(200 * time.Millisecond)
-	f.pool.HoldFailed(firstLife(0).id, f.now)
+	f.pool.HandlePollFailure(firstLife(0).id, f.now)
 	f.add(testJob("a", testStep(1)))
 	f.Expect(f.plan().Starts).To(BeEmpty(), "it may have ended")
 	f.reports(firstLife(0), Report{})
@@ -41,8 +41,8 @@
 	f := newLives(t, 1, nil)
 	leaving := firstLife(0).info()
 	leaving.Draining, leaving.Remaining = true, time.Second
-	f.pool.PutWorker(leaving, true, f.now)
-	f.pool.suspend(f.pool.workers[firstLife(0).id], time.Minute, "failures", f.now)
+	f.pool.UpsertWorker(leaving, true, f.now)
+	f.pool.suspendWorker(f.pool.workers[firstLife(0).id], time.Minute, "failures", f.now)
 	f.pass(700 * time.Millisecond)
 	f.begins(secondLife(0), Report{})
 	f.reports(secondLife(0), Report{})
@@ -50,7 +50,7 @@
 	s := f.onlyStart()
 	f.acceptBy(s, secondLife(0))
 	f.reports(secondLife(0), listed(s))
-	f.pool.Inspect(f.now)
+	f.pool.InspectRuns(f.now)
 	f.Expect(f.plan().Stops).To(BeEmpty(), "it does not leave")
 }
 
@@ -64,20 +64,20 @@
 	next := f.hold(secondLife(0), false)
 	f.Expect(next.Token).To(BeNumerically(">", raised.Token))
 	// A hold for the former life reaches the next one, with a higher token; that is no other owner's.
-	_, _ = f.pool.HoldFor(firstLife(0).id, true, true, f.now)
-	f.pool.HoldAnswered(next, Answer{Verdict: VerdictFenced, Clock: f.workerClock - secondLife(0).behind}, Report{}, f.now)
-	f.Expect(f.pool.Fenced()).To(BeFalse())
+	_, _ = f.pool.NewPoll(firstLife(0).id, true, true, f.now)
+	f.pool.HandlePollAnswer(next, Answer{Verdict: VerdictFenced, Clock: f.workerClock - secondLife(0).behind}, Report{}, f.now)
+	f.Expect(f.pool.IsFenced()).To(BeFalse())
 	f.reports(secondLife(0), Report{})
-	f.Expect(f.pool.Fenced()).To(BeFalse())
+	f.Expect(f.pool.IsFenced()).To(BeFalse())
 }
 
 func ticketsAreOfOneLife(t *testing.T) {
 	f := newLives(t, 1, nil)
-	f.pool.PutAdviser("host")
+	f.pool.AddAdviser("host")
 	f.add(advisedJob("a", testStep(5)))
-	asks := f.plan().Asks
+	asks := f.plan().AdviceCalls
 	f.Expect(asks).To(HaveLen(1))
-	f.pool.AdviceAnswered(asks[0].Number, []Ticket{{asks[0].Workers[0], "t1"}}, true, f.now)
+	f.pool.HandleAdviceAnswer(asks[0].Number, []Ticket{{asks[0].Workers[0], "t1"}}, true, f.now)
 	starts := f.plan().Starts
 	f.Expect(starts).To(HaveLen(4))
 	for _, s := range starts {
@@ -89,8 +89,8 @@
 	f.reports(secondLife(0), Report{})
 	actions := f.plan()
 	f.Expect(actions.Starts).To(BeEmpty(), "the ticket was for the former life")
-	f.Expect(actions.Asks).To(HaveLen(1))
-	f.Expect(actions.Asks[0].Workers).To(Equal([]WorkerID{secondLife(0).id}))
+	f.Expect(actions.AdviceCalls).To(HaveLen(1))
+	f.Expect(actions.AdviceCalls[0].Workers).To(Equal([]WorkerID{secondLife(0).id}))
 }
 
 func crashIsCounted(t *testing.T) {
@@ -102,10 +102,10 @@
 	f.begins(secondLife(0), Report{})
 	f.reports(secondLife(0), Report{})
 	j := f.pool.jobs["a"]
-	f.Expect(j.times[0].steps[0].tasks[0].crash.Crashes()).To(HaveLen(1))
+	f.Expect(j.occurrences[0].steps[0].tasks[0].crash.Crashes()).To(HaveLen(1))
 	f.Expect(f.plan().Starts).To(BeEmpty(), "it is stored first")
-	stored := f.pool.TakeCommit()
-	f.pool.Committed(stored)
+	stored := f.pool.PrepareCommit()
+	f.pool.ApplyCommit(stored)
 	f.reports(secondLife(0), Report{})
 	f.Expect(f.plan().Starts).To(HaveLen(1))
 }
@@ -124,12 +124,12 @@
 	f.pass(500 * time.Millisecond)
 	f.begins(thirdLife(0), Report{})
 	f.reports(thirdLife(0), Report{})
-	f.Expect(f.pool.jobs["a"].times[0].steps[0].tasks[0].crash.Crashes()).To(HaveLen(1))
+	f.Expect(f.pool.jobs["a"].occurrences[0].steps[0].tasks[0].crash.Crashes()).To(HaveLen(1))
 }
 
 // shortLeases has an owner give shorter leases than a worker does at most.
 func shortLeases(c *Config) {
-	c.Hold, c.MaxHold = 3*time.Second, 3*time.Second
+	c.LeaseDuration, c.MaxLeaseDuration = 3*time.Second, 3*time.Second
 }
 
 // A deadline by the clock of the former life may be far ahead on the next one's, which cuts it to the longest lease that it gives.
@@ -155,17 +155,17 @@
 	silentAtOnce(t, func(f *fixture) { f.lists(secondLife(0)) })
 }
 
-// The hold that was answered had no higher token, so the start may be carried out until latestOrder after it was sent.
+// The hold that was answered had no higher token, so the start may be carried out until maxOrderDelay after it was sent.
 func silentAtOnce(t *testing.T, then func(*fixture)) {
 	f, s := unanswered(t, shortLeases)
-	sentAt := f.pool.workers[s.Worker].runs[runKey{s.Task, s.Run}].call.OrderedAt
+	sentAt := f.pool.workers[s.Worker].runs[runKey{s.Task, s.Run}].startCall.OrderedAt
 	f.answers(f.hold(firstLife(0), false), secondLife(0), Report{})
 	then(f)
-	for f.now.Sub(sentAt) < latestOrder+5500*time.Millisecond {
+	for f.now.Sub(sentAt) < maxOrderDelay+5500*time.Millisecond {
 		f.pass(500 * time.Millisecond)
 		f.reports(firstLife(1), Report{})
 		f.Expect(f.plan().Starts).To(BeEmpty(), "the start may be carried out for 12 s, and the run may have a lease of 6 s")
-		f.pool.Committed(f.pool.TakeCommit())
+		f.pool.ApplyCommit(f.pool.PrepareCommit())
 	}
 	f.pass(500 * time.Millisecond)
 	f.onlyStartAgain(firstLife(1), Report{})
@@ -222,15 +222,15 @@
 func takeoverMeetsNextLife(t *testing.T) {
 	f := newFixture(t, 0, afterFormerOwner)
 	f.add(testJob("a", testStep(1)))
-	f.pool.PutWorker(firstLife(0).info(), false, f.now)
+	f.pool.UpsertWorker(firstLife(0).info(), false, f.now)
 	f.lists(secondLife(0))
 	id := job.TaskID{StepID: job.StepID{Job: "a"}}
-	f.reports(secondLife(0), Report{Active: []Active{{Task: id, Run: 4, Percent: 50}}}) // of an order of the former owner
-	f.reports(secondLife(0), Report{Active: []Active{{Task: id, Run: 4, Percent: 50}}})
+	f.reports(secondLife(0), Report{Active: []ActiveRun{{Task: id, Run: 4, Percent: 50}}}) // of an order of the former owner
+	f.reports(secondLife(0), Report{Active: []ActiveRun{{Task: id, Run: 4, Percent: 50}}})
 	actions := f.plan()
 	f.Expect(actions.Starts).To(BeEmpty())
 	f.Expect(actions.Stops).To(BeEmpty())
-	f.reports(secondLife(0), Report{Finished: []Finished{{Number: 1, Task: id, Run: 4, How: EndDone}}})
+	f.reports(secondLife(0), Report{Finished: []FinishedRun{{Number: 1, Task: id, Run: 4, Reason: EndDone}}})
 	f.Expect(f.pool.jobs["a"].outcome).To(Equal(job.Completed))
 	f.Expect(f.pool.takeover.pending).To(BeFalse(), "the former life has ended")
 }
@@ -238,7 +238,7 @@
 func takeoverWithoutEntry(t *testing.T) {
 	f := newFixture(t, 0, afterFormerOwner)
 	f.add(testJob("a", testStep(1)))
-	f.pool.PutWorker(firstLife(0).info(), false, f.now)
+	f.pool.UpsertWorker(firstLife(0).info(), false, f.now)
 	f.answers(f.hold(firstLife(0), false), secondLife(0), Report{})
 	f.reports(secondLife(0), Report{})
 	f.reports(secondLife(0), Report{})
@@ -262,7 +262,7 @@
 	f.reports(secondLife(0), Report{})
 	f.reports(secondLife(0), Report{})
 	f.plan()
-	f.Expect(f.pool.jobs["a"].times[0].steps[0].tasks[0].crash.Crashes()).To(HaveLen(2))
+	f.Expect(f.pool.jobs["a"].occurrences[0].steps[0].tasks[0].crash.Crashes()).To(HaveLen(2))
 }
 
 func closedByName(t *testing.T) {
@@ -277,5 +277,5 @@
 
 // closeMachineOf has the machine of a worker be emptied.
 func (f *fixture) closeMachineOf(n int) {
-	f.pool.Close(map[string]bool{workerID(n).Name(): true})
+	f.pool.SetCordoned(map[string]bool{workerID(n).Name(): true})
 }
--- a/pkg/dispatch/invalidated_start_fixture_test.go
+++ b/pkg/dispatch/invalidated_start_fixture_test.go
@@ -12,7 +12,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// Workers that run what they are told, and starts that they leave without an answer and may carry out until latestOrder after they were sent.
+// Workers that run what they are told, and starts that they leave without an answer and may carry out until maxOrderDelay after they were sent.
 
 // hall is a pool with such workers. Time goes in steps of beat, in each of which all workers are asked, a plan is made and the store takes what changed.
 type hall struct {
@@ -21,19 +21,19 @@
 	begunAt clock.Time
 	there   map[int]*resident
 	records map[job.ID]job.Record
-	stored  map[job.ID]Change // what the store has of the jobs
+	stored  map[job.ID]JobChange // what the store has of the jobs
 	// takes is how long the runs of a job take (a second if not named), and how is how they end (as done).
 	takes map[job.ID]time.Duration
-	how   map[job.ID]End
+	how   map[job.ID]EndReason
 	// loses says which starts get no answer; those are kept.
-	loses   func(Start) bool
+	loses   func(StartOrder) bool
 	unheard bool // the owner does not hear that a start gets no answer
 	kept    []keptStart
-	lost    Start                     // the first of them
+	lost    StartOrder                // the first of them
 	begun   map[job.TaskID]clock.Time // when a kept start was carried out
 	noted   []notedEnd
-	ends    map[runKey]End // as listed
-	started []Start        // all of them, in order
+	ends    map[runKey]EndReason // as listed
+	started []StartOrder         // all of them, in order
 }
 
 const (
@@ -46,7 +46,7 @@
 	life
 	token    int64
 	active   []residentRun
-	finished []Finished
+	finished []FinishedRun
 	endedAt  map[int64]clock.Time
 	lastEnd  int64
 	ending   map[job.TaskID]bool // told to stop
@@ -54,25 +54,25 @@
 }
 
 type residentRun struct {
-	start        Start
+	start        StartOrder
 	since, until clock.Time
 }
 
 type keptStart struct {
-	Start
+	StartOrder
 	sentAt clock.Time
 }
 
 type notedEnd struct {
-	Finished
+	FinishedRun
 	worker  WorkerID
 	endedAt clock.Time
 }
 
 func newHall(t *testing.T, workers int) *hall {
 	h := &hall{
-		t: t, there: map[int]*resident{}, records: map[job.ID]job.Record{}, stored: map[job.ID]Change{},
-		takes: map[job.ID]time.Duration{}, how: map[job.ID]End{}, begun: map[job.TaskID]clock.Time{}, ends: map[runKey]End{}, loses: func(Start) bool { return false },
+		t: t, there: map[int]*resident{}, records: map[job.ID]job.Record{}, stored: map[job.ID]JobChange{},
+		takes: map[job.ID]time.Duration{}, how: map[job.ID]EndReason{}, begun: map[job.TaskID]clock.Time{}, ends: map[runKey]EndReason{}, loses: func(StartOrder) bool { return false },
 	}
 	h.fixture = newFixture(t, 0, func(c *Config) {
 		log := c.Log
@@ -145,24 +145,24 @@
 	if !h.storeAway {
 		h.commitsAll()
 	}
-	h.pool.Inspect(h.now)
+	h.pool.InspectRuns(h.now)
 	if h.now < next {
 		h.pass(next.Sub(h.now))
 	}
 	h.checkNoneRunsTwice()
 	for _, k := range h.kept {
-		if h.now.Sub(k.sentAt) <= latestOrder {
+		if h.now.Sub(k.sentAt) <= maxOrderDelay {
 			h.mayBeCarriedOut(k)
 		}
 	}
 }
 
 func (h *hall) commitsAll() {
-	c := h.pool.TakeCommit()
+	c := h.pool.PrepareCommit()
 	for _, change := range c.Changes {
 		h.stored[change.Job] = change
 	}
-	h.pool.Committed(c)
+	h.pool.ApplyCommit(c)
 }
 
 // endRuns has the runs of a life end whose time has come.
@@ -179,14 +179,14 @@
 		case r.ending[x.start.Task]:
 			how = EndStopped
 		case !h.together(x.start) && h.now.Sub(x.since) > membersWait:
-			how = EndAlone
+			how = EndGangIncomplete
 		case h.now < x.until:
 			return false
 		case named:
 			how = as
 		}
 		r.lastEnd++
-		r.finished = append(r.finished, Finished{Number: r.lastEnd, Task: x.start.Task, Run: x.start.Run, How: how})
+		r.finished = append(r.finished, FinishedRun{Number: r.lastEnd, Task: x.start.Task, Run: x.start.Run, Reason: how})
 		r.endedAt[r.lastEnd] = h.now
 		h.ends[runKey{x.start.Task, x.start.Run}] = how
 		h.notes("%s: run %d of %s ends as %s", r.id, x.start.Run, x.start.Task, how)
@@ -196,7 +196,7 @@
 }
 
 // together says that all members of a start's gang run, or are done with that run.
-func (h *hall) together(s Start) bool {
+func (h *hall) together(s StartOrder) bool {
 	step := h.records[s.Task.Job].Job.Steps[s.Task.Step]
 	if !step.Gang {
 		return true
@@ -222,26 +222,26 @@
 
 // asks sends a hold to a life; the one that is there answers.
 func (h *hall) asks(id WorkerID, raise bool) {
-	o, ok := h.pool.HoldFor(id, raise, true, h.now)
+	o, ok := h.pool.NewPoll(id, raise, true, h.now)
 	if !ok {
 		return
 	}
 	h.pass(time.Millisecond)
 	r := h.there[numberOf(id)]
 	if r == nil || r.cut {
-		h.pool.HoldFailed(id, h.now)
+		h.pool.HandlePollFailure(id, h.now)
 		return
 	}
 	if o.Token < r.token {
-		h.pool.HoldAnswered(o, Answer{Verdict: VerdictFenced, Clock: h.workerClock - r.behind}, Report{Born: r.born}, h.now)
+		h.pool.HandlePollAnswer(o, Answer{Verdict: VerdictFenced, Clock: h.workerClock - r.behind}, Report{IncarnationStart: r.born}, h.now)
 		return
 	}
 	r.token = o.Token
-	r.finished = slices.DeleteFunc(r.finished, func(f Finished) bool {
-		if f.Number > o.LastSeen {
+	r.finished = slices.DeleteFunc(r.finished, func(f FinishedRun) bool {
+		if f.Number > o.AckedEnd {
 			return false
 		}
-		h.notes("the end of run %d of %s as %s on %s is noted", f.Run, f.Task, f.How, r.id)
+		h.notes("the end of run %d of %s as %s on %s is noted", f.Run, f.Task, f.Reason, r.id)
 		h.noted = append(h.noted, notedEnd{f, r.id, r.endedAt[f.Number]})
 		h.checkNotBegunSince(h.noted[len(h.noted)-1])
 		return true
@@ -264,19 +264,19 @@
 	for _, s := range a.Starts {
 		h.sends(s)
 	}
-	for _, ask := range a.Asks {
+	for _, ask := range a.AdviceCalls {
 		var tickets []Ticket
 		for _, w := range ask.Workers {
 			tickets = append(tickets, Ticket{w, "of " + string(w)})
 		}
-		h.pool.AdviceAnswered(ask.Number, tickets, true, h.now)
+		h.pool.HandleAdviceAnswer(ask.Number, tickets, true, h.now)
 	}
-	for _, id := range a.Settles {
+	for _, id := range a.FenceWorkers {
 		h.asks(id, true)
 	}
 }
 
-func (h *hall) sends(s Start) {
+func (h *hall) sends(s StartOrder) {
 	h.started = append(h.started, s)
 	r := h.there[numberOf(s.Worker)]
 	switch {
@@ -290,17 +290,17 @@
 			h.noAnswer(s)
 		}
 	case r == nil || r.id != s.Worker:
-		h.pool.StartAnswered(s, Answer{}, ErrNotSent, h.now)
+		h.pool.HandleStartAnswer(s, Answer{}, ErrNotSent, h.now)
 	case h.takeStart(r, s):
 		h.notes("run %d of %s begins on %s", s.Run, s.Task, s.Worker)
 		h.acceptBy(s, r.life)
 	default:
-		h.pool.StartAnswered(s, Answer{Verdict: VerdictFenced, Clock: h.workerClock - r.behind}, nil, h.now)
+		h.pool.HandleStartAnswer(s, Answer{Verdict: VerdictFenced, Clock: h.workerClock - r.behind}, nil, h.now)
 	}
 }
 
 // takeStart has a life carry out a start, unless that is fenced off.
-func (h *hall) takeStart(r *resident, s Start) bool {
+func (h *hall) takeStart(r *resident, s StartOrder) bool {
 	if s.Token < r.token {
 		return false
 	}
@@ -315,8 +315,8 @@
 
 // carriesOutLate has the life that is there carry out a start that its worker kept, which is over with that. It says whether that did.
 func (h *hall) carriesOutLate(k keptStart) bool {
-	h.Expect(h.now.Sub(k.sentAt)).To(BeNumerically("<=", latestOrder), "the test is within the time")
-	if !h.takeStart(h.there[numberOf(k.Worker)], k.Start) {
+	h.Expect(h.now.Sub(k.sentAt)).To(BeNumerically("<=", maxOrderDelay), "the test is within the time")
+	if !h.takeStart(h.there[numberOf(k.Worker)], k.StartOrder) {
 		return false
 	}
 	h.notes("%s carries out the start of run %d of %s", h.there[numberOf(k.Worker)].id, k.Run, k.Task)
@@ -344,8 +344,8 @@
 		if !h.ofOneGang(e.Task, k.Task) {
 			continue
 		}
-		h.Expect(e.How).NotTo(Equal(EndDone), "%s, the end of run %d of %s on %s is noted", at, e.Run, e.Task, e.worker)
-		if e.How == EndFailed && e.Task == k.Task {
+		h.Expect(e.Reason).NotTo(Equal(EndDone), "%s, the end of run %d of %s on %s is noted", at, e.Run, e.Task, e.worker)
+		if e.Reason == EndFailed && e.Task == k.Task {
 			failed++
 		}
 	}
@@ -355,7 +355,7 @@
 // checkNotBegunSince checks that no end as done is noted of a task that has begun again since that end.
 func (h *hall) checkNotBegunSince(e notedEnd) {
 	at := h.begun[e.Task]
-	h.Expect(e.How == EndDone && at > e.endedAt).To(BeFalse(),
+	h.Expect(e.Reason == EndDone && at > e.endedAt).To(BeFalse(),
 		"the end of run %d of %s on %s is noted %d ms after a start of it was carried out late", e.Run, e.Task, e.worker, h.now.Sub(at).Milliseconds())
 }
 
@@ -373,17 +373,17 @@
 // isDoneWithin has time pass until a job is shown as completed and its ends are noted.
 func (h *hall) isDoneWithin(d time.Duration, id job.ID) {
 	for end := h.now.Add(d); h.now < end; h.beats() {
-		if state, _, _ := h.pool.State(id); state == job.Completed {
+		if state, _, _ := h.pool.JobState(id); state == job.Completed {
 			h.passes(5 * beat)
 			return
 		}
 	}
-	state, _, _ := h.pool.State(id)
+	state, _, _ := h.pool.JobState(id)
 	h.Expect(state).To(Equal(job.Completed), "%s is done within %s", id, d)
 }
 
 // startsWithin has time pass until one more start of a job is ordered, and returns it.
-func (h *hall) startsWithin(d time.Duration, id job.ID) Start {
+func (h *hall) startsWithin(d time.Duration, id job.ID) StartOrder {
 	before := len(h.started)
 	for end := h.now.Add(d); h.now < end; {
 		h.beats()
@@ -394,7 +394,7 @@
 		}
 	}
 	h.Expect(h.started[before:]).NotTo(BeEmpty(), "a start of %s within %s", id, d)
-	return Start{}
+	return StartOrder{}
 }
 
 // nextOwner has another owner take over, which reads the store.
@@ -406,12 +406,12 @@
 	for _, id := range slices.Sorted(maps.Keys(h.records)) {
 		change, stored := h.stored[id]
 		if change.Outcome != "" {
-			h.pool.AddOutcome(id, job.Record{Outcome: change.Outcome, Unended: change.Unended, LateStart: change.LateStart}, h.now)
+			h.pool.AddOutcome(id, job.Record{Outcome: change.Outcome, Unended: change.RemainingUse, LateStart: change.LastLateStart}, h.now)
 			continue
 		}
 		h.pool.AddJob(h.records[id], copied(change.Progress), stored, 0, h.now)
 	}
-	h.pool.SetLoaded()
+	h.pool.MarkJobsLoaded()
 	for _, n := range slices.Sorted(maps.Keys(h.there)) {
 		h.lists(h.there[n].life)
 	}
--- a/pkg/dispatch/invalidated_start_test.go
+++ b/pkg/dispatch/invalidated_start_test.go
@@ -9,7 +9,7 @@
 )
 
 // A start gets no answer, and is void on its worker once a hold with a higher token was answered there without it. The worker's next life has seen no
-// token, and may carry the start out until latestOrder after it was sent. So until then the task must not run on another worker, and none of its
+// token, and may carry the start out until maxOrderDelay after it was sent. So until then the task must not run on another worker, and none of its
 // ends as done may be noted, nor one of another member of its gang, nor the last of its failed attempts.
 
 // Guards against starts that are carried out beside or after a later run of their task, by the next life of the worker on which they were void.
@@ -62,7 +62,7 @@
 func TestStartInFlightOfAFormerOwnerDoesNotRunTwice(t *testing.T) {
 	h := newHall(t, 1)
 	h.unheard = true
-	h.loses = func(s Start) bool { return len(h.kept) == 0 && s.Task.Job == "a" }
+	h.loses = func(s StartOrder) bool { return len(h.kept) == 0 && s.Task.Job == "a" }
 	h.takes["a"] = 5 * time.Second
 	h.gets(testJob("a", testStep(1)))
 	h.beats()
@@ -105,7 +105,7 @@
 func lostOf(t *testing.T, workers int, r job.Record) (*hall, keptStart) {
 	h := newHall(t, workers)
 	lost := false
-	h.loses = func(s Start) bool {
+	h.loses = func(s StartOrder) bool {
 		if lost || s.Task.Job != r.Job.ID || numberOf(s.Worker) != 0 {
 			return false
 		}
@@ -129,7 +129,7 @@
 	for _, n := range numbers {
 		names[workerID(n).Name()] = true
 	}
-	h.pool.Close(names)
+	h.pool.SetCordoned(names)
 }
 
 // tightWorker has worker 1 come, which tasks are placed on first: something runs there.
@@ -137,13 +137,13 @@
 	h.comes(firstLife(1))
 	h.takes["other"] = 40 * time.Second
 	h.gets(testJob("other", testStep(3)))
-	h.pool.suspend(h.pool.workers[firstLife(0).id], 150*time.Millisecond, "for the test", h.now)
+	h.pool.suspendWorker(h.pool.workers[firstLife(0).id], 150*time.Millisecond, "for the test", h.now)
 	h.asks(firstLife(1).id, false)
 	h.carryOut(h.plan())
 	for _, s := range h.started[1:] {
 		h.Expect(numberOf(s.Worker)).To(Equal(1))
 	}
-	h.pool.workers[firstLife(0).id].suspended = 0
+	h.pool.workers[firstLife(0).id].suspendedUntil = 0
 }
 
 // isVoid says that the worker of the start that was lost first has answered a hold with a higher token.
@@ -182,7 +182,7 @@
 // The time counts from the later of two starts.
 func voidedAgain(t *testing.T) {
 	h := newHall(t, 1)
-	h.loses = func(s Start) bool { return s.Task.Job == "a" && len(h.kept) < 2 }
+	h.loses = func(s StartOrder) bool { return s.Task.Job == "a" && len(h.kept) < 2 }
 	h.takes["a"] = 5 * time.Second
 	h.gets(testJob("a", testStep(1)))
 	h.beats()
@@ -203,7 +203,7 @@
 	h.takes["a"] = time.Hour
 	h.tightWorker()
 	h.becomesVoid()
-	h.passes(latestOrder + time.Second)
+	h.passes(maxOrderDelay + time.Second)
 	running := 0
 	for _, r := range h.there {
 		running += len(r.active)
@@ -232,12 +232,12 @@
 	h.closed(0)
 	h.comes(firstLife(2))
 	h.becomesVoid()
-	h.passes(latestOrder)
+	h.passes(maxOrderDelay)
 }
 
 // takenByNextLife has worker 0 crash just before the time is over, and its next life carry out the start before the owner hears of that life.
 func (h *hall) takenByNextLife(k keptStart) {
-	h.passes(k.sentAt.Add(latestOrder - 300*time.Millisecond).Sub(h.now))
+	h.passes(k.sentAt.Add(maxOrderDelay - 300*time.Millisecond).Sub(h.now))
 	h.crashes(0)
 	h.passes(beat)
 	h.comesUnlisted(secondLife(0))
@@ -311,7 +311,7 @@
 	h.becomesVoid()
 	h.takenByNextLife(k)
 	h.there[0].cut = true
-	h.passes(k.sentAt.Add(latestOrder + beat).Sub(h.now))
+	h.passes(k.sentAt.Add(maxOrderDelay + beat).Sub(h.now))
 	h.closed()
 	h.isDoneWithin(30*time.Second, "a")
 }
@@ -349,7 +349,7 @@
 	h.nextOwner()
 	h.isDoneWithin(5*time.Second, "a")
 	h.Expect(h.noted).To(BeEmpty())
-	h.passes(latestOrder + clocksApart)
+	h.passes(maxOrderDelay + maxWallClockSkew)
 	h.Expect(h.noted).To(HaveLen(1))
 }
 
@@ -382,7 +382,7 @@
 	h.passes(time.Second)
 	h.nextOwner()
 	h.isDoneWithin(30*time.Second, "a")
-	h.passes(latestOrder)
+	h.passes(maxOrderDelay)
 	h.Expect(h.noted).To(HaveLen(2))
 }
 
@@ -394,7 +394,7 @@
 	h.becomesVoid()
 	h.nextOwner()
 	h.closed(0, 1)
-	h.pool.storeProgress(h.pool.task(h.lost.Task)) // it writes the job's progress anew
+	h.pool.markProgressChanged(h.pool.task(h.lost.Task)) // it writes the job's progress anew
 	h.passes(2 * time.Second)
 	h.nextOwner()
 	h.closed(0)
@@ -411,14 +411,14 @@
 	h.passes(4 * time.Second)
 	h.comes(secondLife(0))
 	h.closed(0)
-	h.passes(k.sentAt.Add(latestOrder).Sub(h.now))
+	h.passes(k.sentAt.Add(maxOrderDelay).Sub(h.now))
 	h.isDoneWithin(30*time.Second, "a")
 }
 
 // lostAnswerOf has the only start of a job be carried out, without the answer reaching the owner.
 func lostAnswerOf(t *testing.T) (*hall, keptStart) {
 	h, k := lost(t)
-	h.Expect(h.takeStart(h.there[0], k.Start)).To(BeTrue())
+	h.Expect(h.takeStart(h.there[0], k.StartOrder)).To(BeTrue())
 	h.kept = nil
 	return h, k
 }
@@ -447,7 +447,7 @@
 	h, _ := lost(t)
 	h.closed(0)
 	h.becomesVoid()
-	h.passes(latestOrder + clocksApart)
+	h.passes(maxOrderDelay + maxWallClockSkew)
 	h.nextOwner()
 	h.comes(firstLife(1))
 	h.closed(0)
@@ -458,8 +458,8 @@
 // A next life rejects the ticket, so the store is told nothing.
 func formerStartWithTicket(t *testing.T) {
 	h := newHall(t, 2)
-	h.pool.PutAdviser("host")
-	h.loses = func(s Start) bool { return len(h.started) == 1 }
+	h.pool.AddAdviser("host")
+	h.loses = func(s StartOrder) bool { return len(h.started) == 1 }
 	h.gets(advisedJob("a", testStep(1)))
 	h.passes(2 * beat)
 	h.Expect(h.kept).To(HaveLen(1))
@@ -467,7 +467,7 @@
 	h.kept = nil
 	h.Expect(h.stored["a"].Progress.Tasks).To(BeEmpty())
 	h.nextOwner()
-	h.pool.PutAdviser("host")
+	h.pool.AddAdviser("host")
 	h.closed(n)
 	h.Expect(numberOf(h.startsWithin(500*time.Millisecond, "a").Worker)).NotTo(Equal(n))
 	h.isDoneWithin(2*time.Second, "a")
@@ -486,7 +486,7 @@
 	h.kept = nil
 	h.comes(next)
 	h.crashes(0)
-	h.Expect(numberOf(h.startsWithin(lapseTime(6*time.Second)+500*time.Millisecond, "a").Worker)).To(Equal(1))
+	h.Expect(numberOf(h.startsWithin(leaseExpiryTime(6*time.Second)+500*time.Millisecond, "a").Worker)).To(Equal(1))
 }
 
 func answeredBeforeSilence(t *testing.T) {
@@ -507,7 +507,7 @@
 	h := newHall(t, 0)
 	h.comes(newLife(0, 0, 0))
 	h.passes(2 * beat)
-	h.loses = func(Start) bool { return len(h.started) == 1 }
+	h.loses = func(StartOrder) bool { return len(h.started) == 1 }
 	h.gets(testJob("a", testStep(1)))
 	h.beats()
 	h.Expect(h.kept).To(HaveLen(1))
@@ -532,7 +532,7 @@
 	h.comes(firstLife(1))
 	leaving := firstLife(0).info()
 	leaving.Draining, leaving.Remaining = true, 3*time.Second
-	h.pool.PutWorker(leaving, true, h.now)
+	h.pool.UpsertWorker(leaving, true, h.now)
 	h.becomesVoid()
 	h.isDoneWithin(30*time.Second, "a")
 }
@@ -545,7 +545,7 @@
 	h.becomesVoid()
 	leaving := firstLife(0).info()
 	leaving.Draining, leaving.Remaining = true, 2*time.Second
-	h.pool.PutWorker(leaving, true, h.now)
+	h.pool.UpsertWorker(leaving, true, h.now)
 	h.passes(2 * time.Second)
 	h.crashes(0)
 	h.entryGoes(firstLife(0))
@@ -557,14 +557,14 @@
 	h, _ := lost(t)
 	h.how["a"] = EndFailed
 	h.becomesVoid()
-	h.passes(latestOrder + 5*time.Second)
-	state, _, _ := h.pool.State("a")
+	h.passes(maxOrderDelay + 5*time.Second)
+	state, _, _ := h.pool.JobState("a")
 	h.Expect(state).To(Equal(job.Failed))
 }
 
 func voidedAndDoneLater(t *testing.T) {
 	h, _ := lost(t)
-	h.takes["a"] = latestOrder + 500*time.Millisecond
+	h.takes["a"] = maxOrderDelay + 500*time.Millisecond
 	h.becomesVoid()
 	h.isDoneWithin(30*time.Second, "a")
 	h.passes(time.Second)
@@ -575,7 +575,7 @@
 	h, _ := lost(t)
 	h.closed(0)
 	h.becomesVoid()
-	h.passes(latestOrder)
+	h.passes(maxOrderDelay)
 	h.comes(firstLife(1))
 	h.Expect(numberOf(h.startsWithin(time.Second, "a").Worker)).To(Equal(1))
 	h.isDoneWithin(2*time.Second, "a")
@@ -591,8 +591,8 @@
 
 func voidedWithTicket(t *testing.T) {
 	h := newHall(t, 2)
-	h.pool.PutAdviser("host")
-	h.loses = func(s Start) bool { return len(h.started) == 1 }
+	h.pool.AddAdviser("host")
+	h.loses = func(s StartOrder) bool { return len(h.started) == 1 }
 	h.gets(advisedJob("a", testStep(1)))
 	h.passes(2 * beat)
 	h.Expect(h.kept).To(HaveLen(1))
@@ -611,7 +611,7 @@
 		h.comes(newLife(n, 0, 0))
 	}
 	h.passes(2 * beat)
-	h.loses = func(Start) bool { return len(h.started) == 1 }
+	h.loses = func(StartOrder) bool { return len(h.started) == 1 }
 	h.gets(testJob("a", testStep(1)))
 	h.beats()
 	h.Expect(h.kept).To(HaveLen(1))
@@ -665,7 +665,7 @@
 	h.becomesVoid()
 	h.pool.Cancel("a")
 	h.beats()
-	state, _, _ := h.pool.State("a")
+	state, _, _ := h.pool.JobState("a")
 	h.Expect(state).To(Equal(job.Cancelled))
 	h.crashes(0)
 	h.passes(600 * time.Millisecond)
@@ -682,7 +682,7 @@
 	h.gets(testJob("a", testStep(1)))
 	s := h.onlyStart()
 	h.comes(firstLife(1))
-	h.pool.StartAnswered(s, a, err, h.now)
+	h.pool.HandleStartAnswer(s, a, err, h.now)
 	h.closed(0)
 	again := h.startsWithin(500*time.Millisecond, "a")
 	h.Expect(numberOf(again.Worker)).To(Equal(1))
--- a/pkg/dispatch/late_ends_test.go
+++ b/pkg/dispatch/late_ends_test.go
@@ -17,7 +17,7 @@
 	h.Expect(h.there[1].active).To(HaveLen(1))
 	h.there[1].cut = true
 	h.closed(1)
-	h.loses = func(Start) bool { return len(h.kept) == 0 }
+	h.loses = func(StartOrder) bool { return len(h.kept) == 0 }
 	return h
 }
 
@@ -30,7 +30,7 @@
 	h.isDoneWithin(4*time.Second, "a")
 	h.Expect(h.pool.jobs).NotTo(HaveKey(h.kept[0].Task.Job))
 	h.there[1].cut = false
-	h.passes(latestOrder)
+	h.passes(maxOrderDelay)
 	h.Expect(h.noted).To(HaveLen(2))
 }
 
@@ -41,7 +41,7 @@
 	h.Expect(h.kept).To(HaveLen(1))
 	h.there[0].cut = true
 	h.there[1].cut = false
-	h.passes(latestOrder)
+	h.passes(maxOrderDelay)
 	h.passes(2 * time.Second)
 	h.Expect(h.noted).To(HaveLen(1))
 }
@@ -55,9 +55,9 @@
 	h.there[0].cut = true
 	h.there[1].cut = false
 	h.passes(3 * beat)
-	h.noAnswer(h.kept[0].Start)
+	h.noAnswer(h.kept[0].StartOrder)
 	h.nextOwner()
-	h.passes(latestOrder)
-	h.passes(clocksApart)
+	h.passes(maxOrderDelay)
+	h.passes(maxWallClockSkew)
 	h.Expect(h.noted).To(HaveLen(1))
 }
