--- a/pkg/dispatch/late_starts_test.go
+++ b/pkg/dispatch/late_starts_test.go
@@ -15,12 +15,12 @@
 	g := NewWithT(t)
 	f := newLives(t, 2, nil)
 	f.gangOf(2)
-	s := f.pool.jobs["a"].times[0].steps[0]
+	s := f.pool.jobs["a"].occurrences[0].steps[0]
 	w0, w1 := f.pool.workers[firstLife(0).id], f.pool.workers[firstLife(1).id]
-	until := f.now.Add(latestOrder)
-	s.tasks[0].late.Add(latestart.Start{Until: until})                       // of a worker that was lost
-	s.tasks[1].late.Add(latestart.Start{Worker: w0.line.name, Until: until}) // fenced off
-	w0.used.CPUMillis, w1.used.CPUMillis = 3000, 3000                        // room for one on each
+	until := f.now.Add(maxOrderDelay)
+	s.tasks[0].lateStarts.Add(latestart.Start{ExpiresAt: until})                          // of a worker that was lost
+	s.tasks[1].lateStarts.Add(latestart.Start{Worker: w0.history.name, ExpiresAt: until}) // fenced off
+	w0.used.CPUMillis, w1.used.CPUMillis = 3000, 3000                                     // room for one on each
 	chosen := f.pool.gangWorkers(s, []*worker{w0, w1})
 	g.Expect(chosen != nil && chosen[0] == w1 && chosen[1] == w0).To(BeTrue(), "each has room")
 }
@@ -30,9 +30,9 @@
 	g := NewWithT(t)
 	f := newLives(t, 4, nil)
 	f.gangOf(4)
-	s := f.pool.jobs["a"].times[0].steps[0]
+	s := f.pool.jobs["a"].occurrences[0].steps[0]
 	w0 := f.pool.workers[firstLife(0).id]
-	s.tasks[0].late.Add(latestart.Start{Worker: w0.line.name, Until: f.now.Add(latestOrder)})
+	s.tasks[0].lateStarts.Add(latestart.Start{Worker: w0.history.name, ExpiresAt: f.now.Add(maxOrderDelay)})
 	chosen := f.pool.gangWorkers(s, f.pool.workersByID())
 	on := map[*worker]bool{}
 	for _, w := range chosen {
@@ -65,8 +65,8 @@
 func TestSuspectWithAVoidStartIsTriedOnItsWorker(t *testing.T) {
 	h, _ := lostOf(t, 3, testJob("a", testStep(1)))
 	h.pool.jobs["a"].suspected = true
-	h.pool.jobs["a"].times[0].steps[0].tasks[0].crash.Load(nil, []job.Crash{{Run: 0, Worker: string(firstLife(0).id)}})
-	h.pool.crashes.Add(crash.Of(firstLife(0).id, firstLife(0).info().Address, h.now, nil), nil, h.now)
+	h.pool.jobs["a"].occurrences[0].steps[0].tasks[0].crash.Load(nil, []job.Crash{{Run: 0, Worker: string(firstLife(0).id)}})
+	h.pool.crashes.Add(crash.NewCrash(firstLife(0).id, firstLife(0).info().Address, h.now, nil), nil, h.now)
 	h.becomesVoid()
 	again := h.startsWithin(3*time.Second, "a")
 	h.Expect(numberOf(again.Worker)).To(Equal(0))
@@ -98,12 +98,12 @@
 	f := newLives(t, 1, nil)
 	f.add(testJob("a", testStep(1)))
 	s := f.onlyStart()
-	f.pool.jobs["a"].times[0].steps[0].tasks[0].late.Add(latestart.Start{Until: f.now.Add(latestOrder)})
+	f.pool.jobs["a"].occurrences[0].steps[0].tasks[0].lateStarts.Add(latestart.Start{ExpiresAt: f.now.Add(maxOrderDelay)})
 	f.acceptBy(s, firstLife(0))
 	f.reports(firstLife(0), listed(s))
 	f.reports(firstLife(0), f.end(s, 1, EndStopped))
-	f.pool.Committed(f.pool.TakeCommit())
-	f.Expect(f.pool.workers[firstLife(0).id].noted).To(Equal(int64(1)))
+	f.pool.ApplyCommit(f.pool.PrepareCommit())
+	f.Expect(f.pool.workers[firstLife(0).id].lastCommittedEnd).To(Equal(int64(1)))
 }
 
 // Guards against runs that are stopped to make room in which the waiting task may not be started.
@@ -111,12 +111,12 @@
 	f := fullWorker(t, nil)
 	f.pass(500 * time.Millisecond)
 	f.add(testJob("a", testStep(1)))
-	f.pool.jobs["a"].times[0].steps[0].tasks[0].late.Add(latestart.Start{Worker: f.pool.lineageOf("another").name, Until: f.now.Add(latestOrder)})
+	f.pool.jobs["a"].occurrences[0].steps[0].tasks[0].lateStarts.Add(latestart.Start{Worker: f.pool.historyOf("another").name, ExpiresAt: f.now.Add(maxOrderDelay)})
 	f.Expect(f.plan().Stops).To(BeEmpty())
 }
 
 // takes0 has the life of worker 0 that is there carry out a start, as the platform does: a run that is there already is not begun again.
-func (h *hall) takes0(s Start) {
+func (h *hall) takes0(s StartOrder) {
 	r := h.there[0]
 	for _, x := range r.active {
 		if x.start.Task == s.Task && x.start.Run == s.Run && s.Token >= r.token {
@@ -130,7 +130,7 @@
 // Guards against a second start that gets no answer either: the next life may carry out both, the first one first.
 func TestTwoVoidStartsAreNotCarriedOutByOneLife(t *testing.T) {
 	h := newHall(t, 1)
-	h.loses = func(s Start) bool { return len(h.kept) < 2 }
+	h.loses = func(s StartOrder) bool { return len(h.kept) < 2 }
 	h.takes["a"] = 10 * time.Second
 	h.gets(testJob("a", testStep(1)))
 	h.passes(2 * time.Second)
@@ -139,7 +139,7 @@
 	h.passes(600 * time.Millisecond)
 	h.comesUnlisted(secondLife(0))
 	for _, k := range h.kept {
-		h.takes0(k.Start)
+		h.takes0(k.StartOrder)
 	}
 	h.checkNoneRunsTwice()
 }
@@ -154,7 +154,7 @@
 	h.crashes(0)
 	h.pass(600 * time.Millisecond)
 	h.comesUnlisted(secondLife(0))
-	h.takes0(k.Start)
+	h.takes0(k.StartOrder)
 	h.closed()
 	starts := h.plan().Starts
 	h.Expect(starts).To(HaveLen(1))
@@ -165,7 +165,7 @@
 // Guards against the same where the first start is void on the next life, and the life after that carries out both.
 func TestTwoVoidStartsAreNotCarriedOutByTheThirdLife(t *testing.T) {
 	h := newHall(t, 1)
-	h.loses = func(s Start) bool { return len(h.kept) < 2 }
+	h.loses = func(s StartOrder) bool { return len(h.kept) < 2 }
 	h.takes["a"] = 10 * time.Second
 	h.gets(testJob("a", testStep(1)))
 	h.beats()
@@ -181,7 +181,7 @@
 	h.passes(600 * time.Millisecond)
 	h.comesUnlisted(thirdLife(0))
 	for _, k := range h.kept {
-		h.takes0(k.Start)
+		h.takes0(k.StartOrder)
 	}
 	h.checkNoneRunsTwice()
 }
@@ -189,7 +189,7 @@
 // startedAgain8sLater is a hall in which worker 0 leaves some starts without an answer, the first one of a task among them, which has started there once more.
 func startedAgain8sLater(t *testing.T, lost int) *hall {
 	h := newHall(t, 1)
-	h.loses = func(Start) bool { return len(h.kept) < lost }
+	h.loses = func(StartOrder) bool { return len(h.kept) < lost }
 	h.gets(testJob("a", testStep(1)))
 	h.beats()
 	h.closed(0)
@@ -230,7 +230,7 @@
 			h.closed(0)
 			h.comes(firstLife(1))
 			ends(h)
-			h.passes(latestOrder)
+			h.passes(maxOrderDelay)
 			h.Expect(h.there[1].active).To(HaveLen(1), "the task has started elsewhere")
 		})
 	}
@@ -241,7 +241,7 @@
 	h := twiceLost(t, time.Second)
 	h.isDoneWithin(3*time.Second, "a")
 	h.Expect(h.noted).To(BeEmpty())
-	h.passes(latestOrder)
+	h.passes(maxOrderDelay)
 	h.Expect(h.noted).To(HaveLen(1))
 }
 
@@ -250,7 +250,7 @@
 	h := startedAgain8sLater(t, 1)
 	h.isDoneWithin(2*time.Second, "a")
 	h.Expect(h.noted).To(BeEmpty())
-	h.passes(h.kept[0].sentAt.Add(latestOrder + time.Second).Sub(h.now))
+	h.passes(h.kept[0].sentAt.Add(maxOrderDelay + time.Second).Sub(h.now))
 	h.Expect(h.noted).To(HaveLen(1))
 }
 
@@ -261,7 +261,7 @@
 	h.isDoneWithin(3*time.Second, "b")
 	h.passes(time.Second)
 	h.Expect(h.noted).To(HaveLen(1))
-	h.loses = func(Start) bool { return len(h.kept) == 0 }
+	h.loses = func(StartOrder) bool { return len(h.kept) == 0 }
 	h.gets(testJob("a", testStep(1)))
 	h.passes(200 * time.Millisecond)
 	h.Expect(h.kept).To(HaveLen(1))
@@ -281,17 +281,17 @@
 func TestStartThatWasSentLateIsWaitedForFromThenOn(t *testing.T) {
 	h := newHall(t, 1)
 	h.unheard = true
-	h.loses = func(Start) bool { return len(h.started) == 1 }
+	h.loses = func(StartOrder) bool { return len(h.started) == 1 }
 	h.takes["a"] = 5 * time.Second // on the lease of 6 s
 	h.gets(testJob("a", testStep(1)))
 	h.beats()
 	h.Expect(h.kept).To(HaveLen(1))
 	h.passes(2 * time.Second)
 	h.kept[0].sentAt = h.now // it waited for its turn
-	h.noAnswer(h.kept[0].Start)
+	h.noAnswer(h.kept[0].StartOrder)
 	h.crashes(0)
 	h.comes(firstLife(1))
-	h.passes(latestOrder - 2*beat)
+	h.passes(maxOrderDelay - 2*beat)
 	h.comesUnlisted(secondLife(0))
 	h.there[0].cut = true
 	h.Expect(h.carriesOutLate(h.kept[0])).To(BeTrue())
--- a/pkg/dispatch/long_running_test.go
+++ b/pkg/dispatch/long_running_test.go
@@ -28,21 +28,21 @@
 	f := newFixture(t, 1, nil)
 	f.reportAll(1)
 	f.add(testJob("a", servingStep(1)))
-	for n, how := range []End{EndFailed, EndFailed, EndFailed, EndFailed, EndDone} {
+	for n, how := range []EndReason{EndFailed, EndFailed, EndFailed, EndFailed, EndDone} {
 		starts := f.plan().Starts
 		f.Expect(starts).To(HaveLen(1), "after %d ends", n)
 		f.accept(starts[0])
 		f.pass(5 * time.Second)
 		f.report(0, f.end(starts[0], int64(n+1), how))
 	}
-	state, _, _ := f.pool.State("a")
+	state, _, _ := f.pool.JobState("a")
 	f.Expect(state).To(Equal(job.Running))
 	f.pool.Cancel("a")
 	f.Expect(f.plan().Starts).To(BeEmpty())
 }
 
 // serving starts a serving task and a filler on one worker and returns their orders.
-func serving(f *fixture) (server, filler Start) {
+func serving(f *fixture) (server, filler StartOrder) {
 	f.reportAll(1)
 	f.add(testJob("a", servingStep(1)))
 	f.add(testJob("b", fillerStep(1)))
@@ -60,12 +60,12 @@
 }
 
 // look reports the tail of the serving task and returns the pace that is ordered, or -1.
-func (f *fixture) look(server, filler Start, tail int) int {
+func (f *fixture) look(server, filler StartOrder, tail int) int {
 	f.pass(250 * time.Millisecond)
-	f.report(0, Report{Active: []Active{
+	f.report(0, Report{Active: []ActiveRun{
 		{Task: server.Task, Run: server.Run, Percent: 100, Load: tail}, {Task: filler.Task, Run: filler.Run, Percent: 10, Load: 500},
 	}})
-	f.pool.Inspect(f.now)
+	f.pool.InspectRuns(f.now)
 	paces := f.plan().Paces
 	if len(paces) == 0 {
 		return -1
@@ -104,13 +104,13 @@
 	reports := map[int]Report{}
 	for _, o := range starts {
 		f.accept(o)
-		reports[numberOf(o.Worker)] = Report{Active: []Active{{Task: o.Task, Run: o.Run, Percent: 100}}}
+		reports[numberOf(o.Worker)] = Report{Active: []ActiveRun{{Task: o.Task, Run: o.Run, Percent: 100}}}
 	}
 	f.report(0, reports[0])
 	f.report(1, reports[1])
-	f.pool.Close(map[string]bool{"w0": true, "w1": true})
-	f.Expect(f.pool.Empty("w0", false)).To(BeFalse())
-	f.Expect(f.pool.Empty("w1", false)).To(BeFalse())
+	f.pool.SetCordoned(map[string]bool{"w0": true, "w1": true})
+	f.Expect(f.pool.VacateWorker("w0", false)).To(BeFalse())
+	f.Expect(f.pool.VacateWorker("w1", false)).To(BeFalse())
 	f.Expect(f.plan().Stops).To(HaveLen(1), "one of its tasks may be away")
 }
 
@@ -123,7 +123,7 @@
 	f.accept(f.plan().Starts[0])
 	f.pass(time.Hour)
 	f.add(testJob("b", testStep(8)))
-	f.report(0, Report{Finished: []Finished{{Number: 1, Task: job.TaskID{StepID: job.StepID{Job: "a"}}, Run: 1, How: EndFailed}}})
+	f.report(0, Report{Finished: []FinishedRun{{Number: 1, Task: job.TaskID{StepID: job.StepID{Job: "a"}}, Run: 1, Reason: EndFailed}}})
 	starts := f.plan().Starts
 	f.Expect(starts).NotTo(BeEmpty())
 	f.Expect(starts[0].Task.Job).To(Equal(job.ID("a")))
@@ -144,7 +144,7 @@
 			}
 			f.add(testJob("a", servingStep(1)))
 			f.Expect(f.plan().Stops).To(BeEmpty())
-			f.pass(worth.OverdueAfter)
+			f.pass(worth.MaxServiceWait)
 			f.report(0, Report{Active: activeRows(f)})
 			f.Expect(f.plan().Stops).NotTo(BeEmpty())
 		})
@@ -156,17 +156,17 @@
 	other := testQueue
 	other.Name, other.Pool = "elsewhere", "other"
 	f.add(job.Record{Job: job.Job{ID: "b", Steps: []job.Step{testStep(500)}}, Queue: other})
-	f.Expect(f.reservedFor("a").holds("w0", testQueue.Priority)).To(BeTrue())
+	f.Expect(f.reservedFor("a").isReserved("w0", testQueue.Priority)).To(BeTrue())
 }
 
 func TestBacklogOfAcceleratorsCounts(t *testing.T) {
 	f := newFixture(t, 1, nil)
-	f.pool.PutWorker(WorkerInfo{ID: "gpu", Pool: "pool", Capacity: cell.Resources{CPUMillis: 64000, MemoryMB: 100000, Accelerators: 8}}, true, f.now)
+	f.pool.UpsertWorker(WorkerInfo{ID: "gpu", Pool: "pool", Capacity: cell.Resources{CPUMillis: 64000, MemoryMB: 100000, Accelerators: 8}}, true, f.now)
 	f.reportAll(1)
 	s := testStep(4)
 	s.Resources.Accelerators = 1
 	f.add(testJob("a", s))
-	f.pool.surveyWorkers(f.now)
+	f.pool.updateLoads(f.now)
 	f.pool.sumBacklog()
-	f.Expect(f.pool.load("pool").overloaded()).To(BeTrue(), "half of the accelerators")
+	f.Expect(f.pool.poolLoad("pool").isOverloaded()).To(BeTrue(), "half of the accelerators")
 }
--- a/pkg/dispatch/mechanism.go
+++ b/pkg/dispatch/mechanism.go
@@ -15,48 +15,48 @@
 	OverloadCheck Mechanism = "overload_check"
 	// Preemption stops runs of lower priorities.
 	Preemption Mechanism = "preemption"
-	// NamingByCost names as many workers in a call for advice as make the expected time of calls least.
+	// CostBasedAdviceSize names as many workers in a call for advice as make the expected time of calls least.
 	// Without it a call names workers with room for what is needed at the queue's rate.
-	NamingByCost Mechanism = "naming_by_cost"
-	// LearningFullWorkers also names workers without room in calls for advice.
-	LearningFullWorkers Mechanism = "learning_full_workers"
+	CostBasedAdviceSize Mechanism = "naming_by_cost"
+	// AdviceOnFullWorkers also names workers without room in calls for advice.
+	AdviceOnFullWorkers Mechanism = "learning_full_workers"
 	// ExpectedRoom counts room that is expected by the time that a call for advice is answered.
 	ExpectedRoom Mechanism = "expected_room"
-	// SpareAdvisers keeps some processes free for short calls for advice.
-	SpareAdvisers Mechanism = "spare_advisers"
-	// StarvingFirst makes calls for advice first for steps that have waited too long for one.
-	StarvingFirst Mechanism = "starving_first"
-	// StarvingTakeTurns has them wait for their turn in a pool that is well used.
-	StarvingTakeTurns Mechanism = "starving_take_turns"
-	// StarvingGangsFirst keeps a customer's quota for its gang that has starved longest.
-	StarvingGangsFirst Mechanism = "starving_gangs_first"
-	// AdviceInParts makes several calls for advice for a step at once.
-	AdviceInParts Mechanism = "advice_in_parts"
+	// ReservedAdvisers keeps some processes free for short calls for advice.
+	ReservedAdvisers Mechanism = "spare_advisers"
+	// DelayedAdviceFirst makes calls for advice first for steps that have waited too long for one.
+	DelayedAdviceFirst Mechanism = "starving_first"
+	// DelayedAdviceInOrder has them wait for their turn in a pool that is well used.
+	DelayedAdviceInOrder Mechanism = "starving_take_turns"
+	// GangPromotion keeps a customer's quota for its gang that has starved longest.
+	GangPromotion Mechanism = "starving_gangs_first"
+	// ParallelAdvice makes several calls for advice for a step at once.
+	ParallelAdvice Mechanism = "advice_in_parts"
 	// Suspension leaves out workers that fail in a row, or on which a run stands still.
 	Suspension Mechanism = "suspension"
 	// Avoidance places a task away from the worker where it failed.
 	Avoidance Mechanism = "avoidance"
-	// StuckMoves stops runs that stand still, so that their tasks start elsewhere.
-	StuckMoves Mechanism = "stuck_moves"
+	// StuckRunRestarts stops runs that stand still, so that their tasks start elsewhere.
+	StuckRunRestarts Mechanism = "stuck_moves"
 	// Pacing slows down tasks that fill what others leave when they disturb those that serve.
 	Pacing Mechanism = "pacing"
-	// CommitLanes writes commits of ends in several series at once.
-	CommitLanes Mechanism = "commit_lanes"
-	// PlanRests has plans follow each other more slowly the longer they take.
-	PlanRests Mechanism = "plan_rests"
-	// CallGate bounds the calls to workers that are begun and not over.
-	CallGate Mechanism = "call_gate"
+	// ParallelCommits writes commits of ends in several series at once.
+	ParallelCommits Mechanism = "commit_lanes"
+	// PlanThrottling has plans follow each other more slowly the longer they take.
+	PlanThrottling Mechanism = "plan_rests"
+	// CallLimit bounds the calls to workers that are begun and not over.
+	CallLimit Mechanism = "call_gate"
 )
 
 // Without says whether a mechanism is left out; nil leaves out none.
-type Without func(Mechanism) bool
+type DisabledMechanisms func(Mechanism) bool
 
-// Has says that a mechanism is left out.
-func (w Without) Has(m Mechanism) bool {
+// Contains says that a mechanism is left out.
+func (w DisabledMechanisms) Contains(m Mechanism) bool {
 	return w != nil && w(m)
 }
 
-// without says whether a mechanism is left out of the pool's policy.
-func (p *Pool) without(m Mechanism) bool {
-	return p.cfg.Without.Has(m)
+// isDisabled says whether a mechanism is left out of the pool's policy.
+func (p *Pool) isDisabled(m Mechanism) bool {
+	return p.cfg.Disabled.Contains(m)
 }
--- a/pkg/dispatch/mechanism_test.go
+++ b/pkg/dispatch/mechanism_test.go
@@ -7,18 +7,18 @@
 	. "github.com/onsi/gomega"
 )
 
-func only(left Mechanism) Without {
+func only(left Mechanism) DisabledMechanisms {
 	return func(m Mechanism) bool { return m == left }
 }
 
 // seedsWithoutOne is how many random histories are played with each mechanism left out.
 const seedsWithoutOne = 8
 
-// StuckMoves is not among them: without it a run that stands still holds its job for good.
+// StuckRunRestarts is not among them: without it a run that stands still holds its job for good.
 func TestPromisesHoldWithAMechanismLeftOut(t *testing.T) {
 	for _, left := range []Mechanism{
-		PriorityReservations, GangReservations, OverloadCheck, Preemption, NamingByCost, LearningFullWorkers, ExpectedRoom,
-		SpareAdvisers, StarvingFirst, AdviceInParts, Suspension, Avoidance,
+		PriorityReservations, GangReservations, OverloadCheck, Preemption, CostBasedAdviceSize, AdviceOnFullWorkers, ExpectedRoom,
+		ReservedAdvisers, DelayedAdviceFirst, ParallelAdvice, Suspension, Avoidance,
 	} {
 		t.Run(string(left), func(t *testing.T) {
 			for seed := range uint64(seedsWithoutOne) {
@@ -32,10 +32,10 @@
 
 func TestPreemptionCanBeLeftOut(t *testing.T) {
 	f := fullWorker(t, nil)
-	f.pool.cfg.Without = only(Preemption)
+	f.pool.cfg.Disabled = only(Preemption)
 	f.pass(500 * time.Millisecond)
 	f.add(testJob("a", testStep(1)))
 	f.Expect(f.plan().Stops).To(BeEmpty())
-	f.pool.cfg.Without = only(Suspension)
+	f.pool.cfg.Disabled = only(Suspension)
 	f.Expect(f.plan().Stops).To(HaveLen(1))
 }
--- a/pkg/dispatch/model.go
+++ b/pkg/dispatch/model.go
@@ -46,16 +46,16 @@
 
 // The verdicts.
 const (
-	VerdictUnknown          Verdict = iota // the outcome is not known
-	VerdictDone                            // carried out
-	VerdictFenced                          // the worker has seen a higher fencing token
-	VerdictOldRun                          // the run's number is not above an ended one
-	VerdictLate                            // the deadline has passed
-	VerdictNoRoom                          // the worker has no room
-	VerdictNoTicket                        // the ticket does not hold
-	VerdictOtherIncarnation                // a worker of another name answers at the address
-	VerdictUnhealthy                       // the worker does nothing at present
-	VerdictOther                           // rejected for another reason
+	VerdictUnknown        Verdict = iota // the outcome is not known
+	VerdictDone                          // carried out
+	VerdictFenced                        // the worker has seen a higher fencing token
+	VerdictOldRun                        // the run's number is not above an ended one
+	VerdictDeadlinePassed                // the deadline has passed
+	VerdictNoRoom                        // the worker has no room
+	VerdictNoTicket                      // the ticket does not hold
+	VerdictWrongWorker                   // a worker of another name answers at the address
+	VerdictUnhealthy                     // the worker does nothing at present
+	VerdictOther                         // rejected for another reason
 )
 
 var verdictNames = [...]string{
@@ -73,30 +73,30 @@
 	Clock   int64 // of the worker, in milliseconds; 0 when not told
 }
 
-// End is how a run ended.
-type End int
+// EndReason is how a run ended.
+type EndReason int
 
 // The ends of runs.
 const (
-	EndUnknown End = iota
+	EndUnknown EndReason = iota
 	EndDone
 	EndFailed
 	EndStopped
-	EndLapsed
-	EndBroken // another member of the gang ended
-	EndAlone  // the other members of the gang did not come
-	EndLost   // the life of the worker has ended, or its leases have lapsed unseen
+	EndLeaseExpired
+	EndGangBroken     // another member of the gang ended
+	EndGangIncomplete // the other members of the gang did not come
+	EndLost           // the life of the worker has ended, or its leases have lapsed unseen
 )
 
-var endNames = [...]string{"unknown", "done", "failed", "stopped", "lapsed", "broken", "alone", "lost"}
+var endReasonNames = [...]string{"unknown", "done", "failed", "stopped", "lapsed", "broken", "alone", "lost"}
 
 // String returns the end's name for logs.
-func (e End) String() string {
-	return endNames[e]
+func (e EndReason) String() string {
+	return endReasonNames[e]
 }
 
-// Active is a run that a worker lists as running.
-type Active struct {
+// ActiveRun is a run that a worker lists as running.
+type ActiveRun struct {
 	Task       job.TaskID
 	Run        int
 	Checkpoint string
@@ -106,25 +106,25 @@
 	Load int
 }
 
-// Finished is an end that a worker lists.
-type Finished struct {
+// FinishedRun is an end that a worker lists.
+type FinishedRun struct {
 	Number     int64 // rises within a life of the worker
 	Task       job.TaskID
 	Run        int
-	How        End
+	Reason     EndReason
 	Checkpoint string
 }
 
 // Report is what a worker lists in answer to a hold.
 type Report struct {
-	// Born is when the life began that reports (WorkerID.Born); 0 when that is not told.
-	Born     int64
-	Active   []Active
-	Finished []Finished
-	// More says that the worker may have more ends than it lists at once.
-	More bool
-	// Strange counts the runs that are listed under names that can't be read.
-	Strange int
+	// IncarnationStart is when the life began that reports (WorkerID.Born); 0 when that is not told.
+	IncarnationStart int64
+	Active           []ActiveRun
+	Finished         []FinishedRun
+	// Truncated says that the worker may have more ends than it lists at once.
+	Truncated bool
+	// UnparsableRuns counts the runs that are listed under names that can't be read.
+	UnparsableRuns int
 }
 
 // Ticket allows a worker to run the tasks of a step.
@@ -133,8 +133,8 @@
 	Text   string
 }
 
-// Start is an order to start a task.
-type Start struct {
+// StartOrder is an order to start a task.
+type StartOrder struct {
 	Task       job.TaskID
 	Run        int
 	Worker     WorkerID
@@ -146,8 +146,8 @@
 	Deadline   int64 // on the worker's clock, in milliseconds
 }
 
-// Stop is an order to stop a run.
-type Stop struct {
+// StopOrder is an order to stop a run.
+type StopOrder struct {
 	Task    job.TaskID
 	Run     int
 	Worker  WorkerID
@@ -155,48 +155,48 @@
 	Token   int64
 }
 
-// Pace is an order to set a run to work at a share of its speed.
-type Pace struct {
-	Stop
+// PaceOrder is an order to set a run to work at a share of its speed.
+type PaceOrder struct {
+	StopOrder
 	Percent int
 }
 
 // Hold is an order to extend what runs on a worker and to report it.
-type Hold struct {
+type PollOrder struct {
 	Worker   WorkerID
 	Address  netip.AddrPort
 	Token    int64
-	LastSeen int64
+	AckedEnd int64
 	Deadline int64      // on the worker's clock; 0 when it is not known yet
-	SentAt   clock.Time // set by the caller of HoldFor
+	SentAt   clock.Time // set by the caller of NewPoll
 }
 
-// Ask is a call for advice on which workers may run a step.
-type Ask struct {
+// AdviceCall is a call for advice on which workers may run a step.
+type AdviceCall struct {
 	Number  int64
 	Step    job.StepID
 	Workers []WorkerID
 	Adviser string // the process that makes the call
-	Limit   time.Duration
+	Timeout time.Duration
 }
 
 // Actions are what Plan wants done.
 type Actions struct {
-	Starts []Start
-	Stops  []Stop
-	Paces  []Pace
-	Asks   []Ask
-	// Meets are workers that have to be asked from now on.
-	Meets []WorkerInfo
-	// Settles name workers that need a hold with a higher token at once.
-	Settles []WorkerID
-	// Confirm asks for a new confirmation of the ownership (Pool.Confirmed).
-	Confirm bool
+	Starts      []StartOrder
+	Stops       []StopOrder
+	Paces       []PaceOrder
+	AdviceCalls []AdviceCall
+	// NewWorkers are workers that have to be asked from now on.
+	NewWorkers []WorkerInfo
+	// FenceWorkers name workers that need a hold with a higher token at once.
+	FenceWorkers []WorkerID
+	// ConfirmOwnership asks for a new confirmation of the ownership (Pool.Confirmed).
+	ConfirmOwnership bool
 }
 
 // Empty says that there is nothing to do.
-func (a Actions) Empty() bool {
-	return len(a.Starts)+len(a.Stops)+len(a.Paces)+len(a.Asks)+len(a.Meets)+len(a.Settles) == 0 && !a.Confirm
+func (a Actions) IsEmpty() bool {
+	return len(a.Starts)+len(a.Stops)+len(a.Paces)+len(a.AdviceCalls)+len(a.NewWorkers)+len(a.FenceWorkers) == 0 && !a.ConfirmOwnership
 }
 
 // Event is a line for the log: something that was decided or learned.
--- a/pkg/dispatch/over_share.go
+++ b/pkg/dispatch/over_share.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// markBeyond takes in how many jobs a second a job's customer sends.
-func (p *Pool) markBeyond(j *jobState) {
+// updateOverShare takes in how many jobs a second a job's customer sends.
+func (p *Pool) updateOverShare(j *jobState) {
 	if a := j.account; a != nil {
-		j.beyond = a.Beyond(j.accepted)
+		j.overShare = a.RecordArrival(j.accepted)
 	}
 }
 
-// markLoaded does so for the jobs that were read from the store, in the order in which they were accepted.
-func (p *Pool) markLoaded() {
+// updateOverShareOfLoaded does so for the jobs that were read from the store, in the order in which they were accepted.
+func (p *Pool) updateOverShareOfLoaded() {
 	loaded := make([]*jobState, 0, len(p.jobs))
 	for _, j := range p.jobs {
 		loaded = append(loaded, j)
@@ -22,6 +22,6 @@
 		return cmp.Or(cmp.Compare(a.accepted, b.accepted), cmp.Compare(a.job.ID, b.job.ID))
 	})
 	for _, j := range loaded {
-		p.markBeyond(j)
+		p.updateOverShare(j)
 	}
 }
--- a/pkg/dispatch/over_share_test.go
+++ b/pkg/dispatch/over_share_test.go
@@ -31,8 +31,8 @@
 	f.reportAll(1)
 	f.Expect(f.jobsStarted()).To(Equal([]job.ID{"a", "a", "b", "b"}))
 	f.pass(100 * time.Millisecond)
-	f.pool.PutWorker(WorkerInfo{ID: workerID(1), Pool: "pool", Capacity: cell.Resources{CPUMillis: 4000, MemoryMB: 8000}}, true, f.now)
-	f.pool.Rostered([]WorkerID{workerID(1)})
+	f.pool.UpsertWorker(WorkerInfo{ID: workerID(1), Pool: "pool", Capacity: cell.Resources{CPUMillis: 4000, MemoryMB: 8000}}, true, f.now)
+	f.pool.MarkInRoster([]WorkerID{workerID(1)})
 	f.report(1, Report{})
 	f.Expect(f.jobsStarted()).To(Equal([]job.ID{"z", "z", "c", "c"}), "what is beyond gets the room that is left")
 }
@@ -49,13 +49,13 @@
 // A new owner marks what it reads from the store by when it was accepted, whatever the order in which it is read.
 func TestNewOwnerMarksJobsBeyondTheWeight(t *testing.T) {
 	f := newFixture(t, 0, nil)
-	f.pool.loaded = false
+	f.pool.jobsLoaded = false
 	hot := customer.Customer{Name: "hot", Weight: 1}
 	for n, id := range []string{"c", "b", "a"} {
 		f.pool.AddJob(sheet(id, hot, 1), job.Progress{}, true, time.Duration(n)*100*time.Millisecond, f.now)
 	}
-	f.pool.SetLoaded()
-	f.Expect([]bool{f.pool.jobs["a"].beyond, f.pool.jobs["b"].beyond, f.pool.jobs["c"].beyond}).To(Equal([]bool{false, false, true}))
+	f.pool.MarkJobsLoaded()
+	f.Expect([]bool{f.pool.jobs["a"].overShare, f.pool.jobs["b"].overShare, f.pool.jobs["c"].overShare}).To(Equal([]bool{false, false, true}))
 }
 
 func TestJobBeyondTheWeightStopsNoOther(t *testing.T) {
@@ -72,7 +72,7 @@
 	for _, id := range []string{"a", "b", "c"} {
 		f.add(sheet(id, hot, 1))
 	}
-	f.pool.jobs["a"].beyond, f.pool.jobs["b"].beyond = true, true
-	f.Expect(f.pool.jobs["c"].beyond).To(BeTrue())
+	f.pool.jobs["a"].overShare, f.pool.jobs["b"].overShare = true, true
+	f.Expect(f.pool.jobs["c"].overShare).To(BeTrue())
 	f.Expect(f.plan().Stops).To(BeEmpty())
 }
--- a/pkg/dispatch/ownership_confirmation.go
+++ b/pkg/dispatch/ownership_confirmation.go
@@ -14,31 +14,31 @@
 // A later owner may still learn from the worker that a task was done before the lapse, and show its
 // job as completed. So tasks that are presumed lost start again only shortly after a confirmation.
 
-// confirmedWithin is how long after a confirmation a task that is presumed lost may start. The
+// ownershipConfirmationValidity is how long after a confirmation a task that is presumed lost may start. The
 // platform counts a start more than a second after the job was shown as completed; a start takes
 // up to 0.16 s to arrive.
-const confirmedWithin = 800 * time.Millisecond
+const ownershipConfirmationValidity = 800 * time.Millisecond
 
-// Confirmed takes in that the store named this owner, in answer to a call made at a time.
-func (p *Pool) Confirmed(at clock.Time) {
-	p.confirmedAt = max(p.confirmedAt, at)
+// RecordOwnershipConfirmed takes in that the store named this owner, in answer to a call made at a time.
+func (p *Pool) RecordOwnershipConfirmed(at clock.Time) {
+	p.ownershipConfirmedAt = max(p.ownershipConfirmedAt, at)
 }
 
-// confirmedSince says whether the ownership was confirmed at or after a time, and otherwise asks
+// isOwnershipConfirmedSince says whether the ownership was confirmed at or after a time, and otherwise asks
 // for it.
-func (p *Pool) confirmedSince(t clock.Time) bool {
-	if p.confirmedAt >= t {
+func (p *Pool) isOwnershipConfirmedSince(t clock.Time) bool {
+	if p.ownershipConfirmedAt >= t {
 		return true
 	}
-	p.unconfirmed = true
+	p.needsOwnershipCheck = true
 	return false
 }
 
-// mayStartAgain says whether a task may be started as far as an earlier run is concerned that is
+// mayRestartPresumedLost says whether a task may be started as far as an earlier run is concerned that is
 // presumed lost.
-func (p *Pool) mayStartAgain(t *task, now clock.Time) bool {
-	if !t.presumedLost && !t.step.time.job.presumed {
+func (p *Pool) mayRestartPresumedLost(t *task, now clock.Time) bool {
+	if !t.presumedLost && !t.step.occurrence.job.runsPresumedEnded {
 		return true
 	}
-	return p.confirmedSince(now.Add(-confirmedWithin))
+	return p.isOwnershipConfirmedSince(now.Add(-ownershipConfirmationValidity))
 }
--- a/pkg/dispatch/ownership_confirmation_test.go
+++ b/pkg/dispatch/ownership_confirmation_test.go
@@ -23,11 +23,11 @@
 		f.report(other, Report{})
 		a := f.plan()
 		f.Expect(a.Starts).To(BeEmpty(), "a later owner may have extended the lease")
-		asked = asked || a.Confirm
+		asked = asked || a.ConfirmOwnership
 	}
 	f.Expect(asked).To(BeTrue())
 	f.storeAway = false
-	f.pass(surveyEvery)
+	f.pass(surveyInterval)
 	f.Expect(f.plan().Starts).To(HaveLen(1))
 }
 
@@ -43,11 +43,11 @@
 		f.plan() // the other worker is not heard either
 	}
 	f.storeAway = true
-	f.pass(confirmedWithin)
+	f.pass(ownershipConfirmationValidity)
 	f.report(other, Report{})
 	a := f.plan()
 	f.Expect(a.Starts).To(BeEmpty())
-	f.Expect(a.Confirm).To(BeTrue())
+	f.Expect(a.ConfirmOwnership).To(BeTrue())
 	f.storeAway = false
 	f.Expect(f.plan().Starts).To(HaveLen(1))
 }
--- a/pkg/dispatch/pace.go
+++ b/pkg/dispatch/pace.go
@@ -9,16 +9,16 @@
 
 // paceFillers decides how fast the fillers on a worker go.
 func (p *Pool) paceFillers(w *worker, now clock.Time) {
-	highest, serves := worstTail(w)
-	if !serves || p.without(Pacing) {
-		p.paceEach(w, pace.ToFull)
+	highest, serves := highestTailShare(w)
+	if !serves || p.isDisabled(Pacing) {
+		p.setPaces(w, pace.ResetToFull)
 		return
 	}
-	p.paceEach(w, w.pacing.Decide(highest, now))
+	p.setPaces(w, w.pacing.Decide(highest, now))
 }
 
-// worstTail is the highest tail on a worker as a share of its target.
-func worstTail(w *worker) (share float64, serves bool) {
+// highestTailShare is the highest tail on a worker as a share of its target.
+func highestTailShare(w *worker) (share float64, serves bool) {
 	for _, r := range w.runs {
 		target := r.task.step.spec.TargetTail
 		if target <= 0 || r.state != runActive {
@@ -30,42 +30,42 @@
 	return share, serves
 }
 
-// paceEach sets the pace of each filler by its present one, or its first one.
-func (p *Pool) paceEach(w *worker, change pace.Change) {
+// setPaces sets the pace of each filler by its present one, or its first one.
+func (p *Pool) setPaces(w *worker, change pace.Change) {
 	for _, r := range sortedRuns(w) {
 		if !r.task.step.spec.Filler || r.state != runActive || r.stopSentAt != 0 {
 			continue
 		}
-		want := change.Of(r.pace)
-		if !r.paced {
-			r.pace, want = pace.Full, change.First()
+		want := change.Apply(r.pace)
+		if !r.paceOrdered {
+			r.pace, want = pace.Full, change.Initial()
 		}
-		if want == r.pace && (r.paced || want == pace.Full) {
+		if want == r.pace && (r.paceOrdered || want == pace.Full) {
 			continue
 		}
-		r.pace, r.paced = want, true
-		p.paces = append(p.paces, r)
+		r.pace, r.paceOrdered = want, true
+		p.pendingPaces = append(p.pendingPaces, r)
 	}
 }
 
-func (p *Pool) takePaces(out *Actions) {
-	for _, r := range p.paces {
+func (p *Pool) addPaceOrders(out *Actions) {
+	for _, r := range p.pendingPaces {
 		w := r.worker
-		if w.gone || w.runs[runKey{r.task.id(), r.number}] != r {
+		if w.terminated || w.runs[runKey{r.task.id(), r.number}] != r {
 			continue
 		}
-		out.Paces = append(out.Paces, Pace{Percent: r.pace, Stop: r.stop()})
+		out.Paces = append(out.Paces, PaceOrder{Percent: r.pace, StopOrder: r.stopOrder()})
 	}
-	p.paces = p.paces[:0]
+	p.pendingPaces = p.pendingPaces[:0]
 }
 
-// PaceFailed takes in that an order for a pace was not carried out, so that it is sent again.
-func (p *Pool) PaceFailed(o Pace) {
+// HandlePaceFailure takes in that an order for a pace was not carried out, so that it is sent again.
+func (p *Pool) HandlePaceFailure(o PaceOrder) {
 	w, ok := p.workers[o.Worker]
 	if !ok {
 		return
 	}
 	if r, ok := w.runs[runKey{o.Task, o.Run}]; ok {
-		r.pace, r.paced = pace.Full, false
+		r.pace, r.paceOrdered = pace.Full, false
 	}
 }
--- a/pkg/dispatch/plan.go
+++ b/pkg/dispatch/plan.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// resendStopAfter is how long the end of a stopped run may take before the stop is sent
+	// stopResendInterval is how long the end of a stopped run may take before the stop is sent
 	// again.
-	resendStopAfter = 800 * time.Millisecond
-	// A run whose progress stands still for stuckAfter and stuckShare of its estimated time
+	stopResendInterval = 800 * time.Millisecond
+	// A run whose progress stands still for minStuckTime and stuckShare of its estimated time
 	// is stopped and started elsewhere.
-	stuckAfter = 1500 * time.Millisecond
-	stuckShare = 0.15
+	minStuckTime = 1500 * time.Millisecond
+	stuckShare   = 0.15
 	// leaveSlack is how much longer than told a leaving worker is trusted to stay.
 	leaveSlack = 200 * time.Millisecond
 	// almostDone is the progress in percent from which a run is left alone.
@@ -27,38 +27,38 @@
 // Plan decides what is to be done now. Without authority nothing is started or asked for.
 func (p *Pool) Plan(now clock.Time, authority bool) Actions {
 	p.now = now
-	p.surveyWorkers(now)
-	p.expireAsks(now)
-	p.settleTakeover(now)
-	for _, j := range slices.SortedFunc(maps.Keys(p.timed), compareJobs) {
-		p.openDueTimes(j)
+	p.updateLoads(now)
+	p.expireAdviceCalls(now)
+	p.updateTakeover(now)
+	for _, j := range slices.SortedFunc(maps.Keys(p.scheduledJobs), compareJobs) {
+		p.createDueOccurrences(j)
 	}
 	var out Actions
 	if authority {
-		p.orderStored(now, &out)
-		p.place(now, &out)
+		p.orderStoredStarts(now, &out)
+		p.placeSteps(now, &out)
 	}
-	p.takeStops(now, &out)
-	p.takePaces(&out)
-	for _, w := range p.meets {
-		out.Meets = append(out.Meets, w.info)
+	p.addStopOrders(now, &out)
+	p.addPaceOrders(&out)
+	for _, w := range p.newWorkers {
+		out.NewWorkers = append(out.NewWorkers, w.info)
 	}
-	p.meets = p.meets[:0]
-	for _, w := range p.settles {
-		if !w.gone {
-			out.Settles = append(out.Settles, w.info.ID)
+	p.newWorkers = p.newWorkers[:0]
+	for _, w := range p.workersToFence {
+		if !w.terminated {
+			out.FenceWorkers = append(out.FenceWorkers, w.info.ID)
 		}
 	}
-	p.settles = p.settles[:0]
-	out.Confirm, p.unconfirmed = p.unconfirmed, false
+	p.workersToFence = p.workersToFence[:0]
+	out.ConfirmOwnership, p.needsOwnershipCheck = p.needsOwnershipCheck, false
 	return out
 }
 
-// Inspect looks at all runs: it stops those that stand still and sends stops again. It is to
+// InspectRuns looks at all runs: it stops those that stand still and sends stops again. It is to
 // be called a few times a second.
-func (p *Pool) Inspect(now clock.Time) {
+func (p *Pool) InspectRuns(now clock.Time) {
 	for _, w := range p.workersByID() {
-		if w.gone || now.Sub(w.lastAnswer) >= usableWithin {
+		if w.terminated || now.Sub(w.lastAnsweredAt) >= answerTimeout {
 			continue
 		}
 		for _, r := range sortedRuns(w) {
@@ -73,91 +73,91 @@
 		return
 	}
 	if r.stopSentAt != 0 {
-		if now.Sub(r.stopSentAt) > resendStopAfter {
+		if now.Sub(r.stopSentAt) > stopResendInterval {
 			r.stopSentAt = 0
 			p.stopRun(r)
 		}
 		return
 	}
 	s := r.task.step
-	if w.leavesAt != 0 && r.task.current == r && !s.finished() && p.endsTooLate(w, r, now) {
-		p.move(r, "its worker leaves")
+	if w.leavesAt != 0 && r.task.current == r && !s.finished() && p.endsAfterWorkerLeaves(w, r, now) {
+		p.restartElsewhere(r, "its worker leaves")
 		return
 	}
 	if s.spec.LongRunning || s.spec.Filler || r.progress.Percent >= almostDone || r.task.current != r {
 		return
 	}
-	if !r.standsStill(now) || p.without(StuckMoves) {
+	if !r.isStuck(now) || p.isDisabled(StuckRunRestarts) {
 		return
 	}
-	if !p.without(Suspension) {
-		p.suspend(w, suspendFor, "a run stands still", now)
+	if !p.isDisabled(Suspension) {
+		p.suspendWorker(w, suspendFor, "a run stands still", now)
 	}
-	p.move(r, "it stands still")
+	p.restartElsewhere(r, "it stands still")
 }
 
-// standsStill says that a run's progress has not changed for too long. A report must have shown
+// isStuck says that a run's progress has not changed for too long. A report must have shown
 // so: a worker that was not asked tells nothing.
-func (r *run) standsStill(now clock.Time) bool {
-	limit := stuckAfter + time.Duration(stuckShare*float64(r.task.step.spec.Estimate))
-	return now.Sub(r.progress.At) >= limit && r.observedAt.Sub(r.progress.At) >= limit/2
+func (r *run) isStuck(now clock.Time) bool {
+	limit := minStuckTime + time.Duration(stuckShare*float64(r.task.step.spec.Estimate))
+	return now.Sub(r.progress.ChangedAt) >= limit && r.reportedAt.Sub(r.progress.ChangedAt) >= limit/2
 }
 
-// move stops a run so that its task starts elsewhere; with a gang, all its members.
-func (p *Pool) move(r *run, why string) {
+// restartElsewhere stops a run so that its task starts elsewhere; with a gang, all its members.
+func (p *Pool) restartElsewhere(r *run, why string) {
 	p.cfg.Log(Event{Name: "run_moved", Task: r.task.id(), Run: r.number, Worker: r.worker.info.ID, Detail: why})
 	p.avoid(r.task, r.worker)
-	p.stopWithGang(r)
+	p.stopRunOrGang(r)
 }
 
-// endsTooLate says whether a run won't be done before its worker may leave.
-func (p *Pool) endsTooLate(w *worker, r *run, now clock.Time) bool {
-	return now.Add(r.left(now)) > w.leavesAt.Add(leaveSlack)
+// endsAfterWorkerLeaves says whether a run won't be done before its worker may leave.
+func (p *Pool) endsAfterWorkerLeaves(w *worker, r *run, now clock.Time) bool {
+	return now.Add(r.timeLeft(now)) > w.leavesAt.Add(leaveSlack)
 }
 
-// stop is the order that stops a run.
-func (r *run) stop() Stop {
+// stopOrder is the order that stops a run.
+func (r *run) stopOrder() StopOrder {
 	w := r.worker
-	return Stop{Task: r.task.id(), Run: r.number, Worker: w.info.ID, Address: w.info.Address, Token: w.line.token}
+	return StopOrder{Task: r.task.id(), Run: r.number, Worker: w.info.ID, Address: w.info.Address, Token: w.history.token}
 }
 
-func (p *Pool) takeStops(now clock.Time, out *Actions) {
-	for _, r := range p.stops {
+func (p *Pool) addStopOrders(now clock.Time, out *Actions) {
+	for _, r := range p.pendingStops {
 		w := r.worker
-		if w.gone || w.runs[runKey{r.task.id(), r.number}] != r && !r.task.done {
+		if w.terminated || w.runs[runKey{r.task.id(), r.number}] != r && !r.task.done {
 			continue
 		}
 		r.stopSentAt = now
-		out.Stops = append(out.Stops, r.stop())
+		out.Stops = append(out.Stops, r.stopOrder())
 	}
-	p.stops = p.stops[:0]
+	p.pendingStops = p.pendingStops[:0]
 }
 
 // place starts tasks and asks for advice, in the order in which steps go.
-func (p *Pool) place(now clock.Time, out *Actions) {
-	p.clearPromises()
-	if p.ready.gangs > 0 {
+func (p *Pool) placeSteps(now clock.Time, out *Actions) {
+	p.clearQuotaReservations()
+	if p.waitingSteps.gangCount > 0 {
 		p.sumBacklog() // which decides whether gangs hold workers
 	}
-	p.usable = usableWorkers{}
-	defer func() { p.usable = nil }()
+	p.usableWorkers = usableWorkersByPool{}
+	defer func() { p.usableWorkers = nil }()
 	reserved := newReservations()
-	p.placeFirst(reserved, now, out)
-	ordered := p.ready.sort(now)
-	p.askForStarving(ordered, reserved, now, out)
+	p.placePromotedGangs(reserved, now, out)
+	ordered := p.waitingSteps.sort(now)
+	p.requestDelayedAdvice(ordered, reserved, now, out)
 	for i := range ordered {
 		s := ordered[i].step
-		if s.goesFirst {
+		if s.promoted {
 			continue
 		}
-		if ordered[i].idles(now) && !p.mayAsk(s, now) {
+		if ordered[i].mayOnlyRequestAdvice(now) && !p.mayRequestAdvice(s, now) {
 			continue
 		}
-		if p.blocked(s.time.job) {
+		if p.isBlockedByTakeover(s.occurrence.job) {
 			continue
 		}
 		if p.awaitsQuota(s) {
-			p.holdQuota(s, now)
+			p.reserveGangQuota(s, now)
 			continue
 		}
 		if s.spec.Gang {
@@ -165,83 +165,83 @@
 		} else {
 			p.placeTasks(s, reserved, now, out)
 		}
-		if s.held(now) || s.outwaited() != 0 {
+		if s.awaitsProbe(now) || s.blockedUntil() != 0 {
 			continue
 		}
 		p.preempt(s, now)
-		if s.waiting() == 0 {
-			p.ready.remove(s)
+		if s.waitingTasks() == 0 {
+			p.waitingSteps.remove(s)
 			continue
 		}
-		p.ask(s, p.longAtOnce(), reserved, now, out)
-		p.reserve(s, reserved, now)
+		p.requestAdvice(s, p.maxLongCalls(), reserved, now, out)
+		p.reserveWorkers(s, reserved, now)
 	}
 }
 
-// book counts a run of a task against a worker.
-func (p *Pool) book(t *task, w *worker, number int, state runState, now clock.Time) *run {
+// createRun counts a run of a task against a worker.
+func (p *Pool) createRun(t *task, w *worker, number int, state runState, now clock.Time) *run {
 	r := &run{task: t, number: number, worker: w, state: state}
-	r.call = latestart.Call{OrderedAt: now, Repeated: t.late.Has(number)}
-	t.lastRun = number
+	r.startCall = latestart.StartCall{OrderedAt: now, ReusesNumber: t.lateStarts.HasNumber(number)}
+	t.lastRunNumber = number
 	t.setCurrent(r)
 	t.presumedLost = false
-	p.count(r)
+	p.addRun(r)
 	return r
 }
 
-// startOrder returns the order that starts a run.
-func (p *Pool) startOrder(r *run, checkpoint string, now clock.Time) Start {
+// newStartOrder returns the order that starts a run.
+func (p *Pool) newStartOrder(r *run, checkpoint string, now clock.Time) StartOrder {
 	t, w := r.task, r.worker
-	r.token = w.line.token
-	deadline := w.deadline(now, p.cfg.Hold)
-	w.bound = max(w.bound, deadline)
-	o := Start{
-		Task: t.id(), Run: r.number, Worker: w.info.ID, Address: w.info.Address, Token: w.line.token,
-		Spec: t.step.time.job.job.Spec, Checkpoint: checkpoint, Deadline: deadline,
+	r.token = w.history.token
+	deadline := w.leaseDeadline(now, p.cfg.LeaseDuration)
+	w.latestDeadline = max(w.latestDeadline, deadline)
+	o := StartOrder{
+		Task: t.id(), Run: r.number, Worker: w.info.ID, Address: w.info.Address, Token: w.history.token,
+		Spec: t.step.occurrence.job.job.Spec, Checkpoint: checkpoint, Deadline: deadline,
 	}
 	ticket := t.step.advice.tickets[w.info.ID]
 	o.Ticket = ticket.text
-	p.useTicket(ticket)
+	p.markTicketUsed(ticket)
 	p.logStart(o, w, ticket, now)
 	return o
 }
 
 // logStart tells what decided a start: how long the job waited and what it had left, how old
 // the news of the worker are, how long the ticket still holds, and what stays free there.
-func (p *Pool) logStart(o Start, w *worker, ticket ticket, now clock.Time) {
-	t := p.jobs[o.Task.Job].times[o.Task.Time]
+func (p *Pool) logStart(o StartOrder, w *worker, ticket ticket, now clock.Time) {
+	t := p.jobs[o.Task.Job].occurrences[o.Task.Time]
 	detail := fmt.Sprintf("left_ms=%d worker_age_ms=%d free=%s", t.objective.Sub(now).Milliseconds(),
-		now.Sub(w.lastAnswer).Milliseconds(), w.free())
+		now.Sub(w.lastAnsweredAt).Milliseconds(), w.free())
 	if ticket.text != "" {
-		detail += fmt.Sprintf(" ticket_left_ms=%d", ticket.until.Sub(now).Milliseconds())
+		detail += fmt.Sprintf(" ticket_left_ms=%d", ticket.expiresAt.Sub(now).Milliseconds())
 	}
 	p.cfg.Log(Event{Name: "run_ordered", Task: o.Task, Run: o.Run, Worker: o.Worker, Detail: detail})
 }
 
-// nextRun is the number of a task's next run. A former owner may have given numbers that
+// nextRunNumber is the number of a task's next run. A former owner may have given numbers that
 // we don't know of.
-func (p *Pool) nextRun(j *jobState, last int) int {
-	if !p.unknownToFormer(j) {
-		return max(last, p.cfg.FirstRun) + 1
+func (p *Pool) nextRunNumber(j *jobState, last int) int {
+	if !p.isUnknownToPreviousOwners(j) {
+		return max(last, p.cfg.RunNumberBase) + 1
 	}
 	return last + 1
 }
 
 // placeTasks starts as many tasks of a step as there is room for.
 func (p *Pool) placeTasks(s *step, reserved *reservations, now clock.Time, out *Actions) {
-	if s.suspected() {
-		p.placeSuspects(s, reserved, now, out)
-		if !s.survived {
+	if s.hasSuspects() {
+		p.placeSuspectTasks(s, reserved, now, out)
+		if !s.hasSurvivedStart {
 			return // all its tasks may be alike
 		}
 	}
 	var candidates []*worker
 	for i := range s.tasks {
 		t := &s.tasks[i]
-		if t.suspected() || !p.mayStart(t, now) {
+		if t.isSuspect() || !p.mayStart(t, now) {
 			continue
 		}
-		if p.allowed(s, 1) == 0 {
+		if p.quotaRoom(s, 1) == 0 {
 			return
 		}
 		if candidates == nil {
@@ -250,43 +250,43 @@
 			}
 		}
 		w := bestFit(t, candidates)
-		if w == nil && t.late.Bound() {
+		if w == nil && t.lateStarts.IsBound() {
 			continue // others of the step may have room elsewhere
 		}
 		if w == nil {
 			return
 		}
-		p.start(t, w, p.numberOn(t, w), t.checkpoint, now, out)
+		p.startTask(t, w, p.nextRunNumberOn(t, w), t.checkpoint, now, out)
 	}
 }
 
 // mayStart says whether a task may be started now, as far as it is concerned.
 func (p *Pool) mayStart(t *task, now clock.Time) bool {
-	p.dropLateStarts(t, now)
-	return t.waiting() && now >= t.notBefore && !t.outwaitsLateStart() && p.mayStartAgain(t, now) && p.mayTryLast(t, now)
+	p.expireLateStarts(t, now)
+	return t.waiting() && now >= t.notBefore && !t.isBlockedByLateStart() && p.mayRestartPresumedLost(t, now) && p.mayAttemptLast(t, now)
 }
 
 // gangCandidates lists the workers that members of a gang may be started on.
 func (p *Pool) gangCandidates(s *step, reserved *reservations, now clock.Time) []*worker {
 	candidates := p.candidates(s, reserved, now)
-	if s.suspected() {
-		return p.probeWorkers(s, candidates, now)
+	if s.hasSuspects() {
+		return p.selectGangProbeWorkers(s, candidates, now)
 	}
 	return candidates
 }
 
 // placeGang starts all members of a gang, or none.
 func (p *Pool) placeGang(s *step, reserved *reservations, now clock.Time, out *Actions) {
-	if s.missing() {
-		p.completeGang(s, p.gangCandidates(s, reserved, now), now, out)
+	if s.hasMissingMembers() {
+		p.startMissingMembers(s, p.gangCandidates(s, reserved, now), now, out)
 		return
 	}
-	if s.waiting() == 0 || now < s.tasks[0].notBefore {
+	if s.waitingTasks() == 0 || now < s.tasks[0].notBefore {
 		return
 	}
 	for i := range s.tasks {
-		p.dropLateStarts(&s.tasks[i], now)
-		if s.tasks[i].outwaitsLateStart() || !p.mayStartAgain(&s.tasks[i], now) || !p.mayTryLast(&s.tasks[i], now) {
+		p.expireLateStarts(&s.tasks[i], now)
+		if s.tasks[i].isBlockedByLateStart() || !p.mayRestartPresumedLost(&s.tasks[i], now) || !p.mayAttemptLast(&s.tasks[i], now) {
 			return
 		}
 	}
@@ -294,10 +294,10 @@
 	if chosen == nil {
 		return
 	}
-	number := p.nextGangRun(s)
-	s.gang = gang{number: number, startedAt: now}
+	number := p.nextGangRunNumber(s)
+	s.gang = gang{runNumber: number, startedAt: now}
 	checkpoint := s.gangCheckpoint()
 	for i, w := range chosen {
-		p.start(&s.tasks[i], w, number, checkpoint, now, out)
+		p.startTask(&s.tasks[i], w, number, checkpoint, now, out)
 	}
 }
--- a/pkg/dispatch/plan_equivalence_test.go
+++ b/pkg/dispatch/plan_equivalence_test.go
@@ -16,37 +16,37 @@
 // planInFull is Plan without anything that is kept between plans: it sorts and sums up all that waits and chooses among all workers.
 func (p *Pool) planInFull(now clock.Time, authority bool) Actions {
 	p.now = now
-	p.surveyWorkers(now)
-	p.expireAsks(now)
-	p.settleTakeover(now)
-	for _, j := range slices.SortedFunc(maps.Keys(p.timed), compareJobs) {
-		p.openDueTimes(j)
+	p.updateLoads(now)
+	p.expireAdviceCalls(now)
+	p.updateTakeover(now)
+	for _, j := range slices.SortedFunc(maps.Keys(p.scheduledJobs), compareJobs) {
+		p.createDueOccurrences(j)
 	}
 	var out Actions
 	if authority {
-		p.orderStored(now, &out)
+		p.orderStoredStarts(now, &out)
 		p.placeInFull(now, &out)
 	}
-	p.takeStops(now, &out)
-	p.takePaces(&out)
-	p.meets, p.settles = p.meets[:0], p.settles[:0]
-	out.Confirm, p.unconfirmed = p.unconfirmed, false
+	p.addStopOrders(now, &out)
+	p.addPaceOrders(&out)
+	p.newWorkers, p.workersToFence = p.newWorkers[:0], p.workersToFence[:0]
+	out.ConfirmOwnership, p.needsOwnershipCheck = p.needsOwnershipCheck, false
 	return out
 }
 
 func (p *Pool) placeInFull(now clock.Time, out *Actions) {
-	p.clearPromises()
+	p.clearQuotaReservations()
 	p.sumBacklogInFull()
 	reserved := newReservations()
-	p.placeFirst(reserved, now, out)
+	p.placePromotedGangs(reserved, now, out)
 	ordered := p.orderInFull(now)
 	p.askForStarvingInFull(ordered, reserved, now, out)
 	for _, s := range ordered {
-		if s.goesFirst || p.blocked(s.time.job) {
+		if s.promoted || p.isBlockedByTakeover(s.occurrence.job) {
 			continue
 		}
 		if p.awaitsQuota(s) {
-			p.holdQuota(s, now)
+			p.reserveGangQuota(s, now)
 			continue
 		}
 		if s.spec.Gang {
@@ -54,51 +54,51 @@
 		} else {
 			p.placeTasks(s, reserved, now, out)
 		}
-		if s.held(now) {
+		if s.awaitsProbe(now) {
 			continue
 		}
 		p.preempt(s, now)
-		if s.waiting() == 0 {
-			p.ready.remove(s)
+		if s.waitingTasks() == 0 {
+			p.waitingSteps.remove(s)
 			continue
 		}
-		p.ask(s, p.longAtOnce(), reserved, now, out)
-		p.reserve(s, reserved, now)
+		p.requestAdvice(s, p.maxLongCalls(), reserved, now, out)
+		p.reserveWorkers(s, reserved, now)
 	}
 }
 
 func (p *Pool) sumBacklogInFull() {
 	for _, l := range p.loads {
-		l.waiting = cell.Resources{}
+		l.waitingNeed = cell.Resources{}
 	}
-	for s := range p.ready.all() {
-		l := p.load(s.time.job.queue.Pool)
-		l.waiting = l.waiting.Add(s.spec.Need().Times(int64(p.startable(s))))
+	for s := range p.waitingSteps.all() {
+		l := p.poolLoad(s.occurrence.job.queue.Pool)
+		l.waitingNeed = l.waitingNeed.Add(s.spec.Need().Times(int64(p.startableTasks(s))))
 	}
 }
 
 func (p *Pool) orderInFull(now clock.Time) []*step {
-	ordered := slices.Collect(p.ready.all())
-	slices.SortFunc(ordered, func(a, b *step) int { return a.place(now).Compare(b.place(now)) })
+	ordered := slices.Collect(p.waitingSteps.all())
+	slices.SortFunc(ordered, func(a, b *step) int { return a.rank(now).Compare(b.rank(now)) })
 	return ordered
 }
 
 func (p *Pool) askForStarvingInFull(ordered []*step, reserved *reservations, now clock.Time, out *Actions) {
-	if p.advice.advisers.Free() == 0 || p.without(StarvingFirst) {
+	if p.advice.advisers.IdleCount() == 0 || p.isDisabled(DelayedAdviceFirst) {
 		return
 	}
 	var starving []*step
 	for _, s := range ordered {
-		if !s.goesFirst && p.starves(s, now) && !p.blocked(s.time.job) && !p.awaitsQuota(s) {
+		if !s.promoted && p.isAdviceDelayed(s, now) && !p.isBlockedByTakeover(s.occurrence.job) && !p.awaitsQuota(s) {
 			starving = append(starving, s)
 		}
 	}
 	slices.SortStableFunc(starving, func(a, b *step) int { return cmp.Compare(b.responseRatio(now), a.responseRatio(now)) })
 	for _, s := range starving {
-		if p.advice.advisers.Free() == 0 {
+		if p.advice.advisers.IdleCount() == 0 {
 			return
 		}
-		p.ask(s, p.longAtOnce()+longForStarving, reserved, now, out)
+		p.requestAdvice(s, p.maxLongCalls()+extraLongCalls, reserved, now, out)
 	}
 }
 
@@ -113,7 +113,7 @@
 	n := 0
 	kept.planned = func(a Actions) {
 		g.Expect(a.Starts).To(Equal(wants[n].Starts), "plan %d", n)
-		g.Expect(a.Asks).To(Equal(wants[n].Asks), "plan %d", n)
+		g.Expect(a.AdviceCalls).To(Equal(wants[n].AdviceCalls), "plan %d", n)
 		g.Expect(a.Stops).To(Equal(wants[n].Stops), "plan %d", n)
 		n++
 	}
--- a/pkg/dispatch/pool_load.go
+++ b/pkg/dispatch/pool_load.go
@@ -14,30 +14,30 @@
 	capacity cell.Resources
 	used     cell.Resources
 	// waiting is what tasks need that may be started: all of them, or so many that more waits than the pool gets through soon.
-	waiting cell.Resources
+	waitingNeed cell.Resources
 }
 
-// mostBacklog is the part of a pool up to which what waits may need it for gangs to hold workers.
+// maxBacklogShare is the part of a pool up to which what waits may need it for gangs to hold workers.
 // With more, the room that stands idle is worth more to others. The scarcest resource decides.
 // Of 0.2, 0.3, 0.5 and no limit it earned most in a pool of 48 workers under bursts of short jobs.
-const mostBacklog = 0.3
+const maxBacklogShare = 0.3
 
-// overloaded says that more waits than the pool gets through soon.
-func (l *poolLoad) overloaded() bool {
-	return l.waiting.DominantShare(l.capacity) > mostBacklog
+// isOverloaded says that more waits than the pool gets through soon.
+func (l *poolLoad) isOverloaded() bool {
+	return l.waitingNeed.DominantShare(l.capacity) > maxBacklogShare
 }
 
-// wellUsed is the part of a pool from which on all steps take their turns. The platform counts a job as lost that waits while less than
+// mostlyUsedShare is the part of a pool from which on all steps take their turns. The platform counts a job as lost that waits while less than
 // half of a pool is in use, and a plan's sums are up to 20 ms old.
-const wellUsed = 0.6
+const mostlyUsedShare = 0.6
 
-// isWellUsed says that most of the pool is in use.
-func (l *poolLoad) isWellUsed() bool {
-	return l.used.DominantShare(l.capacity) > wellUsed
+// isMostlyUsed says that most of the pool is in use.
+func (l *poolLoad) isMostlyUsed() bool {
+	return l.used.DominantShare(l.capacity) > mostlyUsedShare
 }
 
-// load returns the sums of a pool; those of one that has no workers are empty.
-func (p *Pool) load(pool string) *poolLoad {
+// poolLoad returns the sums of a pool; those of one that has no workers are empty.
+func (p *Pool) poolLoad(pool string) *poolLoad {
 	l, ok := p.loads[pool]
 	if !ok {
 		l = &poolLoad{}
@@ -46,23 +46,23 @@
 	return l
 }
 
-// surveyEvery is the least time between two looks at all workers: plans follow each other
+// surveyInterval is the least time between two looks at all workers: plans follow each other
 // within milliseconds, and there may be thousands of workers.
-const surveyEvery = 20 * time.Millisecond
+const surveyInterval = 20 * time.Millisecond
 
-// surveyWorkers ends what has lapsed, and sums up what the workers hold.
-func (p *Pool) surveyWorkers(now clock.Time) {
-	if p.surveyedAt != 0 && now.Sub(p.surveyedAt) < surveyEvery {
+// updateLoads ends what has lapsed, and sums up what the workers hold.
+func (p *Pool) updateLoads(now clock.Time) {
+	if p.surveyedAt != 0 && now.Sub(p.surveyedAt) < surveyInterval {
 		return
 	}
 	p.surveyedAt = now
 	clear(p.loads)
-	p.sumUnheard()
+	p.updateUnreportedUse()
 	for _, w := range p.workersByID() {
 		p.expireWorker(w, now)
 		p.retireIfDraining(w)
-		if !w.gone && !w.evacuated {
-			l := p.load(w.info.Pool)
+		if !w.terminated && !w.evacuated {
+			l := p.poolLoad(w.info.Pool)
 			l.workers++
 			l.capacity = l.capacity.Add(w.info.Capacity)
 			l.used = l.used.Add(w.used)
@@ -74,19 +74,19 @@
 // count.
 func (p *Pool) sumBacklog() {
 	for _, l := range p.loads {
-		l.waiting = cell.Resources{}
+		l.waitingNeed = cell.Resources{}
 	}
 	left := len(p.loads)
-	for s := range p.ready.all() {
+	for s := range p.waitingSteps.all() {
 		if left == 0 {
 			return
 		}
-		l, known := p.loads[s.time.job.queue.Pool]
-		if !known || l.overloaded() {
+		l, known := p.loads[s.occurrence.job.queue.Pool]
+		if !known || l.isOverloaded() {
 			continue
 		}
-		l.waiting = l.waiting.Add(s.spec.Need().Times(int64(p.startable(s))))
-		if l.overloaded() {
+		l.waitingNeed = l.waitingNeed.Add(s.spec.Need().Times(int64(p.startableTasks(s))))
+		if l.isOverloaded() {
 			left--
 		}
 	}
--- a/pkg/dispatch/pool_test.go
+++ b/pkg/dispatch/pool_test.go
@@ -37,14 +37,14 @@
 func newFixture(t *testing.T, workers int, change func(*Config)) *fixture {
 	f := &fixture{WithT: NewWithT(t), now: 100_000, wall: time.Unix(1_700_000_000, 0), workerClock: 50_000}
 	cfg := Config{
-		Hold: 5 * time.Second, MaxHold: 6 * time.Second, LongestLease: 6 * time.Second, Token: epoch, AuthorityTerm: 2 * time.Second,
-		Wall: func() time.Time { return f.wall }, Log: func(e Event) { f.events = append(f.events, e) },
+		LeaseDuration: 5 * time.Second, MaxLeaseDuration: 6 * time.Second, WorkerMaxLease: 6 * time.Second, Token: epoch, AuthorityTerm: 2 * time.Second,
+		WallClock: func() time.Time { return f.wall }, Log: func(e Event) { f.events = append(f.events, e) },
 	}
 	if change != nil {
 		change(&cfg)
 	}
 	f.pool = New(cfg, f.now)
-	f.pool.SetLoaded()
+	f.pool.MarkJobsLoaded()
 	f.pool.SetConfig(queue.NewConfig(1, []queue.Queue{testQueue}, nil))
 	for n := range workers {
 		f.addWorker(n)
@@ -57,11 +57,11 @@
 }
 
 func (f *fixture) addWorker(n int) {
-	f.pool.PutWorker(WorkerInfo{
+	f.pool.UpsertWorker(WorkerInfo{
 		ID: workerID(n), Pool: "pool", Address: netip.MustParseAddrPort("10.0.0.1:80"), Rack: fmt.Sprintf("r1-%d", n/2),
 		Capacity: cell.Resources{CPUMillis: 4000, MemoryMB: 8000},
 	}, true, f.now)
-	f.pool.Rostered([]WorkerID{workerID(n)})
+	f.pool.MarkInRoster([]WorkerID{workerID(n)})
 }
 
 // pass lets time pass for all clocks.
@@ -73,11 +73,11 @@
 
 // report has a worker answer a hold.
 func (f *fixture) report(n int, r Report) Answer {
-	h, ok := f.pool.HoldFor(workerID(n), false, true, f.now)
+	h, ok := f.pool.NewPoll(workerID(n), false, true, f.now)
 	f.Expect(ok).To(BeTrue())
 	f.pass(time.Millisecond)
 	a := Answer{Verdict: VerdictDone, Clock: f.workerClock}
-	f.pool.HoldAnswered(h, a, r, f.now)
+	f.pool.HandlePollAnswer(h, a, r, f.now)
 	return a
 }
 
@@ -91,18 +91,18 @@
 func (f *fixture) plan() Actions {
 	f.pass(time.Millisecond)
 	if !f.storeAway {
-		f.pool.Confirmed(f.now)
+		f.pool.RecordOwnershipConfirmed(f.now)
 	}
 	return f.pool.Plan(f.now, true)
 }
 
 // accept has an order carried out.
-func (f *fixture) accept(s Start) {
-	f.pool.StartAnswered(s, Answer{Verdict: VerdictDone, Clock: f.workerClock}, nil, f.now)
+func (f *fixture) accept(s StartOrder) {
+	f.pool.HandleStartAnswer(s, Answer{Verdict: VerdictDone, Clock: f.workerClock}, nil, f.now)
 }
 
-func (f *fixture) end(s Start, number int64, how End) Report {
-	return Report{Finished: []Finished{{Number: number, Task: s.Task, Run: s.Run, How: how}}}
+func (f *fixture) end(s StartOrder, number int64, how EndReason) Report {
+	return Report{Finished: []FinishedRun{{Number: number, Task: s.Task, Run: s.Run, Reason: how}}}
 }
 
 func testJob(id string, steps ...job.Step) job.Record {
@@ -131,12 +131,12 @@
 	f.add(testJob("a", testStep(2), second))
 	starts := f.plan().Starts
 	f.Expect(starts).To(HaveLen(2))
-	f.Expect(f.pool.Pending("ticks")).To(Equal(1))
+	f.Expect(f.pool.PendingJobs("ticks")).To(Equal(1))
 	for _, s := range starts {
 		f.Expect(s.Task.Step).To(Equal(0))
 		f.accept(s)
 	}
-	f.Expect(f.pool.Pending("ticks")).To(Equal(0))
+	f.Expect(f.pool.PendingJobs("ticks")).To(Equal(0))
 	f.report(numberOf(starts[0].Worker), f.end(starts[0], 1, EndDone))
 	f.Expect(f.plan().Starts).To(BeEmpty(), "the first step is not done")
 	f.report(numberOf(starts[1].Worker), f.end(starts[1], 2, EndDone))
@@ -144,10 +144,10 @@
 	f.Expect(last).To(HaveLen(1))
 	f.accept(last[0])
 	f.report(numberOf(last[0].Worker), f.end(last[0], 3, EndDone))
-	state, _, _ := f.pool.State("a")
+	state, _, _ := f.pool.JobState("a")
 	f.Expect(state).To(Equal(job.Running), "the end is not committed")
-	f.pool.Committed(f.pool.TakeCommit())
-	state, _, _ = f.pool.State("a")
+	f.pool.ApplyCommit(f.pool.PrepareCommit())
+	state, _, _ = f.pool.JobState("a")
 	f.Expect(state).To(Equal(job.Completed))
 }
 
@@ -158,11 +158,11 @@
 	s := f.plan().Starts[0]
 	f.accept(s)
 	f.report(0, f.end(s, 7, EndDone))
-	h, _ := f.pool.HoldFor("w0", false, true, f.now)
-	f.Expect(h.LastSeen).To(BeZero())
-	f.pool.Committed(f.pool.TakeCommit())
-	h, _ = f.pool.HoldFor("w0", false, true, f.now)
-	f.Expect(h.LastSeen).To(Equal(int64(7)))
+	h, _ := f.pool.NewPoll("w0", false, true, f.now)
+	f.Expect(h.AckedEnd).To(BeZero())
+	f.pool.ApplyCommit(f.pool.PrepareCommit())
+	h, _ = f.pool.NewPoll("w0", false, true, f.now)
+	f.Expect(h.AckedEnd).To(Equal(int64(7)))
 }
 
 func TestRoomIsNeverExceeded(t *testing.T) {
@@ -193,8 +193,8 @@
 		f.report(numberOf(starts[0].Worker), f.end(starts[0], n+1, EndFailed))
 	}
 	f.Expect(f.plan().Starts).To(BeEmpty())
-	f.pool.Committed(f.pool.TakeCommit())
-	state, _, _ := f.pool.State("a")
+	f.pool.ApplyCommit(f.pool.PrepareCommit())
+	state, _, _ := f.pool.JobState("a")
 	f.Expect(state).To(Equal(job.Failed))
 }
 
@@ -203,7 +203,7 @@
 	f := newFixture(t, 1, afterFormerOwner)
 	id := job.TaskID{StepID: job.StepID{Job: "a"}}
 	f.pool.AddJob(testJob("a", testStep(1)), job.Progress{Tasks: []job.TaskProgress{{Failures: []int{1, 2}, LastRun: 2}}}, true, 0, f.now)
-	f.report(0, Report{Finished: []Finished{{Number: 1, Task: id, Run: 1, How: EndFailed}, {Number: 2, Task: id, Run: 2, How: EndFailed}}})
+	f.report(0, Report{Finished: []FinishedRun{{Number: 1, Task: id, Run: 1, Reason: EndFailed}, {Number: 2, Task: id, Run: 2, Reason: EndFailed}}})
 	f.Expect(f.plan().Starts).To(HaveLen(1))
 }
 
@@ -230,7 +230,7 @@
 	f.Expect(starts).To(HaveLen(1))
 	f.accept(starts[0])
 	f.pass(time.Second)
-	f.report(0, Report{Active: []Active{{Task: starts[0].Task, Run: 1, Percent: 50}}})
+	f.report(0, Report{Active: []ActiveRun{{Task: starts[0].Task, Run: 1, Percent: 50}}})
 	starts = f.plan().Starts
 	f.Expect(starts).To(HaveLen(1), "times may overlap")
 	f.Expect(starts[0].Task.Time).To(Equal(1))
@@ -260,11 +260,11 @@
 	r.Job.Schedule = job.Schedule{Repeat: 2, Start: f.wall, Interval: time.Minute}
 	f.add(r)
 	j := f.pool.jobs["a"]
-	first := j.times[0].objective
+	first := j.occurrences[0].objective
 	f.pass(time.Minute)
 	f.plan()
-	f.Expect(j.times[1].objective.Sub(first)).To(BeNumerically("~", time.Minute, 10*time.Millisecond))
-	f.Expect(j.times[1].steps[0].standing(f.now)).To(Equal(worth.InTime))
+	f.Expect(j.occurrences[1].objective.Sub(first)).To(BeNumerically("~", time.Minute, 10*time.Millisecond))
+	f.Expect(j.occurrences[1].steps[0].valueClass(f.now)).To(Equal(worth.InTime))
 }
 
 func TestOutcomesAreKeptForTheirTime(t *testing.T) {
@@ -277,8 +277,8 @@
 	expired := f.pool.ExpiredOutcomes(2*time.Minute, 10, f.now)
 	f.Expect(expired).To(Equal([]job.ID{"a"}))
 	f.pool.ForgetOutcomes(expired)
-	_, _, known := f.pool.State("a")
+	_, _, known := f.pool.JobState("a")
 	f.Expect(known).To(BeFalse())
-	state, _, _ := f.pool.State("b")
+	state, _, _ := f.pool.JobState("b")
 	f.Expect(state).To(Equal(job.Failed))
 }
--- a/pkg/dispatch/preempt_test.go
+++ b/pkg/dispatch/preempt_test.go
@@ -40,7 +40,7 @@
 	f.Expect(actions.Stops).To(HaveLen(1))
 	stop := actions.Stops[0]
 	f.Expect(f.plan().Stops).To(BeEmpty(), "one is on its way")
-	f.report(0, Report{Finished: []Finished{{Number: 1, Task: stop.Task, Run: stop.Run, How: EndStopped}}})
+	f.report(0, Report{Finished: []FinishedRun{{Number: 1, Task: stop.Task, Run: stop.Run, Reason: EndStopped}}})
 	starts := f.plan().Starts
 	f.Expect(starts).To(HaveLen(1))
 	f.Expect(starts[0].Task.Job).To(Equal(job.ID("a")), "the room is kept for it")
@@ -52,7 +52,7 @@
 	f.report(0, Report{})
 	f.add(testJob("a", testStep(1)))
 	stop := f.plan().Stops[0]
-	f.report(0, Report{Finished: []Finished{{Number: 1, Task: stop.Task, Run: stop.Run, How: EndStopped, Checkpoint: "half"}}})
+	f.report(0, Report{Finished: []FinishedRun{{Number: 1, Task: stop.Task, Run: stop.Run, Reason: EndStopped, Checkpoint: "half"}}})
 	urgent := f.plan().Starts[0]
 	f.accept(urgent)
 	f.report(0, f.end(urgent, 2, EndDone))
@@ -94,24 +94,24 @@
 }
 
 // activeRows lists all runs as going on.
-func activeRows(f *fixture) []Active {
-	var rows []Active
+func activeRows(f *fixture) []ActiveRun {
+	var rows []ActiveRun
 	for _, r := range sortedRuns(f.pool.workers["w0"]) {
-		rows = append(rows, Active{Task: r.task.id(), Run: r.number, Percent: 10})
+		rows = append(rows, ActiveRun{Task: r.task.id(), Run: r.number, Percent: 10})
 	}
 	return rows
 }
 
 // gpuPool has workers of 64 cores and 8 accelerators, and queues of two priorities.
 func gpuPool(t *testing.T, workers int) (f *fixture, first, second queue.Queue) {
-	f = newFixture(t, 0, func(c *Config) { c.StopGrace, c.Restore = 400*time.Millisecond, 600*time.Millisecond })
+	f = newFixture(t, 0, func(c *Config) { c.StopGrace, c.RestoreTime = 400*time.Millisecond, 600*time.Millisecond })
 	first, second = testQueue, testQueue
 	first.Name, first.Priority, first.TargetLatency = "checks", 1, 10*time.Second
 	second.Name, second.Priority, second.TargetLatency = "reviews", 2, time.Minute
 	f.pool.SetConfig(queue.NewConfig(2, []queue.Queue{first, second}, nil))
 	for n := range workers {
-		f.pool.PutWorker(WorkerInfo{ID: workerID(n), Pool: "pool", Capacity: cell.Resources{CPUMillis: 64000, MemoryMB: 128000, Accelerators: 8}}, true, f.now)
-		f.pool.Rostered([]WorkerID{workerID(n)})
+		f.pool.UpsertWorker(WorkerInfo{ID: workerID(n), Pool: "pool", Capacity: cell.Resources{CPUMillis: 64000, MemoryMB: 128000, Accelerators: 8}}, true, f.now)
+		f.pool.MarkInRoster([]WorkerID{workerID(n)})
 	}
 	f.reportAll(workers)
 	return f, first, second
@@ -125,7 +125,7 @@
 }
 
 // runAll plans and has all starts accepted.
-func (f *fixture) runAll() []Start {
+func (f *fixture) runAll() []StartOrder {
 	starts := f.plan().Starts
 	for _, o := range starts {
 		f.accept(o)
--- a/pkg/dispatch/previous_owner_starts_test.go
+++ b/pkg/dispatch/previous_owner_starts_test.go
@@ -13,7 +13,7 @@
 	h.passes(500 * time.Millisecond)
 	h.Expect(h.there[0].active).To(HaveLen(1))
 	h.Expect(h.kept).To(HaveLen(1))
-	h.loses = func(Start) bool { return false }
+	h.loses = func(StartOrder) bool { return false }
 	h.nextOwner()
 	h.passes(500 * time.Millisecond)
 	h.crashes(0)
@@ -21,5 +21,5 @@
 	h.passes(600 * time.Millisecond)
 	h.comes(thirdLife(0))
 	h.closed(0)
-	h.passes(latestOrder)
+	h.passes(maxOrderDelay)
 }
--- a/pkg/dispatch/probe.go
+++ b/pkg/dispatch/probe.go
@@ -20,126 +20,126 @@
 
 // suspected says that there is a crash against a task, or against another member of its gang, so that it is to be started
 // alone.
-func (t *task) suspected() bool {
+func (t *task) isSuspect() bool {
 	if t.step.spec.Gang {
-		return t.step.suspected()
+		return t.step.hasSuspects()
 	}
-	return t.crash.Suspected()
+	return t.crash.IsSuspect()
 }
 
 // suspected says that a step has tasks that are to be started alone.
-func (s *step) suspected() bool {
-	if !s.time.job.suspected {
+func (s *step) hasSuspects() bool {
+	if !s.occurrence.job.suspected {
 		return false
 	}
 	for i := range s.tasks {
-		if t := &s.tasks[i]; !t.done && t.crash.Suspected() {
+		if t := &s.tasks[i]; !t.done && t.crash.IsSuspect() {
 			return true
 		}
 	}
 	return false
 }
 
-// probing says that a task of a step that is to be started alone has begun and is not proven.
-func (s *step) probing() bool {
+// isProbing says that a task of a step that is to be started alone has begun and is not proven.
+func (s *step) isProbing() bool {
 	for i := range s.tasks {
-		if t := &s.tasks[i]; t.current != nil && !t.current.proven && t.suspected() {
+		if t := &s.tasks[i]; t.current != nil && !t.current.survived && t.isSuspect() {
 			return true
 		}
 	}
 	return false
 }
 
-// claimedByOther says that a worker is claimed for another job than that of a step.
-func (w *worker) claimedByOther(s *step, now clock.Time) bool {
-	if w.claim.step == nil || w.claim.step.time.job == s.time.job {
+// isClaimedByOther says that a worker is claimed for another job than that of a step.
+func (w *worker) isClaimedByOther(s *step, now clock.Time) bool {
+	if w.claim.step == nil || w.claim.step.occurrence.job == s.occurrence.job {
 		return false
 	}
-	if w.awaitsStart(now) || w.probed() {
+	if w.awaitsClaimant(now) || w.isProbed() {
 		return true
 	}
 	w.claim.step = nil
 	return false
 }
 
-// awaitsStart says that a worker is claimed for a step that has not begun there.
-func (w *worker) awaitsStart(now clock.Time) bool {
+// awaitsClaimant says that a worker is claimed for a step that has not begun there.
+func (w *worker) awaitsClaimant(now clock.Time) bool {
 	s := w.claim.step
-	return s != nil && now < w.claim.until && s.time.job.outcome == "" && !s.finished()
+	return s != nil && now < w.claim.until && s.occurrence.job.outcome == "" && !s.finished()
 }
 
-// probed says that what a worker is claimed for has begun there and is not proven.
-func (w *worker) probed() bool {
+// isProbed says that what a worker is claimed for has begun there and is not proven.
+func (w *worker) isProbed() bool {
 	if w.claim.step == nil {
 		return false
 	}
 	for _, r := range w.runs {
-		if !r.proven && r.task.step.time.job == w.claim.step.time.job {
+		if !r.survived && r.task.step.occurrence.job == w.claim.step.occurrence.job {
 			return true
 		}
 	}
 	return false
 }
 
-// nothingBegins says that no other job's task is beginning on a worker.
-func (w *worker) nothingBegins(s *step) bool {
-	return w.beginning(s) == 0
+// isFreeForProbe says that no other job's task is beginning on a worker.
+func (w *worker) isFreeForProbe(s *step) bool {
+	return w.otherRecentRuns(s) == 0
 }
 
-// beginning counts the runs of other jobs on a worker that are not proven.
-func (w *worker) beginning(s *step) int {
+// otherRecentRuns counts the runs of other jobs on a worker that are not proven.
+func (w *worker) otherRecentRuns(s *step) int {
 	n := 0
 	for _, r := range w.runs {
-		if !r.proven && r.task.step.time.job != s.time.job {
+		if !r.survived && r.task.step.occurrence.job != s.occurrence.job {
 			n++
 		}
 	}
 	return n
 }
 
-// placeSuspects starts the tasks of a step that are to be started alone, as many as there is room for on one worker.
-func (p *Pool) placeSuspects(s *step, reserved *reservations, now clock.Time, out *Actions) {
-	if s.probing() {
+// placeSuspectTasks starts the tasks of a step that are to be started alone, as many as there is room for on one worker.
+func (p *Pool) placeSuspectTasks(s *step, reserved *reservations, now clock.Time, out *Actions) {
+	if s.isProbing() {
 		return
 	}
 	var w *worker
 	for i := range s.tasks {
 		t := &s.tasks[i]
-		if !t.suspected() || !p.mayStart(t, now) {
+		if !t.isSuspect() || !p.mayStart(t, now) {
 			continue
 		}
-		if p.allowed(s, 1) == 0 {
+		if p.quotaRoom(s, 1) == 0 {
 			return
 		}
 		if w == nil {
-			may := slices.DeleteFunc(p.candidates(s, reserved, now), func(w *worker) bool { return !t.mayRunOn(w) })
-			if w = p.probeWorker(s, may, now); w == nil && t.late.Bound() {
+			may := slices.DeleteFunc(p.candidates(s, reserved, now), func(w *worker) bool { return !t.lateStartsAllow(w) })
+			if w = p.selectProbeWorker(s, may, now); w == nil && t.lateStarts.IsBound() {
 				continue
 			}
 			if w == nil {
 				return
 			}
 		}
-		if fits(s, w) == 0 {
+		if roomFor(s, w) == 0 {
 			return
 		}
-		if !t.mayRunOn(w) {
+		if !t.lateStartsAllow(w) {
 			continue
 		}
-		p.start(t, w, p.numberOn(t, w), t.checkpoint, now, out)
+		p.startTask(t, w, p.nextRunNumberOn(t, w), t.checkpoint, now, out)
 	}
 }
 
-// probeWorker chooses a worker on which no other job's task is beginning. Without one, it claims a worker for the step, and
+// selectProbeWorker chooses a worker on which no other job's task is beginning. Without one, it claims a worker for the step, and
 // returns nil.
-func (p *Pool) probeWorker(s *step, candidates []*worker, now clock.Time) *worker {
-	if s.awaitsClaimed(now) && !s.claimed.nothingBegins(s) {
+func (p *Pool) selectProbeWorker(s *step, candidates []*worker, now clock.Time) *worker {
+	if s.awaitsClaimedWorker(now) && !s.claimedWorker.isFreeForProbe(s) {
 		return nil
 	}
 	var best *worker
 	var bestFor crash.ProbeFitness
 	for _, w := range candidates {
-		if !w.signs().Lives(now) {
+		if !w.liveness().IsResponsive(now) {
 			continue
 		}
 		f := p.probeFitness(s, w)
@@ -147,60 +147,60 @@
 			best, bestFor = w, f
 		}
 	}
-	if best == nil || bestFor.Beginning == 0 {
+	if best == nil || bestFor.RecentRuns == 0 {
 		return best
 	}
 	if p.mayClaimAnother(now) {
-		s.claim(best, now.Add(crash.ClaimLasts))
+		s.claimWorker(best, now.Add(crash.ClaimTimeout))
 	}
 	return nil
 }
 
-// claim claims a worker for the step until a time, and for as long as what it starts there is not proven.
-func (s *step) claim(w *worker, until clock.Time) {
+// claimWorker claims a worker for the step until a time, and for as long as what it starts there is not proven.
+func (s *step) claimWorker(w *worker, until clock.Time) {
 	w.claim = claim{step: s, until: until}
-	s.claimed = w
+	s.claimedWorker = w
 }
 
-// awaitsClaimed says that a worker is claimed for the step, which has not begun there.
-func (s *step) awaitsClaimed(now clock.Time) bool {
-	w := s.claimed
-	return w != nil && w.claim.step == s && w.awaitsStart(now) && w.usable(now) && fits(s, w) > 0
+// awaitsClaimedWorker says that a worker is claimed for the step, which has not begun there.
+func (s *step) awaitsClaimedWorker(now clock.Time) bool {
+	w := s.claimedWorker
+	return w != nil && w.claim.step == s && w.awaitsClaimant(now) && w.isUsable(now) && roomFor(s, w) > 0
 }
 
 // held says that the waiting tasks of a step wait for one of them to be proven, and not for room or advice.
-func (s *step) held(now clock.Time) bool {
-	return !s.spec.Gang && !s.survived && s.suspected() && (s.probing() || s.awaitsClaimed(now))
+func (s *step) awaitsProbe(now clock.Time) bool {
+	return !s.spec.Gang && !s.hasSurvivedStart && s.hasSuspects() && (s.isProbing() || s.awaitsClaimedWorker(now))
 }
 
 func (p *Pool) probeFitness(s *step, w *worker) crash.ProbeFitness {
-	return crash.ProbeFitness{Beginning: w.beginning(s), CrashedAt: p.crashes.LastAt(w.info.Address), HeardAt: w.lastSign()}
+	return crash.ProbeFitness{RecentRuns: w.otherRecentRuns(s), CrashedAt: p.crashes.LastCrashAt(w.info.Address), LastSeenAt: w.lastSeenAt()}
 }
 
 // mayClaimAnother says whether one more worker may be claimed.
 func (p *Pool) mayClaimAnother(now clock.Time) bool {
 	claimed, all := 0, 0
 	for _, w := range p.workers {
-		if !w.usable(now) {
+		if !w.isUsable(now) {
 			continue
 		}
 		all++
-		if w.awaitsStart(now) {
+		if w.awaitsClaimant(now) {
 			claimed++
 		}
 	}
-	return crash.MayClaimAnother(claimed, all)
+	return crash.MayClaimWorker(claimed, all)
 }
 
-// probeWorkers lists the workers on which a gang with a crash against it may be started. Without enough, it claims those
+// selectGangProbeWorkers lists the workers on which a gang with a crash against it may be started. Without enough, it claims those
 // that the gang would get.
-func (p *Pool) probeWorkers(s *step, candidates []*worker, now clock.Time) []*worker {
-	alone := slices.DeleteFunc(slices.Clone(candidates), func(w *worker) bool { return !w.signs().Lives(now) || !w.nothingBegins(s) })
-	if s.missing() || p.gangWorkers(s, alone) != nil {
+func (p *Pool) selectGangProbeWorkers(s *step, candidates []*worker, now clock.Time) []*worker {
+	alone := slices.DeleteFunc(slices.Clone(candidates), func(w *worker) bool { return !w.liveness().IsResponsive(now) || !w.isFreeForProbe(s) })
+	if s.hasMissingMembers() || p.gangWorkers(s, alone) != nil {
 		return alone
 	}
 	for _, w := range p.gangWorkers(s, candidates) {
-		s.claim(w, now.Add(crash.ClaimLasts))
+		s.claimWorker(w, now.Add(crash.ClaimTimeout))
 	}
 	return nil
 }
--- a/pkg/dispatch/quota.go
+++ b/pkg/dispatch/quota.go
@@ -37,43 +37,43 @@
 	}
 }
 
-// accountNeed is what a task of a step counts for in its customer's account: all that it takes, also what it is not given room for.
-func (s *step) accountNeed() cell.Resources {
+// quotaNeed is what a task of a step counts for in its customer's account: all that it takes, also what it is not given room for.
+func (s *step) quotaNeed() cell.Resources {
 	return s.spec.Resources
 }
 
-// bookUse and giveBackUse keep what a customer has running.
-func (p *Pool) bookUse(s *step) {
-	s.counted++
-	if a := s.time.job.account; a != nil {
-		a.Book(s.accountNeed())
+// chargeQuota and releaseQuota keep what a customer has running.
+func (p *Pool) chargeQuota(s *step) {
+	s.countedRuns++
+	if a := s.occurrence.job.account; a != nil {
+		a.Charge(s.quotaNeed())
 	}
 }
 
-func (p *Pool) giveBackUse(s *step) {
-	s.counted--
-	if a := s.time.job.account; a != nil {
-		a.GiveBack(s.accountNeed())
+func (p *Pool) releaseQuota(s *step) {
+	s.countedRuns--
+	if a := s.occurrence.job.account; a != nil {
+		a.Release(s.quotaNeed())
 	}
 }
 
-// allowed is how many more tasks of a step its customer may have running, at most most.
-func (p *Pool) allowed(s *step, most int) int {
-	a := s.time.job.account
+// quotaRoom is how many more tasks of a step its customer may have running, at most most.
+func (p *Pool) quotaRoom(s *step, most int) int {
+	a := s.occurrence.job.account
 	if a == nil {
 		return most
 	}
-	if p.ListsUnknown() {
+	if p.HasUnknownJobs() {
 		return 0 // whose the runs are that workers list of unknown jobs is not known; their records are being read
 	}
-	return a.Allowed(s.claimant(), s.accountNeed(), most)
+	return a.StartableTasks(s.claimant(), s.quotaNeed(), most)
 }
 
-// startable is how many of a step's waiting tasks its customer's quota lets start; of a gang that is to start as a whole, all or none.
-func (p *Pool) startable(s *step) int {
-	waiting := s.waiting()
-	n := p.allowed(s, waiting)
-	if s.spec.Gang && n < waiting && !s.missing() {
+// startableTasks is how many of a step's waiting tasks its customer's quota lets start; of a gang that is to start as a whole, all or none.
+func (p *Pool) startableTasks(s *step) int {
+	waiting := s.waitingTasks()
+	n := p.quotaRoom(s, waiting)
+	if s.spec.Gang && n < waiting && !s.hasMissingMembers() {
 		return 0
 	}
 	return n
@@ -81,47 +81,47 @@
 
 // awaitsQuota says that nothing of a step may start before its customer has less running.
 func (p *Pool) awaitsQuota(s *step) bool {
-	return !s.missing() && s.waiting() > 0 && p.startable(s) == 0
+	return !s.hasMissingMembers() && s.waitingTasks() > 0 && p.startableTasks(s) == 0
 }
 
-// holdQuota keeps the room in its customer's quota that comes for a gang that is in time, from later steps: a gang never finds
+// reserveGangQuota keeps the room in its customer's quota that comes for a gang that is in time, from later steps: a gang never finds
 // enough at once while each end makes room for a smaller step.
-func (p *Pool) holdQuota(s *step, now clock.Time) {
-	if s.spec.Gang && s.standing(now) <= worth.InTime {
-		s.promiseQuota()
+func (p *Pool) reserveGangQuota(s *step, now clock.Time) {
+	if s.spec.Gang && s.valueClass(now) <= worth.InTime {
+		s.reserveQuota()
 	}
 }
 
-// promiseQuota keeps room in its customer's quota for all members of a gang, as far as the account makes promises.
-func (s *step) promiseQuota() {
-	s.time.job.account.Promise(s.claimant(), s.spec.AtOnce())
+// reserveQuota keeps room in its customer's quota for all members of a gang, as far as the account makes promises.
+func (s *step) reserveQuota() {
+	s.occurrence.job.account.Reserve(s.claimant(), s.spec.AtOnce())
 }
 
 // claimant is a step as its customer's account knows it.
 func (s *step) claimant() account.Claimant {
-	return account.Claimant(s.number)
+	return account.Claimant(s.seq)
 }
 
-// countForeign takes in that a worker lists a run of a job of which nothing is known but that it has ended.
-func (p *Pool) countForeign(w *worker, id job.ID) {
-	ended, _ := p.outcomes.Of(id)
+// addOrphan takes in that a worker lists a run of a job of which nothing is known but that it has ended.
+func (p *Pool) addOrphan(w *worker, id job.ID) {
+	ended, _ := p.outcomes.Find(id)
 	if a := p.openAccount(customer.Customer{Name: ended.Customer}); a != nil {
-		a.CountForeign()
-		w.foreignOf = append(w.foreignOf, a)
+		a.AddOrphan()
+		w.orphanAccounts = append(w.orphanAccounts, a)
 	}
 }
 
-// clearForeign takes back what countForeign has counted of a worker.
-func (w *worker) clearForeign() {
-	for _, a := range w.foreignOf {
-		a.ForgetForeign()
+// clearOrphans takes back what addOrphan has counted of a worker.
+func (w *worker) clearOrphans() {
+	for _, a := range w.orphanAccounts {
+		a.RemoveOrphan()
 	}
-	w.foreignOf = w.foreignOf[:0]
+	w.orphanAccounts = w.orphanAccounts[:0]
 }
 
-// clearPromises begins a plan.
-func (p *Pool) clearPromises() {
+// clearQuotaReservations begins a plan.
+func (p *Pool) clearQuotaReservations() {
 	for _, a := range p.accounts {
-		a.ClearPromises()
+		a.ClearReservations()
 	}
 }
--- a/pkg/dispatch/quota_preemption.go
+++ b/pkg/dispatch/quota_preemption.go
@@ -15,49 +15,49 @@
 // left unused.
 
 const (
-	// quotaLittleUsed is the part of a quota below which the platform counts a job as lost that waits.
-	quotaLittleUsed = 0.5
-	// littleUsedFor is how long a quota may be little used while a gang waits for it: the platform allows 3 s, of which a
+	// lowQuotaShare is the part of a quota below which the platform counts a job as lost that waits.
+	lowQuotaShare = 0.5
+	// maxLowQuotaTime is how long a quota may be little used while a gang waits for it: the platform allows 3 s, of which a
 	// stop takes up to 0.9 s.
-	littleUsedFor = time.Second
+	maxLowQuotaTime = time.Second
 )
 
-// stopForQuota stops runs of a gang's customer when its quota has been little used for too long while the gang lacks
+// preemptForQuota stops runs of a gang's customer when its quota has been little used for too long while the gang lacks
 // nothing but room in it.
-func (p *Pool) stopForQuota(s *step, reserved *reservations, now clock.Time) {
-	a := s.time.job.account
-	if a.Used().DominantShare(a.Customer().Quota) >= quotaLittleUsed {
-		s.quotaIdleSince = 0
+func (p *Pool) preemptForQuota(s *step, reserved *reservations, now clock.Time) {
+	a := s.occurrence.job.account
+	if a.Used().DominantShare(a.Customer().Quota) >= lowQuotaShare {
+		s.awaitsLowQuotaSince = 0
 		return
 	}
-	if s.quotaIdleSince == 0 {
-		s.quotaIdleSince = now
+	if s.awaitsLowQuotaSince == 0 {
+		s.awaitsLowQuotaSince = now
 	}
-	if now.Sub(s.quotaIdleSince) < littleUsedFor || p.without(Preemption) {
+	if now.Sub(s.awaitsLowQuotaSince) < maxLowQuotaTime || p.isDisabled(Preemption) {
 		return
 	}
 	if p.gangWorkers(s, p.gangCandidates(s, reserved, now)) == nil {
 		return
 	}
-	for _, r := range p.stopsForQuota(a, s.spec.AtOnce(), now) {
-		p.stopForStep(r, s)
+	for _, r := range p.selectQuotaVictims(a, s.spec.AtOnce(), now) {
+		p.preemptRun(r, s)
 	}
 }
 
-// stopsForQuota chooses runs whose ends give an account room for an amount, those first that throw least away; none when
+// selectQuotaVictims chooses runs whose ends give an account room for an amount, those first that throw least away; none when
 // their ends don't suffice.
-func (p *Pool) stopsForQuota(a *account.Account, need cell.Resources, now clock.Time) []*run {
-	running := a.Used().Add(a.Unheard()).Add(need)
+func (p *Pool) selectQuotaVictims(a *account.Account, need cell.Resources, now clock.Time) []*run {
+	running := a.Used().Add(a.Unreported()).Add(need)
 	var options []*run
-	for _, r := range p.runsOf(a) {
-		if r.stopAsked {
-			running = running.Sub(r.task.step.accountNeed())
-		} else if r.mayYieldQuota(now) {
+	for _, r := range p.activeRunsOf(a) {
+		if r.stopRequested {
+			running = running.Sub(r.task.step.quotaNeed())
+		} else if r.isQuotaPreemptable(now) {
 			options = append(options, r)
 		}
 	}
 	slices.SortFunc(options, func(x, y *run) int {
-		less := cmp.Compare(x.lostByStop(p.cfg.Restore, now), y.lostByStop(p.cfg.Restore, now))
+		less := cmp.Compare(x.workLostByStop(p.cfg.RestoreTime, now), y.workLostByStop(p.cfg.RestoreTime, now))
 		return cmp.Or(less, compareTasks(x.task, y.task))
 	})
 	var stops []*run
@@ -66,7 +66,7 @@
 			break
 		}
 		stops = append(stops, r)
-		running = running.Sub(r.givesBack())
+		running = running.Sub(r.releasedQuota())
 	}
 	if !a.Customer().Allows(running) {
 		return nil
@@ -74,8 +74,8 @@
 	return stops
 }
 
-// runsOf lists the runs of a customer's tasks that have begun.
-func (p *Pool) runsOf(a *account.Account) []*run {
+// activeRunsOf lists the runs of a customer's tasks that have begun.
+func (p *Pool) activeRunsOf(a *account.Account) []*run {
 	var out []*run
 	for _, j := range p.jobsByID() {
 		if j.account != a {
@@ -92,21 +92,21 @@
 	return out
 }
 
-// mayYieldQuota says that a run may be stopped for another job of its customer. A gang is stopped as a whole, at its
+// isQuotaPreemptable says that a run may be stopped for another job of its customer. A gang is stopped as a whole, at its
 // first member.
-func (r *run) mayYieldQuota(now clock.Time) bool {
+func (r *run) isQuotaPreemptable(now clock.Time) bool {
 	s := r.task.step
-	if s.spec.LongRunning || s.spec.Gang && (r.task.index > 0 || s.runs < len(s.tasks)) {
+	if s.spec.LongRunning || s.spec.Gang && (r.task.index > 0 || s.runningTasks < len(s.tasks)) {
 		return false
 	}
-	return r.left(now) > soonOver
+	return r.timeLeft(now) > endsSoonWithin
 }
 
-// givesBack is what the end of a run gives back of its customer's quota; of a gang, what all members take.
-func (r *run) givesBack() cell.Resources {
+// releasedQuota is what the end of a run gives back of its customer's quota; of a gang, what all members take.
+func (r *run) releasedQuota() cell.Resources {
 	s := r.task.step
 	if s.spec.Gang {
-		return s.accountNeed().Times(int64(s.runs))
+		return s.quotaNeed().Times(int64(s.runningTasks))
 	}
-	return s.accountNeed()
+	return s.quotaNeed()
 }
--- a/pkg/dispatch/quota_test.go
+++ b/pkg/dispatch/quota_test.go
@@ -54,8 +54,8 @@
 	f.Expect(starts).To(HaveLen(3), "the configuration goes before the record")
 	f.Expect(f.plan().Starts).To(BeEmpty())
 	f.accept(starts[0])
-	f.pool.StartAnswered(starts[1], Answer{}, ErrNotSent, f.now) // certainly not running
-	f.pass(rejectedPause)
+	f.pool.HandleStartAnswer(starts[1], Answer{}, ErrNotSent, f.now) // certainly not running
+	f.pass(rejectedStartBackoff)
 	f.Expect(f.plan().Starts).To(HaveLen(1))
 	f.report(numberOf(starts[0].Worker), f.end(starts[0], 1, EndDone))
 	f.Expect(f.plan().Starts).To(HaveLen(1))
@@ -164,7 +164,7 @@
 // A new owner has not heard of a worker that may run tasks of the customer for a former one.
 func TestNewOwnerCountsWhatMayRunUnheard(t *testing.T) {
 	f := newFixture(t, 2, func(c *Config) {
-		c.Takeover, c.Term, c.Token = true, 2, nextEpoch
+		c.HasPreviousOwner, c.Term, c.Token = true, 2, nextEpoch
 	})
 	f.configure(2, north(3000))
 	former := of(north(0), testJob("a", testStep(2)))
@@ -185,7 +185,7 @@
 // A worker that a new owner has not heard of may have ended a step, and the former owner may have begun the next one before that end was
 // committed. Only the step that the store shows as begun was counted, so that a customer could have both running: six tasks of three.
 func TestNewOwnerCountsTheNextStepThatMayHaveBegun(t *testing.T) {
-	f := newFixture(t, 2, func(c *Config) { c.Takeover, c.Term, c.Token = true, 2, nextEpoch })
+	f := newFixture(t, 2, func(c *Config) { c.HasPreviousOwner, c.Term, c.Token = true, 2, nextEpoch })
 	f.configure(2, north(3000))
 	next := testStep(3)
 	next.After = []int{0}
@@ -223,23 +223,23 @@
 	f.Expect([]int{rows[1].Jobs, rows[1].Waiting, rows[1].AwaitQuota}).To(Equal([]int{1, 0, 0}))
 	x, _ := f.pool.Explain("a", f.now)
 	f.Expect(x.Customer).To(Equal("north"))
-	f.Expect(x.Steps[0].Waits).To(HavePrefix("its customer's quota: cpu=3000m"))
+	f.Expect(x.Steps[0].WaitReason).To(HavePrefix("its customer's quota: cpu=3000m"))
 }
 
 // A job is cancelled just as a new owner takes over, and its runs are found after that. They were not counted, since the job was forgotten when
 // its cancelling was in the store: customer south has 10000 running of 6000, seed 606.
 func TestRunsOfACancelledJobThatAreFoundLateCount(t *testing.T) {
-	f := newFixture(t, 2, func(c *Config) { c.Takeover, c.Term, c.Token = true, 2, nextEpoch })
+	f := newFixture(t, 2, func(c *Config) { c.HasPreviousOwner, c.Term, c.Token = true, 2, nextEpoch })
 	f.configure(2, north(3000))
 	former := of(north(0), testJob("a", testStep(3)))
 	former.Term = 1
 	f.add(former)
 	f.pool.Cancel("a")
-	f.pool.Committed(f.pool.TakeCommit())
+	f.pool.ApplyCommit(f.pool.PrepareCommit())
 	f.report(0, Report{})
 	var rows Report
 	for i := range 3 {
-		rows.Active = append(rows.Active, Active{Task: job.TaskID{StepID: job.StepID{Job: "a"}, Index: i}, Run: 1, Percent: 10})
+		rows.Active = append(rows.Active, ActiveRun{Task: job.TaskID{StepID: job.StepID{Job: "a"}, Index: i}, Run: 1, Percent: 10})
 	}
 	f.report(1, rows)
 	later := of(north(0), testJob("b", testStep(3)))
@@ -252,11 +252,11 @@
 
 // runOfEndedJob has a new owner find a run of a job that had ended before it read the store, on worker 1, and take in another job of the customer.
 func runOfEndedJob(t *testing.T) *fixture {
-	f := newFixture(t, 2, func(c *Config) { c.Takeover, c.Term, c.Token = true, 2, nextEpoch })
+	f := newFixture(t, 2, func(c *Config) { c.HasPreviousOwner, c.Term, c.Token = true, 2, nextEpoch })
 	f.configure(2, north(3000))
 	f.pool.AddOutcome("a", job.Record{Outcome: job.Cancelled, Customer: customer.Customer{Name: "north"}}, f.now)
 	f.report(0, Report{})
-	f.report(1, Report{Active: []Active{{Task: job.TaskID{StepID: job.StepID{Job: "a"}}, Run: 1, Percent: 10}}})
+	f.report(1, Report{Active: []ActiveRun{{Task: job.TaskID{StepID: job.StepID{Job: "a"}}, Run: 1, Percent: 10}}})
 	later := of(north(0), testJob("b", testStep(3)))
 	later.Term = 2
 	f.add(later)
@@ -279,12 +279,12 @@
 // What may run of a job that had ended counts while a worker is unheard that may run it, but not as long after as it has lapsed.
 func TestNewOwnerCountsWhatRunsOfAJobThatHadEnded(t *testing.T) {
 	for ago, starts := range map[time.Duration]int{time.Second: 1, time.Minute: 3} {
-		f := newFixture(t, 2, func(c *Config) { c.Takeover, c.Term, c.Token = true, 2, nextEpoch })
-		f.pool.loaded = false
+		f := newFixture(t, 2, func(c *Config) { c.HasPreviousOwner, c.Term, c.Token = true, 2, nextEpoch })
+		f.pool.jobsLoaded = false
 		f.configure(2, north(3000))
 		unended := job.Unended{Need: cell.Resources{CPUMillis: 2000, MemoryMB: 2000}, At: f.wall.Add(-ago)}
 		f.pool.AddOutcome("a", job.Record{Outcome: job.Cancelled, Customer: customer.Customer{Name: "north"}, Unended: unended}, f.now)
-		f.pool.SetLoaded()
+		f.pool.MarkJobsLoaded()
 		later := of(north(0), testJob("b", testStep(3)))
 		later.Term = 2
 		f.add(later)
@@ -306,9 +306,9 @@
 		f.accept(s)
 	}
 	f.pool.Cancel("a")
-	changes := f.pool.TakeCommit().Changes
+	changes := f.pool.PrepareCommit().Changes
 	f.Expect(changes).To(HaveLen(1))
-	f.Expect(changes[0].Unended).To(Equal(job.Unended{Need: cell.Resources{CPUMillis: 2000, MemoryMB: 2000}, At: f.wall}))
+	f.Expect(changes[0].RemainingUse).To(Equal(job.Unended{Need: cell.Resources{CPUMillis: 2000, MemoryMB: 2000}, At: f.wall}))
 }
 
 // The members of a gang end together: nothing runs of one that is done, though some have not told yet.
@@ -321,10 +321,10 @@
 		f.accept(s)
 	}
 	f.report(numberOf(starts[0].Worker), f.end(starts[0], 1, EndDone))
-	changes := f.pool.TakeCommit().Changes
+	changes := f.pool.PrepareCommit().Changes
 	f.Expect(changes).To(HaveLen(1))
 	f.Expect(changes[0].Outcome).To(Equal(job.Completed))
-	f.Expect(changes[0].Unended).To(Equal(job.Unended{}))
+	f.Expect(changes[0].RemainingUse).To(Equal(job.Unended{}))
 }
 
 // A task was found done while it ran elsewhere: that run is being stopped, and counts for later owners, too.
@@ -333,29 +333,29 @@
 	f.add(of(north(0), testJob("a", testStep(2))))
 	s := f.plan().Starts[0]
 	f.accept(s)
-	f.report(1-numberOf(s.Worker), Report{Finished: []Finished{{Number: 1, Task: s.Task, Run: 0, How: EndDone}}})
-	changes := f.pool.TakeCommit().Changes
+	f.report(1-numberOf(s.Worker), Report{Finished: []FinishedRun{{Number: 1, Task: s.Task, Run: 0, Reason: EndDone}}})
+	changes := f.pool.PrepareCommit().Changes
 	f.Expect(changes).To(HaveLen(1))
 	f.Expect(changes[0].Progress.Unended.Need.CPUMillis).To(BeEquivalentTo(1000))
 }
 
 // What a former owner counted for a done task is not told to a later owner as if it were this one's, once all workers have told.
 func TestWhatAFormerOwnerCountedIsForgottenWhenAllIsKnown(t *testing.T) {
-	f := newFixture(t, 1, func(c *Config) { c.Takeover, c.Term, c.Token = true, 2, nextEpoch })
+	f := newFixture(t, 1, func(c *Config) { c.HasPreviousOwner, c.Term, c.Token = true, 2, nextEpoch })
 	f.configure(2, north(3000))
 	unended := job.Unended{Need: cell.Resources{CPUMillis: 1000, MemoryMB: 1000}, At: f.wall}
 	f.pool.AddJob(of(north(0), testJob("a", testStep(2))), job.Progress{Tasks: []job.TaskProgress{{Done: true}}, Unended: unended}, true, 0, f.now)
 	j := f.pool.jobs["a"]
-	f.Expect(f.pool.unended(j).Need).To(Equal(unended.Need))
+	f.Expect(f.pool.remainingUse(j).Need).To(Equal(unended.Need))
 	f.report(0, Report{})
 	f.plan()
-	f.Expect(f.pool.unended(j)).To(Equal(job.Unended{}))
+	f.Expect(f.pool.remainingUse(j)).To(Equal(job.Unended{}))
 }
 
 // Nothing is known of what a run takes whose job had ended before a new owner read the store.
 func TestRunOfAJobThatHadEndedHoldsItsCustomer(t *testing.T) {
 	f := runOfEndedJob(t)
 	f.Expect(f.plan().Starts).To(BeEmpty())
-	f.report(1, Report{Finished: []Finished{{Number: 1, Task: job.TaskID{StepID: job.StepID{Job: "a"}}, Run: 1, How: EndStopped}}})
+	f.report(1, Report{Finished: []FinishedRun{{Number: 1, Task: job.TaskID{StepID: job.StepID{Job: "a"}}, Run: 1, Reason: EndStopped}}})
 	f.Expect(f.plan().Starts).To(HaveLen(3))
 }
--- a/pkg/dispatch/rank.go
+++ b/pkg/dispatch/rank.go
@@ -5,28 +5,28 @@
 	"foldarch.dev/foldarch/pkg/worth"
 )
 
-// waitingWork is what the standing of a step depends on.
-func (s *step) waitingWork() worth.Work {
+// pendingWork is what the standing of a step depends on.
+func (s *step) pendingWork() worth.Work {
 	return worth.Work{
-		Lasts: s.lasting(), Beyond: s.time.job.beyond, ReadySince: s.readySince,
-		Objective: s.time.objective, Latest: s.time.latest, Chain: s.chain,
+		LongRunning: s.isService(), OverShare: s.occurrence.job.overShare, ReadySince: s.readySince,
+		Objective: s.occurrence.objective, LatestUsefulEnd: s.occurrence.latestUsefulEnd, ChainEstimate: s.chainEstimate,
 	}
 }
 
-// standing says what the end of a step can still be worth.
-func (s *step) standing(now clock.Time) worth.Standing {
-	w := s.waitingWork()
-	return w.Standing(now)
+// valueClass says what the end of a step can still be worth.
+func (s *step) valueClass(now clock.Time) worth.ValueClass {
+	w := s.pendingWork()
+	return w.ValueClass(now)
 }
 
-// lasting says that the step's tasks serve until the job is cancelled. Those that fill what
+// isService says that the step's tasks serve until the job is cancelled. Those that fill what
 // others leave serve nobody and can wait.
-func (s *step) lasting() bool {
+func (s *step) isService() bool {
 	return s.spec.LongRunning && !s.spec.Filler
 }
 
 // place is what decides when a step has its turn.
-func (s *step) place(now clock.Time) worth.Place {
-	w := s.waitingWork()
-	return worth.Place{Standing: w.Standing(now), Priority: s.time.job.queue.Priority, Latest: w.LatestStart(), Number: s.number}
+func (s *step) rank(now clock.Time) worth.Rank {
+	w := s.pendingWork()
+	return worth.Rank{ValueClass: w.ValueClass(now), Priority: s.occurrence.job.queue.Priority, LatestStart: w.LatestStart(), Seq: s.seq}
 }
--- a/pkg/dispatch/recorded_incarnations_test.go
+++ b/pkg/dispatch/recorded_incarnations_test.go
@@ -10,12 +10,12 @@
 
 // namedFromFirst has all owners name workers.
 func namedFromFirst(c *Config) {
-	c.Term, c.NamedFrom = 1, 1
+	c.Term, c.RecordWorkersFromTerm = 1, 1
 }
 
 func afterOwnerThatNames(c *Config) {
 	afterFormerOwner(c)
-	c.NamedFrom = 1
+	c.RecordWorkersFromTerm = 1
 }
 
 // namedJob is a job of the first term.
@@ -26,7 +26,7 @@
 }
 
 // namedStart is the one start of a plan after the store has taken the names of its workers.
-func (f *fixture) namedStart() Start {
+func (f *fixture) namedStart() StartOrder {
 	f.Expect(f.plan().Starts).To(BeEmpty(), "the store has no name yet")
 	f.commits()
 	return f.onlyStart()
@@ -40,13 +40,13 @@
 	f.pool.AddJob(namedJob("a"), job.Progress{Workers: []string{"w0"}}, true, 0, f.now)
 	f.Expect(f.plan().Starts).To(BeEmpty(), "w0 is silent")
 	f.answers(f.hold(firstLife(0), false), secondLife(0), Report{})
-	f.Expect(f.pool.workers[firstLife(0).id].gone).To(BeTrue())
+	f.Expect(f.pool.workers[firstLife(0).id].terminated).To(BeTrue())
 	f.plan()
-	f.Expect(f.pool.Status(f.now).Held).To(Equal(1), "the next life of w0 has not told what it runs")
+	f.Expect(f.pool.Status(f.now).BlockedJobs).To(Equal(1), "the next life of w0 has not told what it runs")
 	f.reports(secondLife(0), Report{})
 	f.reports(firstLife(1), Report{})
 	f.plan()
-	f.Expect(f.pool.Status(f.now).Held).To(BeZero())
+	f.Expect(f.pool.Status(f.now).BlockedJobs).To(BeZero())
 }
 
 // The name of a worker stays in the store while its next life may run what was sent to the one before.
@@ -56,7 +56,7 @@
 	f.noAnswer(f.namedStart())
 	f.answers(f.hold(firstLife(0), false), secondLife(0), Report{})
 	f.pass(time.Millisecond)
-	c := f.pool.TakeCommit()
+	c := f.pool.PrepareCommit()
 	f.Expect(c.Changes).To(HaveLen(1))
 	f.Expect(c.Changes[0].Progress.Workers).To(Equal([]string{"w0"}))
 }
--- a/pkg/dispatch/recorded_workers.go
+++ b/pkg/dispatch/recorded_workers.go
@@ -14,101 +14,101 @@
 // start that was sent to one may be carried out by the next.
 
 const (
-	// namesOverdue is how long the store may take to answer before jobs make do with the workers that are named already: it answers within
+	// recordingTimeout is how long the store may take to answer before jobs make do with the workers that are named already: it answers within
 	// milliseconds, or is slow.
-	namesOverdue = 250 * time.Millisecond
-	// mostNamedAhead is how many workers are named at once for a step that needs no advice.
-	mostNamedAhead = 16
+	recordingTimeout = 250 * time.Millisecond
+	// maxRecordedAhead is how many workers are named at once for a step that needs no advice.
+	maxRecordedAhead = 16
 )
 
-// namesWorkers says that all owners which may have started a job have named its workers first, and that this one has to.
-func (p *Pool) namesWorkers(j *jobState) bool {
-	return p.cfg.NamedFrom > 0 && j.term >= p.cfg.NamedFrom
+// recordsWorkers says that all owners which may have started a job have named its workers first, and that this one has to.
+func (p *Pool) recordsWorkers(j *jobState) bool {
+	return p.cfg.RecordWorkersFromTerm > 0 && j.term >= p.cfg.RecordWorkersFromTerm
 }
 
-// nameWorker has the store be told that starts of a job may go to a worker.
-func (p *Pool) nameWorker(j *jobState, id WorkerID) {
-	if !p.namesWorkers(j) || !j.named.Add(id.Name()) {
+// recordWorker has the store be told that starts of a job may go to a worker.
+func (p *Pool) recordWorker(j *jobState, id WorkerID) {
+	if !p.recordsWorkers(j) || !j.recordedWorkers.Add(id.Name()) {
 		return
 	}
 	p.dirty[j] = struct{}{}
-	if p.namesSince == 0 {
-		p.namesSince = p.now
+	if p.unstoredWorkersSince == 0 {
+		p.unstoredWorkersSince = p.now
 	}
 }
 
-// NamesWait says that starts wait for names to be stored.
-func (p *Pool) NamesWait() bool {
-	return p.namesSince != 0
+// HasUnstoredWorkers says that starts wait for names to be stored.
+func (p *Pool) HasUnstoredWorkers() bool {
+	return p.unstoredWorkersSince != 0
 }
 
-// namesAreOverdue says that the store does not answer soon enough for more workers to be named.
-func (p *Pool) namesAreOverdue(now clock.Time) bool {
-	oldest := p.namesSince
-	if p.namesTaken != 0 {
-		oldest = p.namesTaken
+// isRecordingOverdue says that the store does not answer soon enough for more workers to be named.
+func (p *Pool) isRecordingOverdue(now clock.Time) bool {
+	oldest := p.unstoredWorkersSince
+	if p.workersInCommitSince != 0 {
+		oldest = p.workersInCommitSince
 	}
-	return oldest != 0 && now.Sub(oldest) > namesOverdue
+	return oldest != 0 && now.Sub(oldest) > recordingTimeout
 }
 
-// mayStartOn says that a start of a job may go to a worker as far as names are concerned.
-func (p *Pool) mayStartOn(j *jobState, w *worker) bool {
-	return !p.namesWorkers(j) || j.named.Has(w.info.ID.Name())
+// isWorkerRecorded says that a start of a job may go to a worker as far as names are concerned.
+func (p *Pool) isWorkerRecorded(j *jobState, w *worker) bool {
+	return !p.recordsWorkers(j) || j.recordedWorkers.IsStored(w.info.ID.Name())
 }
 
-// mayNameFor says that a worker is of use to a job: it is named, or can be soon.
-func (p *Pool) mayNameFor(j *jobState, w *worker, now clock.Time) bool {
-	return p.mayStartOn(j, w) || !p.namesAreOverdue(now)
+// mayUseWorker says that a worker is of use to a job: it is named, or can be soon.
+func (p *Pool) mayUseWorker(j *jobState, w *worker, now clock.Time) bool {
+	return p.isWorkerRecorded(j, w) || !p.isRecordingOverdue(now)
 }
 
-// nameSome names workers for a step that needs no advice, if those that are named have too little room.
-func (p *Pool) nameSome(s *step, unnamed []*worker, room int) {
-	need := s.waiting() - room
-	for _, w := range unnamed[:min(len(unnamed), max(mostNamedAhead, len(s.tasks)))] {
+// recordMoreWorkers names workers for a step that needs no advice, if those that are named have too little room.
+func (p *Pool) recordMoreWorkers(s *step, unnamed []*worker, room int) {
+	need := s.waitingTasks() - room
+	for _, w := range unnamed[:min(len(unnamed), max(maxRecordedAhead, len(s.tasks)))] {
 		if need <= 0 {
 			return
 		}
-		p.nameWorker(s.time.job, w.info.ID)
-		need -= fits(s, w)
+		p.recordWorker(s.occurrence.job, w.info.ID)
+		need -= roomFor(s, w)
 	}
 }
 
-// namesOf lists the workers of a job that are not known to have gone. While the roster tells only of some workers, all are kept.
-func (p *Pool) namesOf(j *jobState) []string {
-	return j.named.List(func(name string) bool {
-		return !p.loaded || p.takeover.unknown || p.anyLife(name)
+// workersToRecord lists the workers of a job that are not known to have gone. While the roster tells only of some workers, all are kept.
+func (p *Pool) workersToRecord(j *jobState) []string {
+	return j.recordedWorkers.Retain(func(name string) bool {
+		return !p.jobsLoaded || p.takeover.hasUnreadableWorker || p.hasIncarnation(name)
 	})
 }
 
-// anyLife says that a life of a worker has not gone.
-func (p *Pool) anyLife(name string) bool {
-	l, known := p.lineages[name]
-	return known && slices.ContainsFunc(l.lives, func(w *worker) bool { return !w.gone })
+// hasIncarnation says that a life of a worker has not gone.
+func (p *Pool) hasIncarnation(name string) bool {
+	l, known := p.workerHistories[name]
+	return known && slices.ContainsFunc(l.incarnations, func(w *worker) bool { return !w.terminated })
 }
 
-// takeNames takes in that a commit takes all names to the store. It says whether there are any.
-func (p *Pool) takeNames() bool {
-	p.namesTaken, p.namesSince = p.namesSince, 0
-	return p.namesTaken != 0
+// takeUnstoredWorkers takes in that a commit takes all names to the store. It says whether there are any.
+func (p *Pool) takeUnstoredWorkers() bool {
+	p.workersInCommitSince, p.unstoredWorkersSince = p.unstoredWorkersSince, 0
+	return p.workersInCommitSince != 0
 }
 
-// storeNames takes in that the store has the names of a commit.
-func (p *Pool) storeNames(changes []Change) {
-	p.namesTaken = 0
+// markWorkersStored takes in that the store has the names of a commit.
+func (p *Pool) markWorkersStored(changes []JobChange) {
+	p.workersInCommitSince = 0
 	for _, c := range changes {
 		if j := p.jobs[c.Job]; j != nil && c.Outcome == "" {
-			j.named.Stored(c.Progress.Workers)
+			j.recordedWorkers.MarkStored(c.Progress.Workers)
 		}
 	}
-	p.news = true
+	p.needsPlan = true
 }
 
-// storedNames tells what is known of the workers to which starts of a job may have gone.
-func (p *Pool) storedNames(j *jobState) takeover.Names {
-	return takeover.Names{Stored: p.namesWorkers(j), Workers: j.named.InStore()}
+// storedWorkers tells what is known of the workers to which starts of a job may have gone.
+func (p *Pool) storedWorkers(j *jobState) takeover.StoredWorkers {
+	return takeover.StoredWorkers{Complete: p.recordsWorkers(j), Workers: j.recordedWorkers.StoredWorkers()}
 }
 
-// takeStoredNames takes in the names that the store has of a job.
-func (j *jobState) takeStoredNames(progress job.Progress) {
-	j.named.Stored(progress.Workers)
+// loadStoredWorkers takes in the names that the store has of a job.
+func (j *jobState) loadStoredWorkers(progress job.Progress) {
+	j.recordedWorkers.MarkStored(progress.Workers)
 }
--- a/pkg/dispatch/recorded_workers_test.go
+++ b/pkg/dispatch/recorded_workers_test.go
@@ -14,11 +14,11 @@
 	f.reportAll(1)
 	f.add(namedJob("a"))
 	f.Expect(f.plan().Starts).To(BeEmpty())
-	f.Expect(f.pool.NamesWait()).To(BeTrue())
-	c := f.pool.TakeCommit()
+	f.Expect(f.pool.HasUnstoredWorkers()).To(BeTrue())
+	c := f.pool.PrepareCommit()
 	f.Expect(c.Changes[0].Progress.Workers).To(Equal([]string{"w0"}))
 	f.Expect(f.plan().Starts).To(BeEmpty(), "the write has no answer yet")
-	f.pool.Committed(c)
+	f.pool.ApplyCommit(c)
 	f.Expect(f.plan().Starts).To(HaveLen(1))
 }
 
@@ -32,11 +32,11 @@
 	starts := f.plan().Starts
 	f.Expect(starts).To(HaveLen(1))
 	f.Expect(starts[0].Worker).To(Equal(workerID(1)))
-	f.pool.TakeCommit()
-	f.pass(namesOverdue + 10*time.Millisecond)
-	f.Expect(f.pool.namesAreOverdue(f.now)).To(BeTrue())
-	s := f.pool.jobs["b"].times[0].steps[0]
-	f.Expect(f.pool.eligible(s, f.pool.workers[workerID(0)], f.now)).To(BeFalse(), "no name of b is stored")
+	f.pool.PrepareCommit()
+	f.pass(recordingTimeout + 10*time.Millisecond)
+	f.Expect(f.pool.isRecordingOverdue(f.now)).To(BeTrue())
+	s := f.pool.jobs["b"].occurrences[0].steps[0]
+	f.Expect(f.pool.isEligible(s, f.pool.workers[workerID(0)], f.now)).To(BeFalse(), "no name of b is stored")
 }
 
 // All jobs of a former term waited for each silent worker.
@@ -50,7 +50,7 @@
 	f.plan()
 	held := map[job.ID]bool{}
 	for id, j := range f.pool.jobs {
-		held[id] = f.pool.blocked(j)
+		held[id] = f.pool.isBlockedByTakeover(j)
 	}
 	f.Expect(held).To(Equal(map[job.ID]bool{"never started": false, "there": true, "elsewhere": false, "before names": true}))
 }
@@ -63,8 +63,8 @@
 	r := testJob("a", step)
 	r.Term = 1
 	f.pool.AddJob(r, job.Progress{Workers: []string{"w0", "w1"}}, true, 0, f.now)
-	member := Active{Task: job.TaskID{StepID: job.StepID{Job: "a"}}, Run: 1}
-	f.report(0, Report{Active: []Active{member}})
+	member := ActiveRun{Task: job.TaskID{StepID: job.StepID{Job: "a"}}, Run: 1}
+	f.report(0, Report{Active: []ActiveRun{member}})
 	f.Expect(f.plan().Stops).To(BeEmpty(), "the other may run on w1")
 	f.report(1, Report{})
 	f.Expect(f.plan().Stops).To(HaveLen(1), "w2, which is silent, is not named")
--- a/pkg/dispatch/refused_queues_test.go
+++ b/pkg/dispatch/refused_queues_test.go
@@ -21,7 +21,7 @@
 	rand    *rand.Rand
 	queues  []adviceQueue
 	running map[WorkerID][]runningTask
-	ended   map[WorkerID][]Finished
+	ended   map[WorkerID][]FinishedRun
 	number  map[WorkerID]int64
 	answers []adviceAnswer
 	handed  map[job.ID]clock.Time
@@ -38,7 +38,7 @@
 }
 
 type runningTask struct {
-	start  Start
+	start  StartOrder
 	endsAt clock.Time
 }
 
@@ -70,7 +70,7 @@
 			{advice("long", 1, 490*time.Millisecond, 7*time.Millisecond), 1.84, 2, 3600 * time.Millisecond},
 			{advice("wide", 2, 155*time.Millisecond, 2200*time.Microsecond), 2.7, 8, 3600 * time.Millisecond},
 		},
-		running: map[WorkerID][]runningTask{}, ended: map[WorkerID][]Finished{}, number: map[WorkerID]int64{}, handed: map[job.ID]clock.Time{},
+		running: map[WorkerID][]runningTask{}, ended: map[WorkerID][]FinishedRun{}, number: map[WorkerID]int64{}, handed: map[job.ID]clock.Time{},
 	}
 	var queues []queue.Queue
 	for _, q := range l.queues {
@@ -81,10 +81,10 @@
 		l.addWorker(n)
 		big := l.pool.workers[workerID(n)].info
 		big.Capacity = cell.Resources{CPUMillis: 64_000, MemoryMB: 256_000}
-		l.pool.PutWorker(big, true, l.now)
+		l.pool.UpsertWorker(big, true, l.now)
 	}
-	l.pool.PutAdviser("a")
-	l.pool.PutAdviser("b")
+	l.pool.AddAdviser("a")
+	l.pool.AddAdviser("b")
 	return l
 }
 
@@ -101,7 +101,7 @@
 }
 
 func (l *adviceLoad) handIn(heeded bool) {
-	refusals := l.pool.Refusals(l.now)
+	refusals := l.pool.RefusedQueues(l.now)
 	defer func() { l.last = l.now }()
 	for i, q := range l.queues {
 		if l.rand.Float64() >= q.perS*l.now.Sub(l.last).Seconds() {
@@ -123,27 +123,27 @@
 	due := func(a adviceAnswer) bool { return l.now >= a.at }
 	for _, a := range l.answers {
 		if due(a) {
-			l.pool.AdviceAnswered(a.number, a.tickets, true, l.now)
+			l.pool.HandleAdviceAnswer(a.number, a.tickets, true, l.now)
 		}
 	}
 	l.answers = slices.DeleteFunc(l.answers, due)
 	for n := range loadWorkers {
 		l.report(n, l.reportOf(workerID(n)))
 	}
-	l.pool.Committed(l.pool.TakeCommit())
+	l.pool.ApplyCommit(l.pool.PrepareCommit())
 	actions := l.plan()
 	for _, s := range actions.Starts {
 		l.accept(s)
 		q := l.queues[s.Task.Job[0]-'0']
 		l.running[s.Worker] = append(l.running[s.Worker], runningTask{s, l.now.Add(q.length)})
 	}
-	for _, a := range actions.Asks {
+	for _, a := range actions.AdviceCalls {
 		l.answer(a)
 	}
 }
 
 // answer has a call for advice answered after its time: 45 of 100 workers may run a step.
-func (l *adviceLoad) answer(a Ask) {
+func (l *adviceLoad) answer(a AdviceCall) {
 	q := l.queues[a.Step.Job[0]-'0'].queue
 	var tickets []Ticket
 	for _, id := range a.Workers {
@@ -160,7 +160,7 @@
 	for _, x := range l.running[id] {
 		if over(x) {
 			l.number[id]++
-			l.ended[id] = append(l.ended[id], Finished{Number: l.number[id], Task: x.start.Task, Run: x.start.Run, How: EndDone})
+			l.ended[id] = append(l.ended[id], FinishedRun{Number: l.number[id], Task: x.start.Task, Run: x.start.Run, Reason: EndDone})
 		} else {
 			r.Active = append(r.Active, activeRow(x.start))
 		}
@@ -197,9 +197,9 @@
 // An owner that knows what it needs to: 20 calls of 0.7 s wait for one process.
 func owesAdvice(t *testing.T) *fixture {
 	f := newFixture(t, 2, nil)
-	f.pass(admission.JoinTime)
+	f.pass(admission.AdviserJoinTime)
 	f.reportAll(2)
-	f.pool.PutAdviser("a")
+	f.pool.AddAdviser("a")
 	long, short := adviceJob("0", 1, 700*time.Millisecond).Queue, adviceJob("0", 0, time.Millisecond).Queue
 	long.Name, short.Name = "long", "short"
 	f.pool.SetConfig(queue.NewConfig(2, []queue.Queue{long, short, testQueue}, nil))
@@ -213,42 +213,42 @@
 
 func TestQueueRefusesWhatAdviceComesTooLateFor(t *testing.T) {
 	f := owesAdvice(t)
-	refusals := f.pool.Refusals(f.now)
+	refusals := f.pool.RefusedQueues(f.now)
 	f.Expect(refusals).To(HaveLen(1), "calls of higher priority go before, and a queue without advice needs none")
 	f.Expect(refusals[0].Queue).To(Equal("long"))
 	f.Expect(refusals[0].Wait).To(Equal(20 * 700 * time.Millisecond))
-	f.Expect(refusals[0].RetryAfter).To(Equal(refusals[0].Wait - admission.MostAdviceWait))
-	f.pool.PutAdviser("b")
-	f.Expect(f.pool.Refusals(f.now)).To(BeEmpty(), "two processes get through it")
+	f.Expect(refusals[0].RetryAfter).To(Equal(refusals[0].Wait - admission.MaxAdviceWait))
+	f.pool.AddAdviser("b")
+	f.Expect(f.pool.RefusedQueues(f.now)).To(BeEmpty(), "two processes get through it")
 }
 
 func TestQueueRefusesNothingWhileRoomIsShortOrNobodyKnows(t *testing.T) {
 	f := owesAdvice(t)
 	f.pool.RemoveAdviser("a", f.now)
-	f.Expect(f.pool.Refusals(f.now)).To(BeEmpty(), "no process has joined yet")
-	f.pool.PutAdviser("a")
+	f.Expect(f.pool.RefusedQueues(f.now)).To(BeEmpty(), "no process has joined yet")
+	f.pool.AddAdviser("a")
 	r := testJob("fills", testStep(6))
 	f.add(r)
 	for _, s := range f.plan().Starts {
 		f.accept(s)
 	}
 	f.reportAll(2)
-	f.pass(surveyEvery)
+	f.pass(surveyInterval)
 	f.plan()
-	f.Expect(f.pool.load("pool").isWellUsed()).To(BeTrue())
-	f.Expect(f.pool.Refusals(f.now)).To(BeEmpty(), "the workers are busy")
+	f.Expect(f.pool.poolLoad("pool").isMostlyUsed()).To(BeTrue())
+	f.Expect(f.pool.RefusedQueues(f.now)).To(BeEmpty(), "the workers are busy")
 	f.pool.takeover.pending = true
-	f.Expect(f.pool.Refusals(f.now)).To(BeEmpty())
+	f.Expect(f.pool.RefusedQueues(f.now)).To(BeEmpty())
 }
 
 // A queue whose steps need several rounds of calls owes more for each that waits.
 func TestAdviceOwedIsLearnedFromWhatStepsTook(t *testing.T) {
 	f := owesAdvice(t)
-	before := f.pool.adviceOwed()[1]
-	s := f.pool.jobs["0"].times[0].steps[0]
-	s.advice.spent = 3 * 700 * time.Millisecond
-	f.pool.learnSpent(s)
-	f.Expect(f.pool.adviceOwed()[1].Seconds()).To(BeNumerically("~", 1.2*before.Seconds(), 0.01))
+	before := f.pool.pendingAdviceTime()[1]
+	s := f.pool.jobs["0"].occurrences[0].steps[0]
+	s.advice.callTime = 3 * 700 * time.Millisecond
+	f.pool.updateAdviceRounds(s)
+	f.Expect(f.pool.pendingAdviceTime()[1].Seconds()).To(BeNumerically("~", 1.2*before.Seconds(), 0.01))
 }
 
 // A new owner knows of itself alone before the others have joined: it refuses nothing by that, and sends nobody away for longer than a job may wait.
@@ -259,7 +259,7 @@
 		r.Queue = f.pool.jobs["0"].queue
 		f.add(r)
 	}
-	f.Expect(f.pool.Refusals(f.now)[0].RetryAfter).To(Equal(admission.MostAdviceWait))
-	f.pool.createdAt = f.now.Add(-admission.JoinTime + time.Millisecond)
-	f.Expect(f.pool.Refusals(f.now)).To(BeEmpty())
+	f.Expect(f.pool.RefusedQueues(f.now)[0].RetryAfter).To(Equal(admission.MaxAdviceWait))
+	f.pool.createdAt = f.now.Add(-admission.AdviserJoinTime + time.Millisecond)
+	f.Expect(f.pool.RefusedQueues(f.now)).To(BeEmpty())
 }
--- a/pkg/dispatch/reservations_test.go
+++ b/pkg/dispatch/reservations_test.go
@@ -18,19 +18,19 @@
 func waitingGang(t *testing.T) *fixture {
 	f := newFixture(t, 20, nil)
 	f.reportAll(20)
-	f.pool.PutAdviser("host")
+	f.pool.AddAdviser("host")
 	f.add(advisedJob("a", gangNeedingWholeWorkers(4)))
-	f.pool.openTime(f.pool.jobs["a"], 0)
-	s := f.pool.jobs["a"].times[0].steps[0]
-	s.advice.good = map[WorkerID]bool{"w0": true, "w1": true, "w2": true, "w3": true}
+	f.pool.createOccurrence(f.pool.jobs["a"], 0)
+	s := f.pool.jobs["a"].occurrences[0].steps[0]
+	s.advice.allowed = map[WorkerID]bool{"w0": true, "w1": true, "w2": true, "w3": true}
 	return f
 }
 
 func (f *fixture) reservedFor(id job.ID) *reservations {
 	r := newReservations()
-	f.pool.surveyWorkers(f.now)
+	f.pool.updateLoads(f.now)
 	f.pool.sumBacklog()
-	f.pool.reserve(f.pool.jobs[id].times[0].steps[0], r, f.now)
+	f.pool.reserveWorkers(f.pool.jobs[id].occurrences[0].steps[0], r, f.now)
 	return r
 }
 
@@ -40,43 +40,43 @@
 	priority := testQueue.Priority
 	held := 0
 	for n := range 20 {
-		if r.holds(workerID(n), priority) {
+		if r.isReserved(workerID(n), priority) {
 			held++
 		}
 	}
 	f.Expect(held).To(Equal(3), "15 in a hundred of the workers at most")
-	f.Expect(r.holds("w3", priority+1)).To(BeTrue(), "from lower priorities it holds all that may run it")
-	f.Expect(r.holds("w9", priority+1)).To(BeFalse())
+	f.Expect(r.isReserved("w3", priority+1)).To(BeTrue(), "from lower priorities it holds all that may run it")
+	f.Expect(r.isReserved("w9", priority+1)).To(BeFalse())
 }
 
 func TestGangHoldsNothingWhenMoreWaitsThanThePoolGetsThrough(t *testing.T) {
 	f := waitingGang(t)
 	f.add(advisedJob("b", testStep(60))) // with the gang 76 of 80 cores
 	r := f.reservedFor("a")
-	f.Expect(r.holds("w0", testQueue.Priority)).To(BeFalse())
-	f.Expect(r.holds("w0", testQueue.Priority+1)).To(BeTrue())
+	f.Expect(r.isReserved("w0", testQueue.Priority)).To(BeFalse())
+	f.Expect(r.isReserved("w0", testQueue.Priority+1)).To(BeTrue())
 }
 
 func TestFewGangsThatAreWorthNothingHoldWorkers(t *testing.T) {
 	f := waitingGang(t)
 	f.pass(time.Hour)
 	f.reportAll(20)
-	f.pool.surveyWorkers(f.now)
+	f.pool.updateLoads(f.now)
 	r := newReservations()
-	s := f.pool.jobs["a"].times[0].steps[0]
-	for range gangsAtOnce + 1 {
-		f.pool.reserve(s, r, f.now)
+	s := f.pool.jobs["a"].occurrences[0].steps[0]
+	for range maxNoValueGangs + 1 {
+		f.pool.reserveWorkers(s, r, f.now)
 	}
-	f.Expect(r.ofGangs("pool").worthless).To(Equal(gangsAtOnce))
-	f.Expect(r.holds("w0", 0)).To(BeTrue())
+	f.Expect(r.gangTotals("pool").noValueGangs).To(Equal(maxNoValueGangs))
+	f.Expect(r.isReserved("w0", 0)).To(BeTrue())
 }
 
 func TestStepHoldsOnlyTheWorkersThatWillHaveRoomSoonest(t *testing.T) {
 	f := newFixture(t, 4, nil)
 	f.reportAll(4)
-	f.pool.PutAdviser("host")
+	f.pool.AddAdviser("host")
 	f.add(advisedJob("a", testStep(2)))
-	f.pool.jobs["a"].times[0].steps[0].advice.good = map[WorkerID]bool{"w0": true, "w1": true, "w2": true}
+	f.pool.jobs["a"].occurrences[0].steps[0].advice.allowed = map[WorkerID]bool{"w0": true, "w1": true, "w2": true}
 	for n, estimate := range []time.Duration{time.Minute, time.Second, 2 * time.Second} {
 		s := testStep(4)
 		s.Estimate = estimate
@@ -88,7 +88,7 @@
 	for id := range held.priorities {
 		busy := time.Duration(0)
 		for _, r := range f.pool.workers[id].runs {
-			busy = max(busy, r.left(f.now))
+			busy = max(busy, r.timeLeft(f.now))
 		}
 		f.Expect(busy).To(BeNumerically("<=", 2*time.Second))
 	}
--- a/pkg/dispatch/restart_number_test.go
+++ b/pkg/dispatch/restart_number_test.go
@@ -10,7 +10,7 @@
 
 // losesStartsOfNewNumbers has worker 0 leave the first start of task 0 of a job without an answer, and the first one of its next number.
 func (h *hall) losesStartsOfNewNumbers() {
-	h.loses = func(s Start) bool {
+	h.loses = func(s StartOrder) bool {
 		if s.Task.Index != 0 || len(h.kept) == 2 {
 			return false
 		}
@@ -25,8 +25,8 @@
 	h.comesUnlisted(secondLife(0))
 	h.takes["a"] = 10 * time.Second
 	for _, k := range h.kept {
-		if h.now.Sub(k.sentAt) <= latestOrder {
-			h.takes0(k.Start)
+		if h.now.Sub(k.sentAt) <= maxOrderDelay {
+			h.takes0(k.StartOrder)
 		}
 	}
 	h.checkNoneRunsTwice()
@@ -35,7 +35,7 @@
 // crashesAtAnyTime plays a job of which two starts with numbers of their own get no answer, with a crash of their worker at each half second. The second start is
 // to be sent when the first one can't be carried out any more.
 func crashesAtAnyTime(t *testing.T, r job.Record, ends func(*hall)) {
-	const last = latestOrder + 2*time.Second
+	const last = maxOrderDelay + 2*time.Second
 	for after := 500 * time.Millisecond; after <= last; after += 500 * time.Millisecond {
 		t.Run(after.String(), func(t *testing.T) {
 			h := newHall(t, 1)
@@ -89,7 +89,7 @@
 	h.passes(600 * time.Millisecond)
 	h.comesUnlisted(thirdLife(0))
 	for _, k := range h.kept {
-		h.takes0(k.Start)
+		h.takes0(k.StartOrder)
 	}
 	h.checkNoneRunsTwice()
 }
@@ -97,7 +97,7 @@
 // Guards against a wait of a gang none of whose members has begun: it starts again under the same number.
 func TestGangWhoseStartsAreAllVoidStartsAgainAtOnce(t *testing.T) {
 	h := newHall(t, 1)
-	h.loses = func(Start) bool { return len(h.kept) < 4 }
+	h.loses = func(StartOrder) bool { return len(h.kept) < 4 }
 	h.gets(voidGang(2))
 	h.isDoneWithin(5*time.Second, "a")
 	h.Expect(h.started).To(HaveLen(6))
@@ -109,7 +109,7 @@
 // failedBesideAVoidStart is a hall of one worker in which task 0 of a job has failed while a void start of it may be carried out.
 func failedBesideAVoidStart(t *testing.T, r job.Record) *hall {
 	h := newHall(t, 1)
-	h.loses = func(s Start) bool { return len(h.kept) == 0 && s.Task.Index == 0 }
+	h.loses = func(s StartOrder) bool { return len(h.kept) == 0 && s.Task.Index == 0 }
 	h.how["a"] = EndFailed
 	h.gets(r)
 	h.passes(2 * time.Second)
@@ -138,13 +138,13 @@
 		h := failedBesideAVoidStart(t, testJob("a", testStep(1)))
 		h.pool.Cancel("a")
 		h.passes(200 * time.Millisecond)
-		state, _, _ := h.pool.State("a")
+		state, _, _ := h.pool.JobState("a")
 		h.Expect(state).To(Equal(job.Cancelled))
 	})
 	t.Run("its own end once the start is over", func(t *testing.T) {
 		h := failedBesideAVoidStart(t, testJob("a", testStep(1)))
-		over := h.kept[0].sentAt.Add(latestOrder)
-		again := h.startsWithin(latestOrder, "a")
+		over := h.kept[0].sentAt.Add(maxOrderDelay)
+		again := h.startsWithin(maxOrderDelay, "a")
 		h.Expect(h.now.Sub(over)).To(And(BeNumerically(">", 0), BeNumerically("<", 5*beat)))
 		h.Expect(again.Run).To(BeNumerically(">", h.kept[0].Run))
 		h.isDoneWithin(2*time.Second, "a")
@@ -155,19 +155,19 @@
 func TestTaskThatOutwaitsAVoidStartSaysSo(t *testing.T) {
 	h := failedBesideAVoidStart(t, testJob("a", testStep(1)))
 	e, _ := h.pool.Explain("a", h.now)
-	h.Expect(e.Steps[0].Waits).To(HavePrefix("an earlier start without an answer"))
+	h.Expect(e.Steps[0].WaitReason).To(HavePrefix("an earlier start without an answer"))
 	h.Expect(h.delays()).To(Equal(1))
 	h.nextOwner()
 	h.passes(time.Second)
 	e, _ = h.pool.Explain("a", h.now)
-	h.Expect(e.Steps[0].Waits).To(HavePrefix("an earlier start without an answer"))
+	h.Expect(e.Steps[0].WaitReason).To(HavePrefix("an earlier start without an answer"))
 	h.Expect(h.delays()).To(Equal(2))
 }
 
 // Guards against a log that tells of a delayed start of a task that is done.
 func TestDoneTaskIsNotLoggedAsDelayed(t *testing.T) {
 	h := newHall(t, 1)
-	h.loses = func(Start) bool { return len(h.kept) == 0 }
+	h.loses = func(StartOrder) bool { return len(h.kept) == 0 }
 	h.gets(testJob("a", testStep(1)))
 	h.isDoneWithin(3*time.Second, "a")
 	h.Expect(h.kept).To(HaveLen(1))
@@ -190,13 +190,13 @@
 	for name, before := range map[string]time.Duration{"before its run has ended": 200 * time.Millisecond, "after its run has failed": 2 * time.Second} {
 		t.Run(name, func(t *testing.T) {
 			h := newHall(t, 1)
-			h.loses = func(s Start) bool { return len(h.kept) == 0 }
+			h.loses = func(s StartOrder) bool { return len(h.kept) == 0 }
 			h.how["a"] = EndFailed
 			h.gets(testJob("a", testStep(1)))
 			h.passes(before)
 			h.Expect(h.kept).To(HaveLen(1))
 			h.nextOwner()
-			h.loses = func(s Start) bool { return len(h.kept) == 1 }
+			h.loses = func(s StartOrder) bool { return len(h.kept) == 1 }
 			h.passes(2 * time.Second)
 			h.nextLifeTakesKept()
 		})
--- a/pkg/dispatch/retirement.go
+++ b/pkg/dispatch/retirement.go
@@ -13,7 +13,7 @@
 // retireIfDraining decides that a worker gets no start any more, whatever its entry says later. The last report must have told all that runs
 // there, and nothing of it may be unknown, since the list of jobs stays as it is.
 func (p *Pool) retireIfDraining(w *worker) {
-	if w.retired || w.gone || !w.info.Draining || !w.reported || w.partial || w.foreign > 0 || len(w.unknownRuns) > 0 {
+	if w.retired || w.terminated || !w.info.Draining || !w.reported || w.reportIncomplete || w.orphanRuns > 0 || len(w.unknownJobRuns) > 0 {
 		return
 	}
 	jobs := map[job.ID]bool{}
@@ -25,18 +25,18 @@
 
 func (p *Pool) retire(w *worker, jobs []job.ID) {
 	w.retired, w.retiredJobs = true, jobs
-	p.rosterChanged(w.info.ID)
+	p.markRosterChanged(w.info.ID)
 }
 
-// TakeRetired takes in that the roster has a worker as retired.
-func (p *Pool) TakeRetired(info WorkerInfo) {
+// LoadRetired takes in that the roster has a worker as retired.
+func (p *Pool) LoadRetired(info WorkerInfo) {
 	if w, ok := p.workers[info.ID]; ok && info.Retired {
 		p.retire(w, info.Jobs)
 	}
 }
 
-// rosterInfo is what the roster tells of a worker.
-func (w *worker) rosterInfo() WorkerInfo {
+// rosterEntry is what the roster tells of a worker.
+func (w *worker) rosterEntry() WorkerInfo {
 	info := w.info
 	info.Retired, info.Jobs = w.retired, w.retiredJobs
 	return info
--- a/pkg/dispatch/retirement_test.go
+++ b/pkg/dispatch/retirement_test.go
@@ -13,12 +13,12 @@
 	f := newFixture(t, 2, nil)
 	f.reportAll(2)
 	f.add(testJob("a", testStep(1)))
-	f.pool.workers[workerID(0)].suspended = f.now.Add(time.Hour)
+	f.pool.workers[workerID(0)].suspendedUntil = f.now.Add(time.Hour)
 	f.accept(f.plan().Starts[0])
 	f.drain(1)
 	f.pass(time.Second)
 	f.plan()
-	infos := f.pool.RosterOf(workerID(1).Name())
+	infos := f.pool.RosterEntries(workerID(1).Name())
 	f.Expect(infos).To(HaveLen(1))
 	f.Expect(infos[0].Retired).To(BeTrue())
 	f.Expect(infos[0].Jobs).To(Equal([]job.ID{"a"}))
@@ -29,15 +29,15 @@
 func TestTakeoverHoldsBackOnlyJobsOfARetiredWorker(t *testing.T) {
 	record := retired(t)
 	f := newFixture(t, 2, afterFormerOwner)
-	f.pool.TakeRetired(record)
+	f.pool.LoadRetired(record)
 	f.add(testJob("a", testStep(1)))
 	f.add(testJob("b", testStep(1)))
 	f.report(0, Report{})
 	starts := f.plan().Starts
 	f.Expect(starts).To(HaveLen(1))
 	f.Expect(starts[0].Task.Job).To(Equal(job.ID("b")))
-	f.Expect(f.pool.Status(f.now).Held).To(Equal(1))
-	f.Expect(f.pool.RosterOf(workerID(1).Name())[0].Jobs).To(Equal([]job.ID{"a"}), "the next owner has to know it, too")
+	f.Expect(f.pool.Status(f.now).BlockedJobs).To(Equal(1))
+	f.Expect(f.pool.RosterEntries(workerID(1).Name())[0].Jobs).To(Equal([]job.ID{"a"}), "the next owner has to know it, too")
 	f.pass(8500 * time.Millisecond)
 	f.report(0, Report{})
 	starts = f.plan().Starts
@@ -51,7 +51,7 @@
 	f.reportAll(1)
 	f.drain(0)
 	f.plan()
-	f.pool.PutWorker(WorkerInfo{ID: workerID(0), Pool: "pool", Capacity: f.pool.workers[workerID(0)].info.Capacity}, true, f.now)
+	f.pool.UpsertWorker(WorkerInfo{ID: workerID(0), Pool: "pool", Capacity: f.pool.workers[workerID(0)].info.Capacity}, true, f.now)
 	f.add(testJob("a", testStep(1)))
 	f.Expect(f.plan().Starts).To(BeEmpty())
 }
@@ -59,22 +59,22 @@
 // A worker that lists a run of a job that is not known yet may run more than is counted.
 func TestWorkerWithUnknownRunsIsNotRetired(t *testing.T) {
 	f := newFixture(t, 1, nil)
-	f.report(0, Report{Active: []Active{{Task: job.TaskID{StepID: job.StepID{Job: "x"}}, Run: 1}}})
+	f.report(0, Report{Active: []ActiveRun{{Task: job.TaskID{StepID: job.StepID{Job: "x"}}, Run: 1}}})
 	f.drain(0)
 	f.plan()
-	f.Expect(f.pool.RosterOf(workerID(0).Name())[0].Retired).To(BeFalse())
+	f.Expect(f.pool.RosterEntries(workerID(0).Name())[0].Retired).To(BeFalse())
 }
 
 // A report that is cut short may leave out a run of a job that becomes known later, and that a later owner would free.
 func TestWorkerIsNotRetiredByAReportThatIsCutShort(t *testing.T) {
 	f := newFixture(t, 1, nil)
-	f.report(0, Report{Active: []Active{{Task: job.TaskID{StepID: job.StepID{Job: "x"}}, Run: 1}}})
-	f.report(0, Report{More: true})
+	f.report(0, Report{Active: []ActiveRun{{Task: job.TaskID{StepID: job.StepID{Job: "x"}}, Run: 1}}})
+	f.report(0, Report{Truncated: true})
 	f.drain(0)
 	f.plan()
-	f.Expect(f.pool.RosterOf(workerID(0).Name())[0].Retired).To(BeFalse())
+	f.Expect(f.pool.RosterEntries(workerID(0).Name())[0].Retired).To(BeFalse())
 	f.report(0, Report{})
 	f.pass(time.Second)
 	f.plan()
-	f.Expect(f.pool.RosterOf(workerID(0).Name())[0].Retired).To(BeTrue())
+	f.Expect(f.pool.RosterEntries(workerID(0).Name())[0].Retired).To(BeTrue())
 }
--- a/pkg/dispatch/roster_test.go
+++ b/pkg/dispatch/roster_test.go
@@ -12,11 +12,11 @@
 // Roster is the whole roster, by id.
 func (p *Pool) Roster() []WorkerInfo {
 	var out []WorkerInfo
-	for name := range p.lineages {
-		out = append(out, p.RosterOf(name)...)
+	for name := range p.workerHistories {
+		out = append(out, p.RosterEntries(name)...)
 	}
 	for _, info := range p.partingUnknown() {
-		out = append(out, info.crashed())
+		out = append(out, info.asCrashed())
 	}
 	slices.SortFunc(out, func(a, b WorkerInfo) int { return cmp.Compare(a.ID, b.ID) })
 	return out
@@ -24,18 +24,18 @@
 
 // partingUnknown are workers in the roster of which only the roster of a former owner has told.
 func (p *Pool) partingUnknown() []WorkerInfo {
-	if _, known := p.lineages[p.missedWorker.ID.Name()]; known || !p.takeover.missed || !p.anyKnownToFormer() {
+	if _, known := p.workerHistories[p.uncountedCrash.ID.Name()]; known || !p.takeover.hasUncountedCrash || !p.hasJobOfPreviousOwner() {
 		return nil
 	}
-	return []WorkerInfo{p.missedWorker}
+	return []WorkerInfo{p.uncountedCrash}
 }
 
 // rosterCopy is a roster that is kept record by record, as the store has it.
 type rosterCopy map[string][]WorkerInfo
 
 func (c rosterCopy) follow(p *Pool) {
-	for _, name := range p.TakeRosterNews() {
-		if c[name] = p.RosterOf(name); len(c[name]) == 0 {
+	for _, name := range p.TakeRosterChanges() {
+		if c[name] = p.RosterEntries(name); len(c[name]) == 0 {
 			delete(c, name)
 		}
 	}
@@ -74,17 +74,17 @@
 
 func TestRosterTellsOnlyOfWorkersThatCameOrWent(t *testing.T) {
 	f := newFixture(t, 3, nil)
-	f.Expect(f.pool.TakeRosterNews()).To(HaveLen(3))
+	f.Expect(f.pool.TakeRosterChanges()).To(HaveLen(3))
 	f.reportAll(3)
-	f.Expect(f.pool.TakeRosterNews()).To(BeEmpty(), "an answer changes nothing")
+	f.Expect(f.pool.TakeRosterChanges()).To(BeEmpty(), "an answer changes nothing")
 	f.lists(firstLife(7))
-	f.Expect(f.pool.TakeRosterNews()).To(Equal([]string{firstLife(7).id.Name()}))
-	f.pool.workerGone(f.pool.workers[workerID(1)], "test", f.now)
-	f.Expect(f.pool.TakeRosterNews()).To(Equal([]string{workerID(1).Name()}))
-	f.Expect(f.pool.RosterOf(workerID(1).Name())).To(HaveLen(1), "as crashed, until that is committed")
-	f.pool.Committed(f.pool.TakeCommit())
-	f.Expect(f.pool.TakeRosterNews()).To(Equal([]string{workerID(1).Name()}))
-	f.Expect(f.pool.RosterOf(workerID(1).Name())).To(BeEmpty())
+	f.Expect(f.pool.TakeRosterChanges()).To(Equal([]string{firstLife(7).id.Name()}))
+	f.pool.terminateWorker(f.pool.workers[workerID(1)], "test", f.now)
+	f.Expect(f.pool.TakeRosterChanges()).To(Equal([]string{workerID(1).Name()}))
+	f.Expect(f.pool.RosterEntries(workerID(1).Name())).To(HaveLen(1), "as crashed, until that is committed")
+	f.pool.ApplyCommit(f.pool.PrepareCommit())
+	f.Expect(f.pool.TakeRosterChanges()).To(Equal([]string{workerID(1).Name()}))
+	f.Expect(f.pool.RosterEntries(workerID(1).Name())).To(BeEmpty())
 }
 
 // BenchmarkRosterChange is a worker that comes and goes in pools of several sizes.
@@ -95,20 +95,20 @@
 			for i := range n {
 				info := firstLife(i % 200).info()
 				info.ID = NewWorkerID(fmt.Sprintf("i-%d", i), firstBorn)
-				p.PutWorker(info, true, 1)
+				p.UpsertWorker(info, true, 1)
 			}
-			p.TakeRosterNews()
+			p.TakeRosterChanges()
 			changed := firstLife(1).info()
 			for b.Loop() {
 				changed.ID = NewWorkerID("i-new", firstBorn)
-				p.PutWorker(changed, true, 1)
-				for _, name := range p.TakeRosterNews() {
-					p.RosterOf(name)
+				p.UpsertWorker(changed, true, 1)
+				for _, name := range p.TakeRosterChanges() {
+					p.RosterEntries(name)
 				}
 				w := p.workers[changed.ID]
-				w.gone = true
+				w.terminated = true
 				p.forgetWorker(w)
-				delete(p.lineages, "i-new")
+				delete(p.workerHistories, "i-new")
 			}
 		})
 	}
--- a/pkg/dispatch/stored_starts.go
+++ b/pkg/dispatch/stored_starts.go
@@ -6,108 +6,108 @@
 	"foldarch.dev/foldarch/pkg/job"
 )
 
-// mustStore says that a start of a task has to be in the store before it is ordered: there is a crash against it, a worker
+// mustStoreStart says that a start of a task has to be in the store before it is ordered: there is a crash against it, a worker
 // was lost under an earlier start, or a former owner may have started it on a worker that crashed unseen.
-func (p *Pool) mustStore(t *task) bool {
-	if t.suspected() || t.crash.InDoubt() {
+func (p *Pool) mustStoreStart(t *task) bool {
+	if t.isSuspect() || t.crash.IsUnresolved() {
 		return true
 	}
-	return p.takeover.missed && !p.unknownToFormer(t.step.time.job)
+	return p.takeover.hasUncountedCrash && !p.isUnknownToPreviousOwners(t.step.occurrence.job)
 }
 
-// start has a task started on a worker, at once or when the start is stored.
-func (p *Pool) start(t *task, w *worker, number int, checkpoint string, now clock.Time, out *Actions) {
-	if !p.mustStore(t) {
-		out.Starts = append(out.Starts, p.startOrder(p.book(t, w, number, runStarting, now), checkpoint, now))
+// startTask has a task started on a worker, at once or when the start is stored.
+func (p *Pool) startTask(t *task, w *worker, number int, checkpoint string, now clock.Time, out *Actions) {
+	if !p.mustStoreStart(t) {
+		out.Starts = append(out.Starts, p.newStartOrder(p.createRun(t, w, number, runStarting, now), checkpoint, now))
 		return
 	}
-	if t.suspected() {
-		t.step.claim(w, now)
+	if t.isSuspect() {
+		t.step.claimWorker(w, now)
 	}
-	r := p.book(t, w, number, runStoring, now)
-	r.checkpoint, r.stored = checkpoint, true
-	t.crash.Attempt(number, w.info.ID)
-	p.storeProgress(t)
-	p.toStore = append(p.toStore, r)
+	r := p.createRun(t, w, number, runStoring, now)
+	r.checkpoint, r.storedBeforeStart = checkpoint, true
+	t.crash.AddAttempt(number, w.info.ID)
+	p.markProgressChanged(t)
+	p.startsToStore = append(p.startsToStore, r)
 }
 
-// orderStored orders the starts that the store has by now.
-func (p *Pool) orderStored(now clock.Time, out *Actions) {
-	for _, r := range p.stored {
+// orderStoredStarts orders the starts that the store has by now.
+func (p *Pool) orderStoredStarts(now clock.Time, out *Actions) {
+	for _, r := range p.startsToOrder {
 		switch {
 		case r.worker.runs[runKey{r.task.id(), r.number}] != r:
-		case !p.mayOrder(r, now):
-			p.rejected(r, rejectedPause, now)
+		case !p.mayOrderStart(r, now):
+			p.cancelStart(r, rejectedStartBackoff, now)
 		default:
-			r.state, r.call.OrderedAt = runStarting, now
-			out.Starts = append(out.Starts, p.startOrder(r, r.checkpoint, now))
+			r.state, r.startCall.OrderedAt = runStarting, now
+			out.Starts = append(out.Starts, p.newStartOrder(r, r.checkpoint, now))
 		}
 	}
-	p.stored = p.stored[:0]
+	p.startsToOrder = p.startsToOrder[:0]
 }
 
-// mayOrder says whether a start that was decided a little ago may still be ordered.
-func (p *Pool) mayOrder(r *run, now clock.Time) bool {
+// mayOrderStart says whether a start that was decided a little ago may still be ordered.
+func (p *Pool) mayOrderStart(r *run, now clock.Time) bool {
 	s, w := r.task.step, r.worker
-	if s.time.job.outcome != "" || s.gang.broken || r.task.done || !w.usable(now) || !w.used.Fits(w.info.Capacity) {
+	if s.occurrence.job.outcome != "" || s.gang.broken || r.task.done || !w.isUsable(now) || !w.used.Fits(w.info.Capacity) {
 		return false
 	}
-	if a := s.time.job.account; a != nil && a.OverQuota() {
+	if a := s.occurrence.job.account; a != nil && a.IsOverQuota() {
 		return false // its quota was lowered while the start was being stored
 	}
-	if r.task.suspected() && !w.signs().Lives(now) {
+	if r.task.isSuspect() && !w.liveness().IsResponsive(now) {
 		return false
 	}
-	return s.time.job.queue.Advice == nil || now.Add(ticketMargin) < s.advice.tickets[w.info.ID].until
+	return s.occurrence.job.queue.Advice == nil || now.Add(minTicketValidity) < s.advice.tickets[w.info.ID].expiresAt
 }
 
-// dropAttempt takes in that nothing is open of a start of a task any more; nil is one of a job that is forgotten.
-func (p *Pool) dropAttempt(t *task, run int) {
-	if t != nil && t.crash.DropAttempt(run) {
-		p.storeProgress(t)
+// removeAttempt takes in that nothing is open of a start of a task any more; nil is one of a job that is forgotten.
+func (p *Pool) removeAttempt(t *task, run int) {
+	if t != nil && t.crash.RemoveAttempt(run) {
+		p.markProgressChanged(t)
 	}
 }
 
-// takeAttempts looks what became of the starts of a job that former owners have stored.
-func (p *Pool) takeAttempts(j *jobState, now clock.Time) {
+// resolveLoadedAttempts looks what became of the starts of a job that former owners have stored.
+func (p *Pool) resolveLoadedAttempts(j *jobState, now clock.Time) {
 	for s := range j.steps() {
 		for i := range s.tasks {
 			for _, a := range s.tasks[i].crash.Attempts() {
-				p.takeAttempt(&s.tasks[i], a, now)
+				p.resolveLoadedAttempt(&s.tasks[i], a, now)
 			}
 		}
 	}
 }
 
-// takeAttempt counts a crash when the worker of an attempt is gone; one that lives tells what it runs.
-func (p *Pool) takeAttempt(t *task, a job.Attempt, now clock.Time) {
+// resolveLoadedAttempt counts a crash when the worker of an attempt is gone; one that lives tells what it runs.
+func (p *Pool) resolveLoadedAttempt(t *task, a job.Attempt, now clock.Time) {
 	start := crash.Start{Task: t.id(), Run: a.Run}
 	w, known := p.workers[WorkerID(a.Worker)]
 	if !known {
-		w = &worker{info: WorkerInfo{ID: WorkerID(a.Worker)}, knownAt: p.createdAt, gone: true}
+		w = &worker{info: WorkerInfo{ID: WorkerID(a.Worker)}, discoveredAt: p.createdAt, terminated: true}
 	}
 	switch {
-	case w.gone:
-		p.blame(w, crash.Starts{start}, now)
+	case w.terminated:
+		p.attributeCrash(w, crash.Starts{start}, now)
 	case !w.reported:
-		w.doubts = append(w.doubts, start)
+		w.unresolvedStarts = append(w.unresolvedStarts, start)
 	case w.runs[runKey{t.id(), a.Run}] == nil:
-		p.dropAttempt(t, a.Run)
+		p.removeAttempt(t, a.Run)
 	}
 }
 
-// doubtRuns takes in that the leases on a silent worker have lapsed: if it turns out to have
+// keepUnresolvedStarts takes in that the leases on a silent worker have lapsed: if it turns out to have
 // crashed, what had begun just before may be the cause.
-func (w *worker) doubtRuns() {
-	w.doubts = w.suspectStarts()
+func (w *worker) keepUnresolvedStarts() {
+	w.unresolvedStarts = w.suspectStarts()
 }
 
-// settleDoubts takes in that a worker lives that was in doubt.
-func (p *Pool) settleDoubts(w *worker) {
-	for _, s := range w.doubts {
+// resolveStarts takes in that a worker lives that was in doubt.
+func (p *Pool) resolveStarts(w *worker) {
+	for _, s := range w.unresolvedStarts {
 		if w.runs[runKey{s.Task, s.Run}] == nil {
-			p.dropAttempt(p.task(s.Task), s.Run)
+			p.removeAttempt(p.task(s.Task), s.Run)
 		}
 	}
-	w.doubts = nil
+	w.unresolvedStarts = nil
 }
--- a/pkg/dispatch/takeover_test.go
+++ b/pkg/dispatch/takeover_test.go
@@ -9,7 +9,7 @@
 )
 
 func afterFormerOwner(c *Config) {
-	c.Token, c.Takeover, c.FirstRun, c.Term = nextEpoch, true, 1000, 2
+	c.Token, c.HasPreviousOwner, c.RunNumberBase, c.Term = nextEpoch, true, 1000, 2
 }
 
 // Seed: trouble-3 of hanbit-ops. A new owner reads three failures from two workers, the
@@ -18,8 +18,8 @@
 	f := newFixture(t, 3, afterFormerOwner)
 	f.add(testJob("a", testStep(1)))
 	id := job.TaskID{StepID: job.StepID{Job: "a"}}
-	f.report(0, Report{Finished: []Finished{{Number: 1, Task: id, Run: 1, How: EndFailed}, {Number: 2, Task: id, Run: 3, How: EndFailed}}})
-	f.report(1, Report{Finished: []Finished{{Number: 1, Task: id, Run: 2, How: EndFailed}}})
+	f.report(0, Report{Finished: []FinishedRun{{Number: 1, Task: id, Run: 1, Reason: EndFailed}, {Number: 2, Task: id, Run: 3, Reason: EndFailed}}})
+	f.report(1, Report{Finished: []FinishedRun{{Number: 1, Task: id, Run: 2, Reason: EndFailed}}})
 	f.report(2, Report{})
 	f.Expect(f.plan().Starts).To(BeEmpty(), "three attempts have failed")
 }
@@ -32,7 +32,7 @@
 	f.pool.AddOutcome("a", job.Record{Outcome: job.Completed}, f.now)
 	f.reportAll(1)
 	f.Expect(f.plan().Starts).To(BeEmpty())
-	state, _, _ := f.pool.State("a")
+	state, _, _ := f.pool.JobState("a")
 	f.Expect(state).To(Equal(job.Completed))
 }
 
@@ -64,7 +64,7 @@
 // waited for it.
 func TestWorkerOfTheRosterThatNeverAnswersIsGivenUp(t *testing.T) {
 	f := newFixture(t, 1, afterFormerOwner)
-	f.pool.PutWorker(WorkerInfo{ID: "left", Pool: "pool"}, false, f.now)
+	f.pool.UpsertWorker(WorkerInfo{ID: "left", Pool: "pool"}, false, f.now)
 	f.report(0, Report{})
 	f.plan()
 	f.Expect(f.pool.Workers()).To(HaveLen(2))
@@ -77,7 +77,7 @@
 	f := newFixture(t, 2, afterFormerOwner)
 	f.add(testJob("a", testStep(2)))
 	id := job.TaskID{StepID: job.StepID{Job: "a"}}
-	f.report(0, Report{Active: []Active{{Task: id, Run: 4, Percent: 50}}})
+	f.report(0, Report{Active: []ActiveRun{{Task: id, Run: 4, Percent: 50}}})
 	f.report(1, Report{})
 	starts := f.plan().Starts
 	f.Expect(starts).To(HaveLen(1))
@@ -91,7 +91,7 @@
 	f := newFixture(t, 2, afterFormerOwner)
 	f.add(testJob("a", testStep(1)))
 	id := job.TaskID{StepID: job.StepID{Job: "a"}}
-	f.report(0, Report{Active: []Active{{Task: id, Run: 4, Percent: 50}}})
+	f.report(0, Report{Active: []ActiveRun{{Task: id, Run: 4, Percent: 50}}})
 	f.report(1, Report{})
 	for elapsed := time.Duration(0); elapsed < 5*time.Second; elapsed += 500 * time.Millisecond {
 		f.pass(500 * time.Millisecond)
@@ -106,38 +106,38 @@
 func TestHigherTokenAtAWorkerEndsTheOwner(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.reportAll(1)
-	h, _ := f.pool.HoldFor("w0", false, true, f.now)
-	f.pool.HoldAnswered(h, Answer{Verdict: VerdictFenced}, Report{}, f.now)
-	f.Expect(f.pool.Fenced()).To(BeTrue())
+	h, _ := f.pool.NewPoll("w0", false, true, f.now)
+	f.pool.HandlePollAnswer(h, Answer{Verdict: VerdictFenced}, Report{}, f.now)
+	f.Expect(f.pool.IsFenced()).To(BeTrue())
 }
 
 func TestOwnHigherTokenDoesNotEndTheOwner(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.reportAll(1)
-	h, _ := f.pool.HoldFor("w0", false, true, f.now)
-	_, _ = f.pool.HoldFor("w0", true, true, f.now)
-	f.pool.HoldAnswered(h, Answer{Verdict: VerdictFenced}, Report{}, f.now)
-	f.Expect(f.pool.Fenced()).To(BeFalse())
+	h, _ := f.pool.NewPoll("w0", false, true, f.now)
+	_, _ = f.pool.NewPoll("w0", true, true, f.now)
+	f.pool.HandlePollAnswer(h, Answer{Verdict: VerdictFenced}, Report{}, f.now)
+	f.Expect(f.pool.IsFenced()).To(BeFalse())
 }
 
 func TestNothingIsTakenFromReportsBeforeTheJobsAreKnown(t *testing.T) {
 	f := newFixture(t, 1, afterFormerOwner)
-	f.pool.loaded = false
+	f.pool.jobsLoaded = false
 	id := job.TaskID{StepID: job.StepID{Job: "a"}}
-	done := Report{Finished: []Finished{{Number: 1, Task: id, Run: 1, How: EndDone}}}
+	done := Report{Finished: []FinishedRun{{Number: 1, Task: id, Run: 1, Reason: EndDone}}}
 	f.report(0, done)
 	f.add(testJob("a", testStep(1)))
-	f.pool.SetLoaded()
+	f.pool.MarkJobsLoaded()
 	f.Expect(f.plan().Starts).To(BeEmpty())
 	f.report(0, done)
 	f.Expect(f.plan().Starts).To(BeEmpty(), "the end was reported again")
-	f.pool.Committed(f.pool.TakeCommit())
-	state, _, _ := f.pool.State("a")
+	f.pool.ApplyCommit(f.pool.PrepareCommit())
+	state, _, _ := f.pool.JobState("a")
 	f.Expect(state).To(Equal(job.Completed))
 }
 
 // startedAgain lets time pass, with one worker answering, until a task is started there.
-func (f *fixture) startedAgain(worker int) Start {
+func (f *fixture) startedAgain(worker int) StartOrder {
 	for range 100 {
 		f.pass(200 * time.Millisecond)
 		f.report(worker, Report{})
@@ -146,7 +146,7 @@
 		}
 	}
 	f.Expect(worker).To(BeNumerically("<", 0), "nothing was started again in 20 s")
-	return Start{}
+	return StartOrder{}
 }
 
 // Seed 32 of the random histories. A worker that was cut off had done a task; the task was started
--- a/pkg/dispatch/tickets_test.go
+++ b/pkg/dispatch/tickets_test.go
@@ -23,7 +23,7 @@
 			f.accept(s)
 		}
 		f.add(of(c, advisedJob("a", testStep(1))))
-		f.pool.jobs["a"].times[0].steps[0].goesFirst = true // its tickets are to be there when the quota has room
+		f.pool.jobs["a"].occurrences[0].steps[0].promoted = true // its tickets are to be there when the quota has room
 	}
 	fill := func(f *fixture) {
 		for _, w := range f.pool.workers {
@@ -34,19 +34,19 @@
 		job    func(*fixture)
 		answer func(f *fixture, s *step, named []WorkerID)
 		after  func(*fixture)
-		want   map[advice.TicketEnd]int64
+		want   map[advice.TicketOutcome]int64
 	}{
-		"one of two is used": {one, nil, nil, map[advice.TicketEnd]int64{advice.TicketUsed: 1, advice.TicketStepDone: 1}},
-		"cancelled":          {one, nil, func(f *fixture) { f.pool.Cancel("a") }, map[advice.TicketEnd]int64{advice.TicketStepDone: 2}},
-		"room is taken":      {one, nil, fill, map[advice.TicketEnd]int64{advice.TicketRoomTaken: 2}},
+		"one of two is used": {one, nil, nil, map[advice.TicketOutcome]int64{advice.TicketUsed: 1, advice.TicketStepDone: 1}},
+		"cancelled":          {one, nil, func(f *fixture) { f.pool.Cancel("a") }, map[advice.TicketOutcome]int64{advice.TicketStepDone: 2}},
+		"room is taken":      {one, nil, fill, map[advice.TicketOutcome]int64{advice.TicketRoomTaken: 2}},
 		"a gang lacks others": {gang, nil, func(f *fixture) {
-			f.pool.workers["w0"].suspended = f.now.Add(time.Minute)
-		}, map[advice.TicketEnd]int64{advice.TicketGangShort: 1, advice.TicketRoomTaken: 1}},
+			f.pool.workers["w0"].suspendedUntil = f.now.Add(time.Minute)
+		}, map[advice.TicketOutcome]int64{advice.TicketGangIncomplete: 1, advice.TicketRoomTaken: 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, 2, nil)
 			f.reportAll(2)
-			f.pool.PutAdviser("host")
+			f.pool.AddAdviser("host")
 			test.job(f)
 			expectTicketEnds(f, test.after, test.want)
 		})
@@ -55,29 +55,29 @@
 		f := newFixture(t, 2, nil)
 		f.reportAll(2)
 		quota(f)
-		s := f.pool.jobs["a"].times[0].steps[0]
-		f.pool.advice.issues = []*issue{{step: s, until: f.now, tickets: []*ticketUse{{worker: "w0", hadRoom: true}}}}
-		f.pool.countLapsed(f.now)
-		f.Expect(f.pool.advice.tally.Tickets(advice.TicketQuota)).To(Equal(int64(1)))
+		s := f.pool.jobs["a"].occurrences[0].steps[0]
+		f.pool.advice.issuedTickets = []*ticketIssue{{step: s, expireAt: f.now, tickets: []*ticketUse{{worker: "w0", selectedForRoom: true}}}}
+		f.pool.countExpiredTickets(f.now)
+		f.Expect(f.pool.advice.tally.Tickets(advice.TicketQuotaFull)).To(Equal(int64(1)))
 	})
 }
 
 // expectTicketEnds has tickets for all workers given, something happen, and the tickets lapse.
-func expectTicketEnds(f *fixture, after func(*fixture), want map[advice.TicketEnd]int64) {
-	ask := f.plan().Asks[0]
+func expectTicketEnds(f *fixture, after func(*fixture), want map[advice.TicketOutcome]int64) {
+	ask := f.plan().AdviceCalls[0]
 	f.pass(50 * time.Millisecond)
-	f.pool.AdviceAnswered(ask.Number, []Ticket{{"w0", "t"}, {"w1", "t"}}, true, f.now)
+	f.pool.HandleAdviceAnswer(ask.Number, []Ticket{{"w0", "t"}, {"w1", "t"}}, true, f.now)
 	if after != nil {
 		after(f)
 	}
-	var ends []Start
+	var ends []StartOrder
 	for range 3 {
 		ends = append(ends, f.plan().Starts...)
 		f.pass(time.Second)
-		f.pool.workers["w0"].lastAnswer, f.pool.workers["w1"].lastAnswer = f.now, f.now
+		f.pool.workers["w0"].lastAnsweredAt, f.pool.workers["w1"].lastAnsweredAt = f.now, f.now
 	}
-	f.pool.countLapsed(f.now)
-	f.pool.countLapsed(f.now)
+	f.pool.countExpiredTickets(f.now)
+	f.pool.countExpiredTickets(f.now)
 	for end := advice.TicketUsed; end <= advice.TicketStepDone; end++ {
 		f.Expect(f.pool.advice.tally.Tickets(end)).To(Equal(want[end]), "end %d", end)
 	}
@@ -88,21 +88,21 @@
 func TestSecondsOfCallsAreSummedUpByStandingAndCustomer(t *testing.T) {
 	f := newFixture(t, 2, nil)
 	f.reportAll(2)
-	f.pool.PutAdviser("host")
+	f.pool.AddAdviser("host")
 	f.add(of(north(0), advisedJob("a", testStep(1))))
 	for _, ok := range []bool{true, false} {
-		f.pool.workers["w0"].lastAnswer, f.pool.workers["w1"].lastAnswer = f.now, f.now
-		asks := f.plan().Asks
+		f.pool.workers["w0"].lastAnsweredAt, f.pool.workers["w1"].lastAnsweredAt = f.now, f.now
+		asks := f.plan().AdviceCalls
 		f.Expect(asks).To(HaveLen(1))
 		f.pass(100 * time.Millisecond)
-		f.pool.AdviceAnswered(asks[0].Number, nil, ok, f.now)
-		f.pool.jobs["a"].times[0].steps[0].advice = stepAdvice{}
-		f.pool.jobs["a"].times[0].latest = f.now - 1
-		f.pool.jobs["a"].times[0].objective = f.now - 1
+		f.pool.HandleAdviceAnswer(asks[0].Number, nil, ok, f.now)
+		f.pool.jobs["a"].occurrences[0].steps[0].advice = stepAdvice{}
+		f.pool.jobs["a"].occurrences[0].latestUsefulEnd = f.now - 1
+		f.pool.jobs["a"].occurrences[0].objective = f.now - 1
 	}
 	tally := f.pool.advice.tally
 	f.Expect(tally.Calls()).To(Equal(int64(2)))
-	f.Expect(tally.Spent(worth.InTime)).To(Equal(100 * time.Millisecond))
-	f.Expect(tally.Spent(worth.Worthless)).To(Equal(100 * time.Millisecond))
+	f.Expect(tally.CallTime(worth.InTime)).To(Equal(100 * time.Millisecond))
+	f.Expect(tally.CallTime(worth.NoValue)).To(Equal(100 * time.Millisecond))
 	f.Expect(f.pool.Customers()).To(ContainElement(HaveField("AdviceMs", int64(200))))
 }
--- a/pkg/dispatch/unreported.go
+++ b/pkg/dispatch/unreported.go
@@ -18,40 +18,40 @@
 // What these workers hold in all is the most.
 
 const (
-	// stopTime is how long the stop of a run takes at most, with an order that is lost once, on a worker that answers.
-	stopTime = 2 * time.Second
-	// clocksApart is how far the times of day of two owners may be apart: those of hosts are stepped by seconds.
-	clocksApart = 5 * time.Second
+	// maxStopTime is how long the stop of a run takes at most, with an order that is lost once, on a worker that answers.
+	maxStopTime = 2 * time.Second
+	// maxWallClockSkew is how far the times of day of two owners may be apart: those of hosts are stepped by seconds.
+	maxWallClockSkew = 5 * time.Second
 )
 
-// unended is what the store is told of a job that may still run though nobody waits for it: for tasks that are done, and of a job that has
+// remainingUse is what the store is told of a job that may still run though nobody waits for it: for tasks that are done, and of a job that has
 // ended all. The members of a gang end together, so what is counted of one that is done has ended.
-func (p *Pool) unended(j *jobState) job.Unended {
+func (p *Pool) remainingUse(j *jobState) job.Unended {
 	if j.customer.Name == "" {
 		return job.Unended{} // only quotas ask for it
 	}
-	need := j.unended
+	need := j.remainingUse
 	for s := range j.steps() {
 		if s.spec.Gang && s.finished() {
 			continue
 		}
-		n := s.counted
+		n := s.countedRuns
 		if j.outcome == "" {
-			n -= s.tasksThatRun()
+			n -= s.unfinishedTasksWithRuns()
 		}
-		need = need.Add(s.accountNeed().Times(int64(n)))
+		need = need.Add(s.quotaNeed().Times(int64(n)))
 	}
-	if j.outcome != "" && p.blocked(j) {
-		need = need.Add(j.mayRunUnheard()).Sub(j.unended)
+	if j.outcome != "" && p.isBlockedByTakeover(j) {
+		need = need.Add(j.maxUnreportedUse()).Sub(j.remainingUse)
 	}
 	if need == (cell.Resources{}) {
 		return job.Unended{}
 	}
-	return job.Unended{Need: need, At: p.cfg.Wall()}
+	return job.Unended{Need: need, At: p.cfg.WallClock()}
 }
 
-// tasksThatRun counts the tasks that are not done and of which a run is known.
-func (s *step) tasksThatRun() int {
+// unfinishedTasksWithRuns counts the tasks that are not done and of which a run is known.
+func (s *step) unfinishedTasksWithRuns() int {
 	n := 0
 	for i := range s.tasks {
 		if t := &s.tasks[i]; !t.done && t.current != nil {
@@ -61,47 +61,47 @@
 	return n
 }
 
-// mayGoOn is what may run yet of what a former owner counted: it is stopped, or lapses.
-func (p *Pool) mayGoOn(u job.Unended) cell.Resources {
-	limit := lapseTime(p.cfg.LongestLease) + stopTime + clocksApart
-	if !p.cfg.Takeover || p.cfg.Wall().Sub(u.At) > limit {
+// unexpiredUse is what may run yet of what a former owner counted: it is stopped, or lapses.
+func (p *Pool) unexpiredUse(u job.Unended) cell.Resources {
+	limit := leaseExpiryTime(p.cfg.WorkerMaxLease) + maxStopTime + maxWallClockSkew
+	if !p.cfg.HasPreviousOwner || p.cfg.WallClock().Sub(u.At) > limit {
 		return cell.Resources{}
 	}
 	return u.Need
 }
 
-// countUnended takes in what may still run of a job that had ended.
-func (p *Pool) countUnended(ended job.Record) {
-	need := p.mayGoOn(ended.Unended)
+// addEndedJobUse takes in what may still run of a job that had ended.
+func (p *Pool) addEndedJobUse(ended job.Record) {
+	need := p.unexpiredUse(ended.Unended)
 	if need == (cell.Resources{}) {
 		return
 	}
 	if a := p.openAccount(customer.Customer{Name: ended.Customer.Name}); a != nil {
-		a.CountEnded(need)
+		a.AddEndedJobUse(need)
 	}
 }
 
-// forgetUnended takes in that nothing of former owners runs that is not known.
-func (p *Pool) forgetUnended() {
+// clearRemainingUse takes in that nothing of former owners runs that is not known.
+func (p *Pool) clearRemainingUse() {
 	for _, j := range p.jobs {
-		j.unended = cell.Resources{}
+		j.remainingUse = cell.Resources{}
 	}
 	for _, a := range p.accounts {
-		a.ForgetEnded()
+		a.ClearEndedJobUse()
 	}
 }
 
-// sumUnheard works out what customers may have running on workers that a new owner has not heard of.
-func (p *Pool) sumUnheard() {
+// updateUnreportedUse works out what customers may have running on workers that a new owner has not heard of.
+func (p *Pool) updateUnreportedUse() {
 	for _, a := range p.accounts {
-		a.ClearUnheard()
+		a.ClearUnreported()
 	}
 	if !p.takeover.pending {
 		return
 	}
 	var room cell.Resources
 	for _, w := range p.workers {
-		if !w.reported && !w.gone {
+		if !w.reported && !w.terminated {
 			room = room.Add(w.info.Capacity)
 		}
 	}
@@ -109,84 +109,84 @@
 		return
 	}
 	for _, a := range p.accounts {
-		a.BeginUnheard()
+		a.ResetUnreported()
 	}
 	for _, j := range p.jobs {
 		switch a := j.account; {
-		case a == nil || p.unknownToFormer(j):
-		case j.held:
-			a.AddUnheard(j.mayRunUnheard())
+		case a == nil || p.isUnknownToPreviousOwners(j):
+		case j.blockedByTakeover:
+			a.AddUnreported(j.maxUnreportedUse())
 		default:
-			a.AddUnheard(j.unended)
+			a.AddUnreported(j.remainingUse)
 		}
 	}
-	unfenced := p.roomOfUnfenced()
+	unfenced := p.unfencedCapacity()
 	for _, a := range p.accounts {
-		a.CapUnheard(room)
-		a.RaiseUnheard(unfenced)
+		a.CapUnreported(room)
+		a.RaiseUnreported(unfenced)
 	}
 }
 
-// roomOfUnfenced is what the workers hold to which a former owner may still give orders for jobs that are not known here. One that names
+// unfencedCapacity is what the workers hold to which a former owner may still give orders for jobs that are not known here. One that names
 // the workers of its jobs starts none that the store did not have when this owner read it.
-func (p *Pool) roomOfUnfenced() cell.Resources {
+func (p *Pool) unfencedCapacity() cell.Resources {
 	var room cell.Resources
-	formerNames := p.cfg.NamedFrom > 0 && p.cfg.NamedFrom < p.cfg.Term
-	if p.now >= p.takeover.orders || formerNames {
+	formerNames := p.cfg.RecordWorkersFromTerm > 0 && p.cfg.RecordWorkersFromTerm < p.cfg.Term
+	if p.now >= p.takeover.ordersUntil || formerNames {
 		return room
 	}
 	for _, w := range p.workers {
-		if !w.fenced && !w.gone && !w.retired {
+		if !w.fenced && !w.terminated && !w.retired {
 			room = room.Add(w.info.Capacity)
 		}
 	}
 	return room
 }
 
-// mayRunUnheard is what the tasks of a job need of which a former owner may have started a run that is not known here, with what may run for
+// maxUnreportedUse is what the tasks of a job need of which a former owner may have started a run that is not known here, with what may run for
 // tasks that are done.
-func (j *jobState) mayRunUnheard() cell.Resources {
-	sum := j.unended
-	for _, t := range j.times {
+func (j *jobState) maxUnreportedUse() cell.Resources {
+	sum := j.remainingUse
+	for _, t := range j.occurrences {
 		if t != nil {
-			sum = sum.Add(t.mayRunUnheard())
+			sum = sum.Add(t.maxUnreportedUse())
 		}
 	}
 	return sum
 }
 
-// mayRunUnheard is the same of one time. A former owner may have begun the next step before the end of the one before was in the store. Since
+// maxUnreportedUse is the same of one time. A former owner may have begun the next step before the end of the one before was in the store. Since
 // the two don't run at the same time, the larger of them counts.
-func (t *timeState) mayRunUnheard() cell.Resources {
+func (t *occurrence) maxUnreportedUse() cell.Resources {
 	var sum cell.Resources
-	most := t.mostUnheard(t.mayHaveBegun())
+	most := t.unreportedUsePerStep(t.possiblyBegunSteps())
 	for i, s := range t.steps {
-		if s.turnHasCome() {
+		if s.dependenciesDone() {
 			sum = sum.Add(most[i])
 		}
 	}
 	return sum
 }
 
-// mayHaveBegun says of each step whether a former owner may have begun it: all steps before it are finished, or may be without a word of it.
-func (t *timeState) mayHaveBegun() []bool {
+// possiblyBegunSteps says of each step whether a former owner may have begun it: all steps before it are finished, or may be without a word of it.
+func (t *occurrence) possiblyBegunSteps() []bool {
 	begun := make([]bool, len(t.steps))
 	for i, s := range t.steps { // steps name only earlier ones
 		begun[i] = true
 		for _, a := range s.spec.After {
-			begun[i] = begun[i] && begun[a] && t.steps[a].mayHaveEnded()
+			begun[i] = begun[i] && begun[a] && t.steps[a].mayBeFinished()
 		}
 	}
 	return begun
 }
 
-// mayHaveEnded says that a step that has begun is finished, or that all its tasks that are not done may have ended unheard.
-func (s *step) mayHaveEnded() bool {
-	return s.finished() || !s.spec.LongRunning && s.tasksThatRun() == 0
+// mayBeFinished says that a step that has begun is finished, or that all its tasks that are not done may have ended unheard.
+func (s *step) mayBeFinished() bool {
+	return s.finished() || !s.spec.LongRunning && s.unfinishedTasksWithRuns() == 0
 }
 
-// mostUnheard is for each step what it and those after it may have running unheard, at the same time.
-func (t *timeState) mostUnheard(begun []bool) []cell.Resources {
+// unreportedUsePerStep is for each step what it and those after it may have running unheard, at the same time.
+func (t *occurrence) unreportedUsePerStep(begun []bool) []cell.Resources {
 	later := make([]cell.Resources, len(t.steps))
 	most := make([]cell.Resources, len(t.steps))
 	for i := len(t.steps) - 1; i >= 0; i-- {
@@ -194,7 +194,7 @@
 		if !begun[i] || s.finished() {
 			continue
 		}
-		most[i] = s.accountNeed().Times(int64(s.idle)).Max(later[i])
+		most[i] = s.quotaNeed().Times(int64(s.idleTasks)).Max(later[i])
 		for _, a := range s.spec.After {
 			later[a] = later[a].Add(most[i])
 		}
--- a/pkg/dispatch/unreported_test.go
+++ b/pkg/dispatch/unreported_test.go
@@ -33,18 +33,18 @@
 		{"the first step is done", []job.Step{testStep(1), after(3, 0)}, []job.TaskProgress{{Done: true}}, 3000},
 		{"one task of the first step is done", []job.Step{testStep(2), after(1, 0)}, []job.TaskProgress{{Done: true}}, 1000},
 	} {
-		f := newFixture(t, 1, func(c *Config) { c.Takeover, c.Term, c.Token = true, 2, nextEpoch })
+		f := newFixture(t, 1, func(c *Config) { c.HasPreviousOwner, c.Term, c.Token = true, 2, nextEpoch })
 		f.pool.AddJob(testJob("a", x.steps...), job.Progress{Tasks: x.done}, true, 0, f.now)
-		f.Expect(f.pool.jobs["a"].mayRunUnheard().CPUMillis).To(Equal(x.want), x.name)
+		f.Expect(f.pool.jobs["a"].maxUnreportedUse().CPUMillis).To(Equal(x.want), x.name)
 	}
 }
 
 // A task of the first step runs on a worker that has told so: the next step can't have begun.
 func TestNoStepBeginsBeforeOneOfWhichATaskRuns(t *testing.T) {
-	f := newFixture(t, 2, func(c *Config) { c.Takeover, c.Term, c.Token = true, 2, nextEpoch })
+	f := newFixture(t, 2, func(c *Config) { c.HasPreviousOwner, c.Term, c.Token = true, 2, nextEpoch })
 	next := testStep(5)
 	next.After = []int{0}
 	f.add(testJob("a", testStep(2), next))
-	f.report(0, Report{Active: []Active{{Task: job.TaskID{StepID: job.StepID{Job: "a"}}, Run: 1, Percent: 10}}})
-	f.Expect(f.pool.jobs["a"].mayRunUnheard()).To(Equal(cell.Resources{CPUMillis: 1000, MemoryMB: 1000}))
+	f.report(0, Report{Active: []ActiveRun{{Task: job.TaskID{StepID: job.StepID{Job: "a"}}, Run: 1, Percent: 10}}})
+	f.Expect(f.pool.jobs["a"].maxUnreportedUse()).To(Equal(cell.Resources{CPUMillis: 1000, MemoryMB: 1000}))
 }
--- a/pkg/dispatch/worker_test.go
+++ b/pkg/dispatch/worker_test.go
@@ -17,16 +17,16 @@
 	f.add(testJob("a", testStep(1)))
 	s := f.plan().Starts[0]
 	w := numberOf(s.Worker)
-	f.pool.StartAnswered(s, Answer{}, fmt.Errorf("no answer"), f.now)
+	f.pool.HandleStartAnswer(s, Answer{}, fmt.Errorf("no answer"), f.now)
 	actions := f.plan()
 	f.Expect(actions.Starts).To(BeEmpty())
-	f.Expect(actions.Settles).To(Equal([]WorkerID{s.Worker}))
+	f.Expect(actions.FenceWorkers).To(Equal([]WorkerID{s.Worker}))
 	f.report(w, Report{}) // of a hold with the same token: it may still be carried out
 	f.Expect(f.plan().Starts).To(BeEmpty())
-	h, _ := f.pool.HoldFor(s.Worker, true, true, f.now)
+	h, _ := f.pool.NewPoll(s.Worker, true, true, f.now)
 	f.Expect(h.Token).To(BeNumerically(">", s.Token))
 	f.pass(time.Millisecond)
-	f.pool.HoldAnswered(h, Answer{Verdict: VerdictDone, Clock: f.workerClock}, Report{}, f.now)
+	f.pool.HandlePollAnswer(h, Answer{Verdict: VerdictDone, Clock: f.workerClock}, Report{}, f.now)
 	again := f.plan().Starts
 	f.Expect(again).To(HaveLen(1))
 	f.Expect(again[0].Run).To(BeNumerically(">", s.Run))
@@ -37,10 +37,10 @@
 	f.reportAll(2)
 	f.add(testJob("a", testStep(1)))
 	s := f.plan().Starts[0]
-	f.pool.StartAnswered(s, Answer{}, fmt.Errorf("no answer"), f.now)
-	f.report(numberOf(s.Worker), Report{Active: []Active{{Task: s.Task, Run: s.Run, Percent: 10}}})
+	f.pool.HandleStartAnswer(s, Answer{}, fmt.Errorf("no answer"), f.now)
+	f.report(numberOf(s.Worker), Report{Active: []ActiveRun{{Task: s.Task, Run: s.Run, Percent: 10}}})
 	f.Expect(f.plan().Starts).To(BeEmpty())
-	state, _, _ := f.pool.State("a")
+	state, _, _ := f.pool.JobState("a")
 	f.Expect(state).To(Equal(job.Running))
 }
 
@@ -72,11 +72,11 @@
 	s := f.plan().Starts[0]
 	f.accept(s)
 	other := 1 - numberOf(s.Worker)
-	var starts []Start
+	var starts []StartOrder
 	for elapsed := time.Duration(0); elapsed < 8*time.Second; elapsed += 200 * time.Millisecond {
 		f.pass(200 * time.Millisecond)
 		f.report(other, Report{})
-		_, _ = f.pool.HoldFor(s.Worker, false, true, f.now) // no answer
+		_, _ = f.pool.NewPoll(s.Worker, false, true, f.now) // no answer
 		starts = append(starts, f.plan().Starts...)
 	}
 	f.Expect(starts).To(HaveLen(1))
@@ -88,7 +88,7 @@
 	f.reportAll(1)
 	w := f.pool.Workers()[0]
 	w.Draining = true
-	f.pool.PutWorker(w, true, f.now)
+	f.pool.UpsertWorker(w, true, f.now)
 	f.add(testJob("a", testStep(1)))
 	f.Expect(f.plan().Starts).To(BeEmpty())
 }
@@ -99,12 +99,12 @@
 	f.add(testJob("a", testStep(1)))
 	s := f.plan().Starts[0]
 	f.accept(s)
-	row := Active{Task: s.Task, Run: s.Run, Percent: 20, Checkpoint: "c1"}
+	row := ActiveRun{Task: s.Task, Run: s.Run, Percent: 20, Checkpoint: "c1"}
 	for range 5 {
 		f.pass(500 * time.Millisecond)
-		f.report(numberOf(s.Worker), Report{Active: []Active{row}})
+		f.report(numberOf(s.Worker), Report{Active: []ActiveRun{row}})
 		f.report(1-numberOf(s.Worker), Report{})
-		f.pool.Inspect(f.now)
+		f.pool.InspectRuns(f.now)
 	}
 	f.Expect(f.plan().Stops).To(HaveLen(1))
 	f.report(numberOf(s.Worker), f.end(s, 1, EndStopped))
@@ -122,9 +122,9 @@
 	s := f.plan().Starts[0]
 	f.accept(s)
 	f.pass(100 * time.Millisecond)
-	f.report(numberOf(s.Worker), Report{Active: []Active{{Task: s.Task, Run: s.Run, Percent: 20}}})
+	f.report(numberOf(s.Worker), Report{Active: []ActiveRun{{Task: s.Task, Run: s.Run, Percent: 20}}})
 	f.pass(1680 * time.Millisecond)
-	f.pool.Inspect(f.now)
+	f.pool.InspectRuns(f.now)
 	f.Expect(f.plan().Stops).To(BeEmpty())
 }
 
@@ -138,9 +138,9 @@
 	f.accept(s)
 	w := f.pool.workers[s.Worker].info
 	w.Draining, w.Remaining = true, 2*time.Second
-	f.pool.PutWorker(w, true, f.now)
-	f.report(numberOf(s.Worker), Report{Active: []Active{{Task: s.Task, Run: s.Run, Percent: 1}}})
-	f.pool.Inspect(f.now)
+	f.pool.UpsertWorker(w, true, f.now)
+	f.report(numberOf(s.Worker), Report{Active: []ActiveRun{{Task: s.Task, Run: s.Run, Percent: 1}}})
+	f.pool.InspectRuns(f.now)
 	f.Expect(f.plan().Stops).To(HaveLen(1))
 	f.report(numberOf(s.Worker), f.end(s, 1, EndStopped))
 	again := f.plan().Starts
@@ -156,22 +156,22 @@
 	f.accept(s)
 	w := f.pool.workers[s.Worker].info
 	w.Draining, w.Remaining = true, 2*time.Second
-	f.pool.PutWorker(w, true, f.now)
-	f.report(0, Report{Active: []Active{{Task: s.Task, Run: s.Run, Percent: 1}}})
-	f.pool.Inspect(f.now)
+	f.pool.UpsertWorker(w, true, f.now)
+	f.report(0, Report{Active: []ActiveRun{{Task: s.Task, Run: s.Run, Percent: 1}}})
+	f.pool.InspectRuns(f.now)
 	f.Expect(f.plan().Stops).To(BeEmpty())
 }
 
 func TestWorkerIsUsedOnlyOnceTheRosterHasIt(t *testing.T) {
 	f := newFixture(t, 0, nil)
-	f.pool.PutWorker(WorkerInfo{
+	f.pool.UpsertWorker(WorkerInfo{
 		ID: "w0", Pool: "pool", Address: netip.MustParseAddrPort("10.0.0.1:80"),
 		Capacity: cell.Resources{CPUMillis: 4000, MemoryMB: 8000},
 	}, true, f.now)
 	f.report(0, Report{})
 	f.add(testJob("a", testStep(1)))
 	f.Expect(f.plan().Starts).To(BeEmpty())
-	f.pool.Rostered([]WorkerID{"w0"})
+	f.pool.MarkInRoster([]WorkerID{"w0"})
 	f.Expect(f.plan().Starts).To(HaveLen(1))
 }
 
@@ -184,10 +184,10 @@
 		f.accept(s)
 		w := f.pool.workers[s.Worker].info
 		w.Draining, w.Remaining = true, 2*time.Second
-		f.pool.PutWorker(w, true, f.now)
+		f.pool.UpsertWorker(w, true, f.now)
 		f.pass(2 * time.Second)
 		f.report(1-numberOf(s.Worker), Report{})
-		f.pool.UnlistWorker(s.Worker, fresh, f.now)
+		f.pool.RemoveEntry(s.Worker, fresh, f.now)
 		if fresh {
 			f.Expect(f.plan().Starts).To(HaveLen(1))
 		} else {
@@ -199,14 +199,14 @@
 // Calls to workers must not grow as the pool does.
 func TestHoldsWaitLongerInALargePool(t *testing.T) {
 	small := newFixture(t, 48, nil)
-	small.Expect(small.pool.HoldWait("w0")).To(Equal(holdWait))
+	small.Expect(small.pool.PollWait("w0")).To(Equal(pollWait))
 	large := newFixture(t, 3000, nil)
 	large.reportAll(3000)
-	large.Expect(large.pool.HoldWait("w0")).To(Equal(idleHoldWait))
+	large.Expect(large.pool.PollWait("w0")).To(Equal(maxIdlePollWait))
 	large.add(testJob("a", testStep(1)))
 	s := large.plan().Starts[0]
-	large.Expect(large.pool.HoldWait(s.Worker)).To(Equal(longHoldWait))
-	large.Expect(idleHoldWait).To(BeNumerically("<", usableWithin))
+	large.Expect(large.pool.PollWait(s.Worker)).To(Equal(maxPollWait))
+	large.Expect(maxIdlePollWait).To(BeNumerically("<", answerTimeout))
 }
 
 // All entries lapse while the store is away and come back one by one.
@@ -214,7 +214,7 @@
 	f := newFixture(t, 2, nil)
 	f.reportAll(2)
 	for n := range 2 {
-		f.pool.UnlistWorker(workerID(n), false, f.now)
+		f.pool.RemoveEntry(workerID(n), false, f.now)
 	}
 	f.add(testJob("a", testStep(8)))
 	f.Expect(f.plan().Starts).To(HaveLen(8))
@@ -226,7 +226,7 @@
 
 func TestWorkerThatRunsWhatIsNotOursGetsNothing(t *testing.T) {
 	f := newFixture(t, 1, nil)
-	f.report(0, Report{Strange: 1})
+	f.report(0, Report{UnparsableRuns: 1})
 	f.add(testJob("a", testStep(1)))
 	f.Expect(f.plan().Starts).To(BeEmpty(), "nobody knows what room that takes")
 	f.report(0, Report{})
@@ -240,8 +240,8 @@
 	f.add(testJob("a", testStep(1)))
 	s := f.plan().Starts[0]
 	f.accept(s)
-	f.pool.EntryUnusable("w0")
-	f.report(0, Report{Active: []Active{{Task: s.Task, Run: s.Run, Percent: 10}}})
+	f.pool.MarkEntryInvalid("w0")
+	f.report(0, Report{Active: []ActiveRun{{Task: s.Task, Run: s.Run, Percent: 10}}})
 	f.add(testJob("b", testStep(1)))
 	actions := f.plan()
 	f.Expect(actions.Starts).To(BeEmpty())
@@ -255,7 +255,7 @@
 func TestWorkerWhoseEntryStaysAwayGetsNothing(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.reportAll(1)
-	f.pool.UnlistWorker("w0", false, f.now)
+	f.pool.RemoveEntry("w0", false, f.now)
 	f.pass(3 * time.Second)
 	f.report(0, Report{})
 	f.add(testJob("a", testStep(1)))
@@ -270,8 +270,8 @@
 	f.reportAll(1)
 	w := f.pool.Workers()[0]
 	w.Draining = true
-	f.pool.PutWorker(w, true, f.now)
-	f.pool.UnlistWorker("w0", false, f.now)
+	f.pool.UpsertWorker(w, true, f.now)
+	f.pool.RemoveEntry("w0", false, f.now)
 	f.add(testJob("a", testStep(1)))
 	f.Expect(f.plan().Starts).To(BeEmpty())
 }
@@ -279,26 +279,26 @@
 func TestOnlyAnswersThatBringNewsCallForAPlan(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	answer := func(r Report) bool {
-		h, _ := f.pool.HoldFor("w0", false, true, f.now)
+		h, _ := f.pool.NewPoll("w0", false, true, f.now)
 		f.pass(time.Millisecond)
-		return f.pool.HoldAnswered(h, Answer{Verdict: VerdictDone, Clock: f.workerClock}, r, f.now)
+		return f.pool.HandlePollAnswer(h, Answer{Verdict: VerdictDone, Clock: f.workerClock}, r, f.now)
 	}
 	f.Expect(answer(Report{})).To(BeTrue(), "the worker may be given tasks from now on")
 	f.Expect(answer(Report{})).To(BeFalse())
 	f.add(testJob("a", testStep(1)))
 	start := f.plan().Starts[0]
 	f.accept(start)
-	f.Expect(answer(Report{Active: []Active{{Task: start.Task, Run: start.Run, Percent: 3}}})).To(BeFalse())
+	f.Expect(answer(Report{Active: []ActiveRun{{Task: start.Task, Run: start.Run, Percent: 3}}})).To(BeFalse())
 	f.Expect(answer(f.end(start, 1, EndDone))).To(BeTrue(), "there is room")
-	f.Expect(answer(Report{Active: []Active{{Task: start.Task, Run: 99}}})).To(BeTrue(), "a run that must not go on")
+	f.Expect(answer(Report{Active: []ActiveRun{{Task: start.Task, Run: 99}}})).To(BeTrue(), "a run that must not go on")
 }
 
 func TestWorkerThatComesBackAfterALongCutKnowsTheSameOwner(t *testing.T) {
 	f := newFixture(t, 2, nil)
 	f.reportAll(2)
-	raised, _ := f.pool.HoldFor("w0", true, true, f.now)
-	f.pool.HoldAnswered(raised, Answer{Verdict: VerdictDone, Clock: f.workerClock}, Report{}, f.now)
-	f.pool.UnlistWorker("w0", false, f.now)
+	raised, _ := f.pool.NewPoll("w0", true, true, f.now)
+	f.pool.HandlePollAnswer(raised, Answer{Verdict: VerdictDone, Clock: f.workerClock}, Report{}, f.now)
+	f.pool.RemoveEntry("w0", false, f.now)
 	for range 50 {
 		f.pass(200 * time.Millisecond)
 		f.report(1, Report{})
@@ -306,7 +306,7 @@
 	}
 	f.Expect(f.pool.workers).NotTo(HaveKey(WorkerID("w0")), "it is taken for one that left")
 	f.addWorker(0)
-	h, ok := f.pool.HoldFor("w0", false, true, f.now)
+	h, ok := f.pool.NewPoll("w0", false, true, f.now)
 	f.Expect(ok).To(BeTrue())
 	f.Expect(h.Token).To(BeNumerically(">=", raised.Token), "the worker does nothing for a lower one")
 }
--- a/pkg/fit/fit.go
+++ b/pkg/fit/fit.go
@@ -2,8 +2,8 @@
 
 import "foldarch.dev/foldarch/pkg/cell"
 
-// Tasks is how many tasks of a need resources suffice for, at most most.
-func Tasks(need, free cell.Resources, most int) int {
+// MaxTasks is how many tasks of a need resources suffice for, at most most.
+func MaxTasks(need, free cell.Resources, most int) int {
 	n := most
 	if need.CPUMillis > 0 {
 		n = min(n, int(free.CPUMillis/need.CPUMillis))
@@ -17,45 +17,45 @@
 	return max(n, 0)
 }
 
-// Worker is a worker with room for a task, as the task sees it.
-type Worker struct {
+// Candidate is a worker with room for a task, as the task sees it.
+type Candidate struct {
 	Free, Capacity cell.Resources
 	Far            bool // from the task's data
 	FailedThere    bool // the task failed there last
 	FailsLately    bool // the task has failed somewhere, and so did the last tasks on this worker
 }
 
-// What a worker costs beside what is left free there, which is at most 1 + restWeight. Only the
+// What a worker costs beside what is left free there, which is at most 1 + otherResourcesWeight. Only the
 // order of these matters: data near goes before a good fit, a worker that has not failed lately before data
 // near, and any other worker before the one where the task failed.
 const (
-	farFromData = 10
-	failsLately = 50
-	failedThere = 100
+	farFromDataCost    = 10
+	recentFailuresCost = 50
+	failedHereCost     = 100
 )
 
 // Cost is what it costs to run a task of a need on the worker: the one that a task uses up most, near its data and away from where it
 // failed, costs least.
-func (w Worker) Cost(need cell.Resources) float64 {
-	cost := w.leftOver(need)
+func (w Candidate) Cost(need cell.Resources) float64 {
+	cost := w.remainingShare(need)
 	if w.Far {
-		cost += farFromData
+		cost += farFromDataCost
 	}
 	if w.FailedThere {
-		cost += failedThere
+		cost += failedHereCost
 	}
 	if w.FailsLately {
-		cost += failsLately
+		cost += recentFailuresCost
 	}
 	return cost
 }
 
-// restWeight makes the other resources decide among workers that are alike in the scarcest one.
-const restWeight = 0.1
+// otherResourcesWeight makes the other resources decide among workers that are alike in the scarcest one.
+const otherResourcesWeight = 0.1
 
-// leftOver is what the worker keeps free beside a task: first of the resource of which the task takes
+// remainingShare is what the worker keeps free beside a task: first of the resource of which the task takes
 // the largest share, so that workers which are broken into already fill up and whole ones stay whole.
-func (w Worker) leftOver(need cell.Resources) float64 {
+func (w Candidate) remainingShare(need cell.Resources) float64 {
 	left := w.Free.Sub(need)
-	return left.ShareOf(need.Dominant(w.Capacity), w.Capacity) + restWeight*left.DominantShare(w.Capacity)
+	return left.ShareOf(need.Dominant(w.Capacity), w.Capacity) + otherResourcesWeight*left.DominantShare(w.Capacity)
 }
--- a/pkg/fit/fit_test.go
+++ b/pkg/fit/fit_test.go
@@ -21,11 +21,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			g.Expect(Tasks(c.need, free, 9)).To(Equal(c.want))
-			g.Expect(Tasks(c.need, free, 1)).To(Equal(1))
+			g.Expect(MaxTasks(c.need, free, 9)).To(Equal(c.want))
+			g.Expect(MaxTasks(c.need, free, 1)).To(Equal(1))
 		})
 	}
-	NewWithT(t).Expect(Tasks(cell.Resources{CPUMillis: 1}, cell.Resources{CPUMillis: -5}, 9)).To(BeZero())
+	NewWithT(t).Expect(MaxTasks(cell.Resources{CPUMillis: 1}, cell.Resources{CPUMillis: -5}, 9)).To(BeZero())
 }
 
 // Guards against a task that goes where it failed, to a worker that fails, or far from its data for the sake of a better fit.
@@ -34,7 +34,7 @@
 	capacity := cell.Resources{CPUMillis: 16_000, MemoryMB: 1000, Accelerators: 4}
 	need := cell.Resources{CPUMillis: 1000, MemoryMB: 10}
 	full := cell.Resources{CPUMillis: 1000, MemoryMB: 10}
-	ordered := []Worker{
+	ordered := []Candidate{
 		{Free: full, Capacity: capacity},
 		{Free: cell.Resources{CPUMillis: 1000, MemoryMB: 1000}, Capacity: capacity},
 		{Free: capacity, Capacity: capacity},
--- a/pkg/jobhost/figures.go
+++ b/pkg/jobhost/figures.go
@@ -145,9 +145,9 @@
 func writePool(w io.Writer, o *poolowner.Owner) {
 	s := o.Status()
 	values := map[string]int64{
-		"pool.workers": int64(s.Workers), "pool.workers_silent": int64(s.Silent), "pool.workers_evacuated": int64(s.Evacuated), "pool.jobs": int64(s.Jobs),
+		"pool.workers": int64(s.Workers), "pool.workers_silent": int64(s.UnresponsiveWorkers), "pool.workers_evacuated": int64(s.EvacuatedWorkers), "pool.jobs": int64(s.Jobs),
 		"pool.steps_waiting": int64(s.Steps), "pool.tasks_waiting": int64(s.Waiting), "pool.runs": int64(s.Runs),
-		"pool.jobs_held": int64(s.Held), "pool.workers_retired_silent": int64(s.Retired), "pool.calls_waiting": int64(o.CallsWaiting()), "pool.workers_relayed": int64(o.Relayed()), "pool.advice_calls": int64(s.Calls), "pool.advisers_free": int64(s.Advisers),
+		"pool.jobs_held": int64(s.BlockedJobs), "pool.workers_retired_silent": int64(s.SilentRetiredWorkers), "pool.calls_waiting": int64(o.CallsWaiting()), "pool.workers_relayed": int64(o.Relayed()), "pool.advice_calls": int64(s.AdviceCalls), "pool.advisers_free": int64(s.FreeAdvisers),
 		"pool.used_cpu_millis": s.Used.CPUMillis, "pool.capacity_cpu_millis": s.Capacity.CPUMillis,
 		"pool.used_memory_mb": s.Used.MemoryMB, "pool.capacity_memory_mb": s.Capacity.MemoryMB,
 	}
--- a/pkg/latestart/doc.go
+++ b/pkg/latestart/doc.go
@@ -34,7 +34,7 @@
 //	t.Add(latestart.Start{Number: 3, Life: 1, Worker: "w1", Until: now.Add(latestart.Lasts)})
 //	n := latestart.Numbers{Given: 3}
 //	t.MayRunOn("w2")      // false
-//	t.RepeatsOn("w1", n)  // true: the next run there has number 3
+//	t.ReusesNumberOn("w1", n)  // true: the next run there has number 3
 //	n.Ended = 3           // that run has ended
 //	t.Outwaits(n)         // true: nothing starts before the late start is over
 package latestart
--- a/pkg/latestart/unanswered.go
+++ b/pkg/latestart/unanswered.go
@@ -8,18 +8,18 @@
 	"foldarch.dev/foldarch/pkg/job"
 )
 
-// Stored is what the store is told of starts without an answer.
-func (t *Task) Stored() []job.Unanswered {
+// Unanswered is what the store is told of starts without an answer.
+func (t *TaskStarts) Unanswered() []job.Unanswered {
 	return slices.Clone(t.unanswered)
 }
 
-// Tell has the store be told of a start without an answer.
-func (t *Task) Tell(u job.Unanswered) {
+// AddUnanswered has the store be told of a start without an answer.
+func (t *TaskStarts) AddUnanswered(u job.Unanswered) {
 	t.unanswered = append(t.unanswered, u)
 }
 
-// TellVoid has the store be told that a start does nothing any more on the life that it was sent to. It says whether that is news.
-func (t *Task) TellVoid(number int) bool {
+// MarkInvalidated has the store be told that a start does nothing any more on the life that it was sent to. It says whether that is news.
+func (t *TaskStarts) MarkInvalidated(number int) bool {
 	news := false
 	for i, u := range t.unanswered {
 		if u.Run == number && !u.Void {
@@ -29,28 +29,28 @@
 	return news
 }
 
-// Take takes in a start that a former owner got no answer to, which may be carried out until a time.
-func (t *Task) Take(u job.Unanswered, worker string, until clock.Time) {
-	t.Tell(u)
-	t.Add(Start{Number: u.Run, Worker: worker, Until: until, Former: true, Void: u.Void})
+// LoadUnanswered takes in a start that a former owner got no answer to, which may be carried out until a time.
+func (t *TaskStarts) LoadUnanswered(u job.Unanswered, worker string, until clock.Time) {
+	t.AddUnanswered(u)
+	t.Add(Start{Number: u.Run, Worker: worker, ExpiresAt: until, FromPreviousOwner: true, Invalidated: u.Void})
 }
 
-// CarriedOut takes in that a worker has answered a start or lists its run, so that it does not come late. The store is told with the next change. A start that
+// RemoveExecuted takes in that a worker has answered a start or lists its run, so that it does not come late. The store is told with the next change. A start that
 // was void may have been sent again under the same number, and a list shows one run.
-func (t *Task) CarriedOut(number int) {
+func (t *TaskStarts) RemoveExecuted(number int) {
 	t.unanswered = slices.DeleteFunc(t.unanswered, func(u job.Unanswered) bool { return u.Run == number && !u.Void })
-	t.starts = slices.DeleteFunc(t.starts, func(s Start) bool { return s.Former && s.Number == number && !s.Void })
+	t.starts = slices.DeleteFunc(t.starts, func(s Start) bool { return s.FromPreviousOwner && s.Number == number && !s.Invalidated })
 }
 
-// DropStored forgets what the store is told of starts that can't be carried out any more.
-func (t *Task) DropStored(over func(sentBy time.Time) bool) {
+// RemoveUnanswered forgets what the store is told of starts that can't be carried out any more.
+func (t *TaskStarts) RemoveUnanswered(over func(sentBy time.Time) bool) {
 	t.unanswered = slices.DeleteFunc(t.unanswered, func(u job.Unanswered) bool { return over(u.At) })
 }
 
 // Until is until when a start may be carried out that was sent by a time of day, at this owner or a former one, whose times of day may differ; 0 when that is
 // over.
-func Until(sentBy, wall time.Time, differ time.Duration, now clock.Time) clock.Time {
-	left := min(sentBy.Add(Lasts+differ).Sub(wall), Lasts)
+func ExpiryOf(sentBy, wall time.Time, differ time.Duration, now clock.Time) clock.Time {
+	left := min(sentBy.Add(MaxDelay+differ).Sub(wall), MaxDelay)
 	if sentBy.IsZero() || left <= 0 {
 		return 0
 	}
--- a/pkg/outcome/outcome_test.go
+++ b/pkg/outcome/outcome_test.go
@@ -15,25 +15,25 @@
 func TestFirstOutcomeOfAJobStands(t *testing.T) {
 	g := NewWithT(t)
 	o := New()
-	o.Put("a", Outcome{State: job.Completed, Customer: "north", Since: at})
-	o.Put("a", Outcome{State: job.Failed, Since: at + 1})
-	x, known := o.Of("a")
+	o.Put("a", Outcome{State: job.Completed, Customer: "north", LearnedAt: at})
+	o.Put("a", Outcome{State: job.Failed, LearnedAt: at + 1})
+	x, known := o.Find("a")
 	g.Expect(known).To(BeTrue())
-	g.Expect(x).To(Equal(Outcome{State: job.Completed, Customer: "north", Since: at}))
-	g.Expect(o.Knows("b")).To(BeFalse())
+	g.Expect(x).To(Equal(Outcome{State: job.Completed, Customer: "north", LearnedAt: at}))
+	g.Expect(o.Contains("b")).To(BeFalse())
 }
 
 // Guards against ends that are noted too early: an earlier time does not take the place of a later one.
 func TestLatestOfTheLateStartsCounts(t *testing.T) {
 	g := NewWithT(t)
 	o := New()
-	o.Put("a", Outcome{State: job.Completed, Since: at})
-	o.MayRunLateUntil("a", at+5)
-	o.MayRunLateUntil("a", at+2)
-	o.MayRunLateUntil("b", at+2)
-	x, _ := o.Of("a")
-	g.Expect(x.LateUntil).To(Equal(at + 5))
-	g.Expect(o.Knows("b")).To(BeFalse())
+	o.Put("a", Outcome{State: job.Completed, LearnedAt: at})
+	o.ExtendLateStarts("a", at+5)
+	o.ExtendLateStarts("a", at+2)
+	o.ExtendLateStarts("b", at+2)
+	x, _ := o.Find("a")
+	g.Expect(x.LateStartsExpireAt).To(Equal(at + 5))
+	g.Expect(o.Contains("b")).To(BeFalse())
 }
 
 // Guards against outcomes that are forgotten while callers may ask for them, or kept for ever.
@@ -41,7 +41,7 @@
 	g := NewWithT(t)
 	o := New()
 	for n, id := range []job.ID{"c", "a", "b"} {
-		o.Put(id, Outcome{State: job.Completed, Since: at.Add(time.Duration(n) * time.Second)})
+		o.Put(id, Outcome{State: job.Completed, LearnedAt: at.Add(time.Duration(n) * time.Second)})
 	}
 	g.Expect(o.Expired(time.Minute, 9, at)).To(BeEmpty())
 	now := at.Add(time.Minute + time.Second)
@@ -49,6 +49,6 @@
 	ids := o.Expired(time.Minute, 9, now)
 	g.Expect(ids).To(Equal([]job.ID{"c", "a"}))
 	o.Forget(ids)
-	g.Expect(o.Knows("a")).To(BeFalse())
+	g.Expect(o.Contains("a")).To(BeFalse())
 	g.Expect(o.Expired(time.Minute, 9, now.Add(time.Hour))).To(Equal([]job.ID{"b"}))
 }
--- a/pkg/pace/change.go
+++ b/pkg/pace/change.go
@@ -5,32 +5,32 @@
 
 // The changes.
 const (
-	Keep     Change = iota
-	Down            // slower at once
-	NoFaster        // no faster than one that has just started
-	Up              // faster by a step
-	ToFull          // nothing is served there
+	Keep         Change = iota
+	SlowDown            // slower at once
+	CapAtInitial        // no faster than one that has just started
+	SpeedUp             // faster by a step
+	ResetToFull         // nothing is served there
 )
 
-// Of is the next pace of a filler with a present one, in percent.
-func (c Change) Of(present int) int {
+// Apply is the next pace of a filler with a present one, in percent.
+func (c Change) Apply(present int) int {
 	switch c {
-	case Down:
-		return int(float64(present) * downTo)
-	case NoFaster:
-		return min(present, start)
-	case Up:
-		return min(present+upBy, Full)
-	case ToFull:
+	case SlowDown:
+		return int(float64(present) * slowDownFactor)
+	case CapAtInitial:
+		return min(present, initialPace)
+	case SpeedUp:
+		return min(present+speedUpStep, Full)
+	case ResetToFull:
 		return Full
 	}
 	return present
 }
 
-// First is the pace of a filler that was given none yet, in percent: it goes at full pace, or begins slowly when it has to be slowed down.
-func (c Change) First() int {
-	if next := c.Of(Full); next < Full {
-		return min(next, start)
+// Initial is the pace of a filler that was given none yet, in percent: it goes at full pace, or begins slowly when it has to be slowed down.
+func (c Change) Initial() int {
+	if next := c.Apply(Full); next < Full {
+		return min(next, initialPace)
 	}
 	return Full
 }
--- a/pkg/poolowner/call_gate.go
+++ b/pkg/poolowner/call_gate.go
@@ -22,7 +22,7 @@
 const unboundedCalls = 1 << 20
 
 func callsAtOnceOf(deps Deps) int {
-	if deps.Without.Has(dispatch.CallGate) {
+	if deps.Without.Contains(dispatch.CallLimit) {
 		return unboundedCalls
 	}
 	return callsAtOnce
--- a/pkg/poolowner/commits.go
+++ b/pkg/poolowner/commits.go
@@ -64,20 +64,20 @@
 // commitChanges writes what has changed since the last commit.
 func (o *Owner) commitChanges(ctx context.Context) {
 	o.mu.Lock()
-	c := o.pool.TakeCommit()
+	c := o.pool.PrepareCommit()
 	o.mu.Unlock()
-	if c.Empty() {
+	if c.IsEmpty() {
 		return
 	}
 	if err := o.writeChanges(ctx, c.Changes); err != nil {
 		return // only when this owner ends
 	}
 	o.mu.Lock()
-	o.pool.Committed(c)
+	o.pool.ApplyCommit(c)
 	close(o.committed)
 	o.committed = make(chan struct{})
 	o.mu.Unlock()
-	if c.Starts() {
+	if c.HasStarts() {
 		o.wake()
 	}
 }
@@ -120,14 +120,14 @@
 // writeChanges puts changes into the store, whatever it takes; an error says that the owner
 // ends. What does not fit into one transaction is spread over the lanes, so that a slow store
 // gets several at once; they are of different jobs and may be done in any order.
-func (o *Owner) writeChanges(ctx context.Context, changes []dispatch.Change) error {
+func (o *Owner) writeChanges(ctx context.Context, changes []dispatch.JobChange) error {
 	txns, err := packChanges(changes)
 	if err != nil {
 		return err
 	}
 	group, ctx := errgroup.WithContext(ctx)
 	lanes := len(o.lanes)
-	if o.deps.Without.Has(dispatch.CommitLanes) {
+	if o.deps.Without.Contains(dispatch.ParallelCommits) {
 		lanes = 1
 	}
 	for n := range min(lanes, len(txns)) {
@@ -144,7 +144,7 @@
 }
 
 // packChanges makes transactions of changes, as few as hold them.
-func packChanges(changes []dispatch.Change) ([]platform.Txn, error) {
+func packChanges(changes []dispatch.JobChange) ([]platform.Txn, error) {
 	const most = platform.MaxTxnEntries - ownEntries
 	var txns []platform.Txn
 	var last platform.Txn
@@ -171,15 +171,15 @@
 }
 
 // entriesOf returns what one change writes and removes.
-func entriesOf(c dispatch.Change) (t platform.Txn, err error) {
+func entriesOf(c dispatch.JobChange) (t platform.Txn, err error) {
 	if c.Outcome == "" {
 		text, err := c.Progress.Encode()
 		t.Put = []platform.Put{{Key: jobstore.ProgressKey(c.Job), Value: text}}
 		return t, err
 	}
-	text, err := job.Record{Outcome: c.Outcome, Customer: customer.Customer{Name: c.Customer}, Unended: c.Unended, LateStart: c.LateStart}.Encode()
+	text, err := job.Record{Outcome: c.Outcome, Customer: customer.Customer{Name: c.Customer}, Unended: c.RemainingUse, LateStart: c.LastLateStart}.Encode()
 	t.Put = []platform.Put{{Key: jobstore.JobKey(c.Job), Value: text}}
-	if c.Stored {
+	if c.HasProgress {
 		t.Remove = append(t.Remove, jobstore.ProgressKey(c.Job))
 	}
 	if c.Outcome == job.Cancelled {
--- a/pkg/poolowner/commits_test.go
+++ b/pkg/poolowner/commits_test.go
@@ -11,8 +11,8 @@
 	. "github.com/onsi/gomega"
 )
 
-func changes(n int, c dispatch.Change) []dispatch.Change {
-	out := make([]dispatch.Change, n)
+func changes(n int, c dispatch.JobChange) []dispatch.JobChange {
+	out := make([]dispatch.JobChange, n)
 	for i := range out {
 		out[i] = c
 		out[i].Job = job.ID(fmt.Sprintf("%016d", i))
@@ -28,14 +28,14 @@
 	g.Expect(none).To(BeEmpty())
 	for _, c := range []struct {
 		changes int
-		change  dispatch.Change
+		change  dispatch.JobChange
 		want    int
 	}{
-		{30, dispatch.Change{Outcome: job.Completed}, 1},
-		{30, dispatch.Change{}, 1},
-		{31, dispatch.Change{Outcome: job.Completed}, 2},
-		{30, dispatch.Change{Outcome: job.Completed, Stored: true}, 2},
-		{20, dispatch.Change{Outcome: job.Cancelled, Stored: true}, 2},
+		{30, dispatch.JobChange{Outcome: job.Completed}, 1},
+		{30, dispatch.JobChange{}, 1},
+		{31, dispatch.JobChange{Outcome: job.Completed}, 2},
+		{30, dispatch.JobChange{Outcome: job.Completed, HasProgress: true}, 2},
+		{20, dispatch.JobChange{Outcome: job.Cancelled, HasProgress: true}, 2},
 	} {
 		txns, err := packChanges(changes(c.changes, c.change))
 		g.Expect(err).NotTo(HaveOccurred())
@@ -53,7 +53,7 @@
 func TestOutcomeTellsOfTheLastStartWithoutAnAnswer(t *testing.T) {
 	g := NewWithT(t)
 	at := time.Date(2020, 1, 2, 3, 4, 5, 6_000_000, time.UTC)
-	txns, err := packChanges([]dispatch.Change{{Job: "a", Outcome: job.Completed, LateStart: at}})
+	txns, err := packChanges([]dispatch.JobChange{{Job: "a", Outcome: job.Completed, LastLateStart: at}})
 	g.Expect(err).NotTo(HaveOccurred())
 	record, err := job.DecodeRecord(txns[0].Put[0].Value)
 	g.Expect(err).NotTo(HaveOccurred())
--- a/pkg/poolowner/confirmations.go
+++ b/pkg/poolowner/confirmations.go
@@ -10,7 +10,7 @@
 
 // confirmPause is the time between two looks at the owner's record, which are made only while what
 // ran on a silent worker is to be started elsewhere. It is half of the time for which the pool
-// needs a confirmation to be fresh (dispatch.confirmedWithin).
+// needs a confirmation to be fresh (dispatch.ownershipConfirmationValidity).
 const confirmPause = 400 * time.Millisecond
 
 // askConfirmation has the owner's record read.
@@ -44,7 +44,7 @@
 		return
 	}
 	o.mu.Lock()
-	o.pool.Confirmed(sentAt)
+	o.pool.RecordOwnershipConfirmed(sentAt)
 	o.mu.Unlock()
 	o.wake()
 }
--- a/pkg/poolowner/entries.go
+++ b/pkg/poolowner/entries.go
@@ -20,7 +20,7 @@
 // putEntry takes in an entry that stands in the store; ok is false when it names no worker. The caller holds o.mu.
 func (o *Owner) putEntry(i platform.Item) (id dispatch.WorkerID, ok bool) {
 	info, err := platform.ParseWorker(i)
-	if err == nil && !o.pool.Configured(info.Pool) {
+	if err == nil && !o.pool.IsPoolConfigured(info.Pool) {
 		err = errors.Newf("entry of worker %s: %s: its pool is not configured", info.ID, info.Pool)
 	}
 	if err != nil {
@@ -34,14 +34,14 @@
 // putWorker takes in a worker whose entry is usable. The caller holds o.mu.
 func (o *Owner) putWorker(info dispatch.WorkerInfo) {
 	delete(o.unusable, info.ID.Name())
-	if o.pool.PutWorker(info, true, o.deps.Clock.Now()) {
+	if o.pool.UpsertWorker(info, true, o.deps.Clock.Now()) {
 		o.logWorker(info)
 	}
 }
 
 // leaveOut takes in that an entry names no worker. It is told once, since it is written again with each heartbeat of who wrote it.
 func (o *Owner) leaveOut(name string, e unusableEntry) {
-	o.pool.EntryUnusable(name)
+	o.pool.MarkEntryInvalid(name)
 	metrics.GetOrRegisterCounter("pool.entries_unusable", o.deps.Figures).Inc(1)
 	former, known := o.unusable[name]
 	if !known && len(o.unusable) >= mostUnusable {
@@ -56,7 +56,7 @@
 // putConfigured takes in entries that were left out for a pool that is configured now. The caller holds o.mu.
 func (o *Owner) putConfigured() {
 	for _, e := range o.unusable {
-		if e.info.ID != "" && o.pool.Configured(e.info.Pool) {
+		if e.info.ID != "" && o.pool.IsPoolConfigured(e.info.Pool) {
 			o.putWorker(e.info)
 		}
 	}
--- a/pkg/poolowner/entries_test.go
+++ b/pkg/poolowner/entries_test.go
@@ -92,5 +92,5 @@
 func (o *Owner) listed(id dispatch.WorkerID) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.pool.Listed(id)
+	return o.pool.HasEntry(id)
 }
--- a/pkg/poolowner/limits.go
+++ b/pkg/poolowner/limits.go
@@ -30,7 +30,7 @@
 	if o.limits.at != 0 && now.Sub(o.limits.at) < poolrpc.HeartbeatEvery {
 		return o.limits.told
 	}
-	list := o.pool.Limits(now)
+	list := o.pool.CustomerLimits(now)
 	o.logLimits(o.limits.list, list)
 	o.limits = limits{at: now, list: list, told: messagesOf(list)}
 	return o.limits.told
--- a/pkg/poolowner/loading.go
+++ b/pkg/poolowner/loading.go
@@ -67,7 +67,7 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.pool.SetLoaded()
+	o.pool.MarkJobsLoaded()
 	o.putConfigured()
 	o.loaded.Store(true)
 	close(o.jobsKnown)
@@ -146,7 +146,7 @@
 		id, cancel := jobstore.ParseJobKey(i.Key)
 		switch {
 		case i.Gone:
-		case o.pool.Running(id) && !cancel && !job.HasOutcome(i.Value):
+		case o.pool.IsJobActive(id) && !cancel && !job.HasOutcome(i.Value):
 			// A host has told of it; reading all records once more took 5% of an owner's time.
 		case cancel:
 			if !o.pool.Cancel(id) {
@@ -214,7 +214,7 @@
 	}
 	for _, w := range o.pool.Workers() {
 		if !listed[w.ID] {
-			o.pool.UnlistWorker(w.ID, false, o.deps.Clock.Now())
+			o.pool.RemoveEntry(w.ID, false, o.deps.Clock.Now())
 		}
 	}
 	o.position.workers = at
@@ -272,7 +272,7 @@
 		if i.Gone {
 			name := platform.WorkerName(i)
 			delete(o.unusable, name)
-			o.pool.EntryGone(name, o.beats.fresh(name, now), now)
+			o.pool.RemoveEntryByName(name, o.beats.fresh(name, now), now)
 			continue
 		}
 		if id, ok := o.putEntry(i); ok {
--- a/pkg/poolowner/members.go
+++ b/pkg/poolowner/members.go
@@ -36,7 +36,7 @@
 	o.members[s.Name] = o.newMember(s)
 	st := s.Status()
 	o.relays.PutHost(s.Name, st.Hall, int(st.Strength), cmp.Or(int(st.MostWorkers), relay.WorkersPerHost))
-	o.pool.PutAdviser(s.Name)
+	o.pool.AddAdviser(s.Name)
 	o.deps.Log.WithField("member", s.Name).Info("member_joined")
 }
 
@@ -231,10 +231,10 @@
 		return a
 	}
 	if q.Job == "" {
-		a.Pending = int64(o.pool.Pending(q.Queue))
+		a.Pending = int64(o.pool.PendingJobs(q.Queue))
 		return a
 	}
-	state, customer, ok := o.pool.State(job.ID(q.Job))
+	state, customer, ok := o.pool.JobState(job.ID(q.Job))
 	a.State, a.Customer, a.Unknown = string(state), customer, !ok
 	return a
 }
@@ -254,10 +254,10 @@
 }
 
 // ask has a call for advice made, by this host or by a member.
-func (o *Owner) ask(ctx context.Context, m *member, a dispatch.Ask) {
+func (o *Owner) ask(ctx context.Context, m *member, a dispatch.AdviceCall) {
 	call := &poolpb.AdviceCall{
 		Number: a.Number, Job: string(a.Step.Job), Time: int64(a.Step.Time), Step: int64(a.Step.Step),
-		LimitMs: a.Limit.Milliseconds(),
+		LimitMs: a.Timeout.Milliseconds(),
 	}
 	for _, w := range a.Workers {
 		call.Workers = append(call.Workers, string(w))
@@ -277,7 +277,7 @@
 		tickets = append(tickets, dispatch.Ticket{Worker: dispatch.WorkerID(t.Worker), Text: t.Text})
 	}
 	o.mu.Lock()
-	o.pool.AdviceAnswered(r.Number, tickets, r.Ok, o.deps.Clock.Now())
+	o.pool.HandleAdviceAnswer(r.Number, tickets, r.Ok, o.deps.Clock.Now())
 	o.mu.Unlock()
 	o.wake()
 }
