--- a/pkg/poolowner/owner.go
+++ b/pkg/poolowner/owner.go
@@ -25,8 +25,8 @@
 	AuthorityTerm = 2 * time.Second
 	// takeoverTerm also covers orders that were decided at its very end.
 	takeoverTerm = AuthorityTerm + 200*time.Millisecond
-	// tokenStep leaves room for the tokens of one owner (dispatch.MaxBumps).
-	tokenStep = dispatch.MaxBumps + 1
+	// tokenStep leaves room for the tokens of one owner (dispatch.MaxTokenIncrements).
+	tokenStep = dispatch.MaxTokenIncrements + 1
 	// runsOfTerm is how far apart the run numbers of two owners begin.
 	runsOfTerm = 1000
 
@@ -90,7 +90,7 @@
 	// Figures takes counters of what was decided and learned, by event.
 	Figures metrics.Registry
 	// Without leaves mechanisms out, in tests and builds for trials.
-	Without dispatch.Without
+	Without dispatch.DisabledMechanisms
 }
 
 // Owner owns a pool.
@@ -163,13 +163,13 @@
 	}
 	lease := min(maxLease, deps.Bounds.MaxHold-leaseMargin)
 	o.pool = dispatch.New(dispatch.Config{
-		Hold: lease, MaxHold: lease, LongestLease: deps.Bounds.MaxHold, Drain: deps.Bounds.Drain, StopGrace: deps.Bounds.StopGrace,
-		Restore: deps.Bounds.Restore,
-		Token:   claim.Revision * tokenStep, Term: claim.Term, NamedFrom: claim.NamedFrom, FirstRun: int(claim.Term) * runsOfTerm, Takeover: !claim.First,
-		AuthorityTerm: formerTerm(claim), Wall: deps.Clock.Wall, Log: o.logEvent, Without: deps.Without,
+		LeaseDuration: lease, MaxLeaseDuration: lease, WorkerMaxLease: deps.Bounds.MaxHold, MinDrainTime: deps.Bounds.Drain, StopGrace: deps.Bounds.StopGrace,
+		RestoreTime: deps.Bounds.Restore,
+		Token:       claim.Revision * tokenStep, Term: claim.Term, RecordWorkersFromTerm: claim.NamedFrom, RunNumberBase: int(claim.Term) * runsOfTerm, HasPreviousOwner: !claim.First,
+		AuthorityTerm: formerTerm(claim), WallClock: deps.Clock.Wall, Log: o.logEvent, Disabled: deps.Without,
 	}, now)
 	o.relays = relay.NewAssignments(o.stopping, deps.LinkMbps)
-	o.pool.PutAdviser(deps.Name)
+	o.pool.AddAdviser(deps.Name)
 	return o
 }
 
@@ -233,7 +233,7 @@
 // SetEvacuated takes in which data halls are being evacuated.
 func (o *Owner) SetEvacuated(halls []string) {
 	o.mu.Lock()
-	o.pool.SetEvacuated(halls)
+	o.pool.SetEvacuatedHalls(halls)
 	o.mu.Unlock()
 	o.wake()
 }
@@ -256,14 +256,14 @@
 	if o.deposed.Load() {
 		return false
 	}
-	if o.pool.Fenced() {
+	if o.pool.IsFenced() {
 		o.depose("fenced")
 		return false
 	}
 	most := o.mostAnswer(now)
 	if !o.fenced && most {
 		o.fenced = true
-		o.pool.Fencing(now)
+		o.pool.RestartTakeoverTimers(now)
 	}
 	return most || o.deps.Leased(now)
 }
@@ -276,7 +276,7 @@
 // o.mu.
 func (o *Owner) mostAnswer(now clock.Time) bool {
 	if o.counted.at == 0 || now.Sub(o.counted.at) >= countEvery {
-		answering, all := o.pool.Answering(now, AuthorityTerm)
+		answering, all := o.pool.AnsweringCount(now, AuthorityTerm)
 		o.counted = answerCount{at: now, most: 2*answering > all}
 	}
 	return o.counted.most
@@ -310,7 +310,7 @@
 
 // restAfter is how long the next plan waits at least after one that took a time.
 func (o *Owner) restAfter(took time.Duration) time.Duration {
-	if o.deps.Without.Has(dispatch.PlanRests) {
+	if o.deps.Without.Contains(dispatch.PlanThrottling) {
 		return planPause
 	}
 	return max(planPause, planRest*took)
@@ -319,7 +319,7 @@
 func (o *Owner) inspect() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.pool.Inspect(o.deps.Clock.Now())
+	o.pool.InspectRuns(o.deps.Clock.Now())
 }
 
 // Status summarizes the pool.
@@ -346,8 +346,8 @@
 	s := o.Status()
 	plans := o.plans.Snapshot()
 	fields := logrus.Fields{
-		"workers": s.Workers, "silent": s.Silent, "evacuated": s.Evacuated, "jobs": s.Jobs, "steps": s.Steps, "waiting": s.Waiting, "runs": s.Runs,
-		"calls": s.Calls, "advisers": s.Advisers, "takeover": s.Takeover, "held": s.Held, "retired": s.Retired, "calls_waiting": o.CallsWaiting(), "relayed": o.Relayed(), "used": s.Used, "capacity": s.Capacity,
+		"workers": s.Workers, "silent": s.UnresponsiveWorkers, "evacuated": s.EvacuatedWorkers, "jobs": s.Jobs, "steps": s.Steps, "waiting": s.Waiting, "runs": s.Runs,
+		"calls": s.AdviceCalls, "advisers": s.FreeAdvisers, "takeover": s.TakeoverPending, "held": s.BlockedJobs, "retired": s.SilentRetiredWorkers, "calls_waiting": o.CallsWaiting(), "relayed": o.Relayed(), "used": s.Used, "capacity": s.Capacity,
 		"plan_p50_us": time.Duration(plans.Percentile(0.5)).Microseconds(), "plan_p99_us": time.Duration(plans.Percentile(0.99)).Microseconds(),
 	}
 	for name, n := range s.Advice {
@@ -367,11 +367,11 @@
 // logLongWaits tells which steps wait for long though there is room, and for what.
 func (o *Owner) logLongWaits() {
 	o.mu.Lock()
-	waits := o.pool.LongWaits(longWait, mostLongWaits, o.deps.Clock.Now())
+	waits := o.pool.DelayedSteps(longWait, mostLongWaits, o.deps.Clock.Now())
 	o.mu.Unlock()
 	for _, w := range waits {
 		o.deps.Log.WithFields(logrus.Fields{
-			"step": w.Step, "customer": w.Customer, "waited_ms": w.Waited.Milliseconds(), "left_ms": w.Left.Milliseconds(), "waits": w.Waits,
+			"step": w.Step, "customer": w.Customer, "waited_ms": w.Waited.Milliseconds(), "left_ms": w.TimeLeft.Milliseconds(), "waits": w.WaitReason,
 		}).Info("step_waits")
 	}
 }
@@ -380,19 +380,19 @@
 	o.mu.Lock()
 	now := o.deps.Clock.Now()
 	actions := o.pool.Plan(now, o.authority(now))
-	if o.pool.NamesWait() {
+	if o.pool.HasUnstoredWorkers() {
 		o.commitSoon()
 	}
-	if actions.Empty() {
+	if actions.IsEmpty() {
 		o.mu.Unlock()
 		return
 	}
-	for _, w := range actions.Meets {
+	for _, w := range actions.NewWorkers {
 		o.openSession(ctx, w)
 	}
 	sessions := o.sessionsFor(actions)
-	members := make([]*member, len(actions.Asks))
-	for i, a := range actions.Asks {
+	members := make([]*member, len(actions.AdviceCalls))
+	for i, a := range actions.AdviceCalls {
 		members[i] = o.members[a.Adviser]
 	}
 	o.mu.Unlock()
@@ -405,15 +405,15 @@
 	for _, a := range actions.Paces {
 		o.sendPace(sessions[a.Worker], a)
 	}
-	for _, id := range actions.Settles {
+	for _, id := range actions.FenceWorkers {
 		if s := sessions[id]; s != nil {
 			s.settle(ctx)
 		}
 	}
-	for i, a := range actions.Asks {
+	for i, a := range actions.AdviceCalls {
 		o.ask(ctx, members[i], a)
 	}
-	if actions.Confirm {
+	if actions.ConfirmOwnership {
 		o.askConfirmation()
 	}
 }
@@ -430,7 +430,7 @@
 	for _, s := range a.Paces {
 		out[s.Worker] = o.sessions[s.Worker]
 	}
-	for _, id := range a.Settles {
+	for _, id := range a.FenceWorkers {
 		out[id] = o.sessions[id]
 	}
 	return out
--- a/pkg/poolowner/refusals.go
+++ b/pkg/poolowner/refusals.go
@@ -28,7 +28,7 @@
 	if o.refusals.at != 0 && now.Sub(o.refusals.at) < poolrpc.HeartbeatEvery {
 		return o.refusals.told
 	}
-	list := o.pool.Refusals(now)
+	list := o.pool.RefusedQueues(now)
 	if !admission.SameQueues(list, o.refusals.list) {
 		o.logRefusals(list)
 	}
--- a/pkg/poolowner/roster.go
+++ b/pkg/poolowner/roster.go
@@ -53,7 +53,7 @@
 		name := jobstore.ParseRosterKey(i.Key)
 		r := rosterRecord{revision: i.Revision}
 		if err := json.Unmarshal(i.Value, &r.workers); err != nil {
-			o.pool.MissWorker()
+			o.pool.RecordUnreadableWorker()
 			o.deps.Log.WithFields(logrus.Fields{"worker": name, "error": err}).Error("roster_unreadable")
 		}
 		o.roster[name] = r
@@ -66,14 +66,14 @@
 // takeRostered takes in a life that the roster names. The caller holds o.mu.
 func (o *Owner) takeRostered(w dispatch.WorkerInfo, known map[dispatch.WorkerID]bool) {
 	if w.Crashed {
-		o.pool.MissCrash(w)
+		o.pool.RecordUncountedCrash(w)
 		return
 	}
 	if !known[w.ID] {
-		o.pool.PutWorker(w, false, o.deps.Clock.Now())
+		o.pool.UpsertWorker(w, false, o.deps.Clock.Now())
 	}
-	o.pool.Rostered([]dispatch.WorkerID{w.ID})
-	o.pool.TakeRetired(w)
+	o.pool.MarkInRoster([]dispatch.WorkerID{w.ID})
+	o.pool.LoadRetired(w)
 }
 
 // rosterChange is a record that differs from what the store has.
@@ -124,10 +124,10 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var out []rosterChange
-	for _, name := range o.pool.TakeRosterNews() {
-		workers := o.pool.RosterOf(name)
+	for _, name := range o.pool.TakeRosterChanges() {
+		workers := o.pool.RosterEntries(name)
 		if slices.EqualFunc(workers, o.roster[name].workers, alikeForLater) {
-			o.pool.Rostered(idsOf(workers))
+			o.pool.MarkInRoster(idsOf(workers))
 			continue
 		}
 		out = append(out, rosterChange{name, workers})
@@ -153,7 +153,7 @@
 			continue
 		}
 		o.roster[changes[n].name] = r
-		o.pool.Rostered(idsOf(r.workers))
+		o.pool.MarkInRoster(idsOf(r.workers))
 	}
 }
 
--- a/pkg/poolowner/roster_test.go
+++ b/pkg/poolowner/roster_test.go
@@ -73,11 +73,11 @@
 	o, p, info := ownerOfEmulated(t)
 	l := newLateStore(t, p.Store)
 	o.deps.Store.SetAddress(netip.MustParseAddrPort(l.Listener.Addr().String()))
-	o.pool.PutWorker(info, true, o.deps.Clock.Now())
+	o.pool.UpsertWorker(info, true, o.deps.Clock.Now())
 	o.writeRoster(t.Context())
 	other := info
 	other.ID = "i-other"
-	o.pool.PutWorker(other, true, o.deps.Clock.Now())
+	o.pool.UpsertWorker(other, true, o.deps.Clock.Now())
 	o.writeRoster(t.Context())
 	g.Expect(rosterOf(t, o)).To(ConsistOf(info.ID, other.ID))
 	l.carryOut()
@@ -105,14 +105,14 @@
 func TestNewOwnerWritesNothingForWorkersThatAreOnTheRoster(t *testing.T) {
 	g := NewWithT(t)
 	o, _, info := ownerOfEmulated(t)
-	o.pool.PutWorker(info, true, o.deps.Clock.Now())
+	o.pool.UpsertWorker(info, true, o.deps.Clock.Now())
 	o.writeRoster(t.Context())
 	next := New(o.deps, Claim{Term: 2, Revision: o.claim.Revision})
 	g.Expect(next.loadWorkers(t.Context())).To(Succeed())
 	g.Expect(next.rosterChanges()).To(BeEmpty())
 	other := info
 	other.ID = "i-other"
-	next.pool.PutWorker(other, true, o.deps.Clock.Now())
+	next.pool.UpsertWorker(other, true, o.deps.Clock.Now())
 	g.Expect(next.rosterChanges()).To(ConsistOf(rosterChange{"i-other", []dispatch.WorkerInfo{other}}))
 }
 
@@ -120,16 +120,16 @@
 func TestWorkerThatIsGoneIsTakenOffTheRoster(t *testing.T) {
 	g := NewWithT(t)
 	o, p, info := ownerOfEmulated(t)
-	o.pool.PutWorker(info, true, o.deps.Clock.Now())
+	o.pool.UpsertWorker(info, true, o.deps.Clock.Now())
 	o.writeRoster(t.Context())
 	g.Expect(p.Store.Values(jobstore.RosterPrefix)).To(HaveLen(1))
 	leaving := info
 	leaving.Draining = true
-	o.pool.PutWorker(leaving, true, o.deps.Clock.Now())
+	o.pool.UpsertWorker(leaving, true, o.deps.Clock.Now())
 	now := o.deps.Clock.Now().Add(time.Hour)
-	o.pool.UnlistWorker(info.ID, true, now)
+	o.pool.RemoveEntry(info.ID, true, now)
 	o.pool.Plan(now, true)
-	o.pool.Committed(o.pool.TakeCommit())
+	o.pool.ApplyCommit(o.pool.PrepareCommit())
 	o.writeRoster(t.Context())
 	g.Expect(p.Store.Values(jobstore.RosterPrefix)).To(BeEmpty())
 }
@@ -141,10 +141,10 @@
 	p.Store.Put(jobstore.RosterKey("i-unreadable"), []byte("?"))
 	next := New(o.deps, Claim{Term: 2, Revision: o.claim.Revision})
 	g.Expect(next.loadWorkers(t.Context())).To(Succeed())
-	next.pool.SetLoaded()
+	next.pool.MarkJobsLoaded()
 	now := o.deps.Clock.Now()
 	next.pool.Plan(now, true)
-	g.Expect(next.pool.Status(now).Takeover).To(BeTrue())
+	g.Expect(next.pool.Status(now).TakeoverPending).To(BeTrue())
 	g.Expect(next.roster).To(HaveKey("i-unreadable"))
 }
 
@@ -160,6 +160,6 @@
 		next := New(o.deps, Claim{Term: term, Revision: o.claim.Revision})
 		g.Expect(next.loadWorkers(t.Context())).To(Succeed())
 		g.Expect(next.rosterChanges()).To(BeEmpty(), "the record is as it should be")
-		g.Expect(next.pool.RosterOf(info.ID.Name())).To(ConsistOf(And(HaveField("Retired", true), HaveField("Jobs", []job.ID{"a"}))))
+		g.Expect(next.pool.RosterEntries(info.ID.Name())).To(ConsistOf(And(HaveField("Retired", true), HaveField("Jobs", []job.ID{"a"}))))
 	}
 }
--- a/pkg/poolowner/sessions.go
+++ b/pkg/poolowner/sessions.go
@@ -122,10 +122,10 @@
 	o := s.owner
 	o.mu.Lock()
 	now := o.deps.Clock.Now()
-	h, ok := o.pool.HoldFor(s.id, raise, o.authority(now), now)
+	h, ok := o.pool.NewPoll(s.id, raise, o.authority(now), now)
 	wait := time.Duration(0)
 	if waits {
-		wait = o.pool.HoldWait(s.id)
+		wait = o.pool.PollWait(s.id)
 	}
 	o.mu.Unlock()
 	if !ok {
@@ -133,7 +133,7 @@
 	}
 	a, report, err := o.callsBy(m).Hold(ctx, platform.HoldOrder{
 		Order:    platform.Order{Worker: h.Worker, Address: h.Address, Token: h.Token},
-		LastSeen: h.LastSeen, Deadline: h.Deadline, Wait: wait, Patience: s.patience(raise),
+		LastSeen: h.AckedEnd, Deadline: h.Deadline, Wait: wait, Patience: s.patience(raise),
 	})
 	if m != nil {
 		s.relayAnswered(m, err == nil)
@@ -143,7 +143,7 @@
 		return false, true
 	}
 	o.mu.Lock()
-	news := o.pool.HoldAnswered(h, a, report, o.deps.Clock.Now())
+	news := o.pool.HandlePollAnswer(h, a, report, o.deps.Clock.Now())
 	o.tellUnknownJobs()
 	o.mu.Unlock()
 	if news {
@@ -155,7 +155,7 @@
 func (o *Owner) holdFailed(id dispatch.WorkerID) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.pool.HoldFailed(id, o.deps.Clock.Now())
+	o.pool.HandlePollFailure(id, o.deps.Clock.Now())
 }
 
 // holdClass is how urgent the session's next hold is; met says that the worker has answered.
@@ -193,7 +193,7 @@
 	defer limit.Stop()
 	for {
 		s.owner.mu.Lock()
-		noted, committed := s.owner.pool.Noted(s.id), s.owner.committed
+		noted, committed := s.owner.pool.AreEndsCommitted(s.id), s.owner.committed
 		s.owner.mu.Unlock()
 		if noted {
 			return
@@ -251,7 +251,7 @@
 	})
 }
 
-func (o *Owner) sendStart(s *workerSession, a dispatch.Start) {
+func (o *Owner) sendStart(s *workerSession, a dispatch.StartOrder) {
 	sent := s.put(func(ctx context.Context, calls relay.Calls) {
 		if !o.mayOrder() {
 			o.startAnswered(a, dispatch.Answer{}, dispatch.ErrNotSent)
@@ -279,27 +279,27 @@
 }
 
 // withhold keeps back a start whose worker gets nothing new since the start was decided. It says whether it did.
-func (o *Owner) withhold(a dispatch.Start) bool {
+func (o *Owner) withhold(a dispatch.StartOrder) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if !o.pool.StartIsVoid(a) {
+	if !o.pool.IsStartObsolete(a) {
 		return false
 	}
-	o.pool.StartWithheld(a, o.deps.Clock.Now())
+	o.pool.CancelUnsentStart(a, o.deps.Clock.Now())
 	o.wake()
 	return true
 }
 
-func (o *Owner) startAnswered(a dispatch.Start, answer dispatch.Answer, err error) {
+func (o *Owner) startAnswered(a dispatch.StartOrder, answer dispatch.Answer, err error) {
 	o.mu.Lock()
-	o.pool.StartAnswered(a, answer, err, o.deps.Clock.Now())
+	o.pool.HandleStartAnswer(a, answer, err, o.deps.Clock.Now())
 	o.mu.Unlock()
 	if err != nil || answer.Verdict != dispatch.VerdictDone {
 		o.wake()
 	}
 }
 
-func (o *Owner) sendStop(s *workerSession, a dispatch.Stop) {
+func (o *Owner) sendStop(s *workerSession, a dispatch.StopOrder) {
 	s.put(func(ctx context.Context, calls relay.Calls) {
 		answer, err := calls.Stop(ctx, platform.Order{Worker: a.Worker, Address: a.Address, Token: a.Token}, a.Task, a.Run)
 		if err != nil {
@@ -307,11 +307,11 @@
 		}
 		o.mu.Lock()
 		defer o.mu.Unlock()
-		o.pool.StopAnswered(a, answer, o.deps.Clock.Now())
+		o.pool.HandleStopAnswer(a, answer, o.deps.Clock.Now())
 	})
 }
 
-func (o *Owner) sendPace(s *workerSession, a dispatch.Pace) {
+func (o *Owner) sendPace(s *workerSession, a dispatch.PaceOrder) {
 	sent := s.put(func(ctx context.Context, calls relay.Calls) {
 		answer, err := calls.Pace(ctx, platform.Order{Worker: a.Worker, Address: a.Address, Token: a.Token}, a.Task, a.Run, a.Percent)
 		if err == nil && answer.Verdict == dispatch.VerdictDone {
@@ -324,8 +324,8 @@
 	}
 }
 
-func (o *Owner) paceFailed(a dispatch.Pace) {
+func (o *Owner) paceFailed(a dispatch.PaceOrder) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.pool.PaceFailed(a)
+	o.pool.HandlePaceFailure(a)
 }
--- a/pkg/poolowner/suspended_test.go
+++ b/pkg/poolowner/suspended_test.go
@@ -34,11 +34,11 @@
 	o.deps.Workers = platform.NewWorkers(time.Second, nil)
 	address := netip.MustParseAddrPort(strings.TrimPrefix(worker.URL, "http://"))
 	info := dispatch.WorkerInfo{ID: "w", Pool: "p", Address: address, Capacity: cell.Resources{CPUMillis: 1000}}
-	o.pool.PutWorker(info, true, *now)
+	o.pool.UpsertWorker(info, true, *now)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	s := &workerSession{owner: o, id: "w", orders: newOrderQueue(ctx, &o.duties), cancel: cancel, settling: make(chan struct{}, 1)}
-	start := dispatch.Start{Task: job.TaskID{StepID: job.StepID{Job: "a"}}, Run: 1, Worker: "w", Address: address, Token: 1, Deadline: 5000}
+	start := dispatch.StartOrder{Task: job.TaskID{StepID: job.StepID{Job: "a"}}, Run: 1, Worker: "w", Address: address, Token: 1, Deadline: 5000}
 
 	o.sendStart(s, start)
 	o.duties.Wait()
--- a/pkg/poolowner/unknown_jobs.go
+++ b/pkg/poolowner/unknown_jobs.go
@@ -62,14 +62,14 @@
 	if found {
 		o.takeJobs([]platform.Item{item}, nil)
 	}
-	o.pool.JobAbsent(id) // also of a record that can't be used; of a job that is known now, nothing
+	o.pool.MarkJobAbsent(id) // also of a record that can't be used; of a job that is known now, nothing
 	o.mu.Unlock()
 	o.wake()
 }
 
 // tellUnknownJobs has the records of unknown jobs read, if there are any. The caller holds o.mu.
 func (o *Owner) tellUnknownJobs() {
-	if o.pool.ListsUnknown() {
+	if o.pool.HasUnknownJobs() {
 		signal(o.unknownJobs)
 	}
 }
--- a/pkg/poolowner/unknown_jobs_test.go
+++ b/pkg/poolowner/unknown_jobs_test.go
@@ -29,12 +29,12 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.deps.Clock.Now()
-	o.pool.SetLoaded()
-	o.pool.PutWorker(info, true, now)
-	h, ok := o.pool.HoldFor(info.ID, false, true, now)
+	o.pool.MarkJobsLoaded()
+	o.pool.UpsertWorker(info, true, now)
+	h, ok := o.pool.NewPoll(info.ID, false, true, now)
 	g.Expect(ok).To(BeTrue())
-	run := dispatch.Active{Task: job.TaskID{StepID: job.StepID{Job: lateJob}}, Run: 1}
-	o.pool.HoldAnswered(h, dispatch.Answer{Verdict: dispatch.VerdictDone, Clock: 1}, dispatch.Report{Born: info.ID.Born(), Active: []dispatch.Active{run}}, now)
+	run := dispatch.ActiveRun{Task: job.TaskID{StepID: job.StepID{Job: lateJob}}, Run: 1}
+	o.pool.HandlePollAnswer(h, dispatch.Answer{Verdict: dispatch.VerdictDone, Clock: 1}, dispatch.Report{IncarnationStart: info.ID.StartedAt(), Active: []dispatch.ActiveRun{run}}, now)
 	o.tellUnknownJobs()
 	ctx, cancel := context.WithCancel(t.Context())
 	o.duties.Go(func() { o.readUnknownJobs(ctx) })
--- a/pkg/poolowner/upkeep.go
+++ b/pkg/poolowner/upkeep.go
@@ -54,7 +54,7 @@
 	for _, name := range plan.Close {
 		closed[name] = true
 	}
-	o.pool.Close(closed)
+	o.pool.SetCordoned(closed)
 	o.mu.Unlock()
 	for _, order := range plan.Orders {
 		o.sendUpkeep(ctx, order)
@@ -67,7 +67,7 @@
 // sendUpkeep sends a machine into upkeep once nothing runs there that has to be spared.
 func (o *Owner) sendUpkeep(ctx context.Context, order upkeep.Order) {
 	o.mu.Lock()
-	ready := o.pool.Empty(order.Machine.Worker, order.Force)
+	ready := o.pool.VacateWorker(order.Machine.Worker, order.Force)
 	authority := o.authority(o.deps.Clock.Now())
 	o.mu.Unlock()
 	o.wake()
--- a/pkg/preemption/core_seconds.go
+++ b/pkg/preemption/core_seconds.go
@@ -10,8 +10,8 @@
 // prices it.
 const acceleratorCores = 8
 
-// Work is what resources do in a time, in core-seconds.
-func Work(need cell.Resources, d time.Duration) float64 {
+// CoreSeconds is what resources do in a time, in core-seconds.
+func CoreSeconds(need cell.Resources, d time.Duration) float64 {
 	cores := float64(need.CPUMillis)/1000 + acceleratorCores*float64(need.Accelerators)
 	return cores * d.Seconds()
 }
--- a/pkg/preemption/preemption_test.go
+++ b/pkg/preemption/preemption_test.go
@@ -13,19 +13,19 @@
 }
 
 func victim(name string, frees int64, lost float64) Victim[string] {
-	return Victim[string]{Run: name, Frees: cores(frees), Lost: lost}
+	return Victim[string]{Run: name, Resources: cores(frees), LostWork: lost}
 }
 
 // Guards against stops that are not needed once a larger run is stopped.
 func TestRunsThatAreNotNeededGoOn(t *testing.T) {
 	g := NewWithT(t)
 	o := &Option[string]{Most: 2, Victims: []Victim[string]{victim("a", 1, 1), victim("b", 1, 2), victim("c", 4, 3)}}
-	best := Cheapest(cores(4), []*Option[string]{o})
-	g.Expect(best.Lost()).To(Equal(3.0))
-	g.Expect(best.Take(cores(4))).To(Equal([]string{"c"}))
-	g.Expect(Cheapest(cores(3), []*Option[string]{o})).To(BeNil(), "a and b free two cores")
-	g.Expect(Cheapest(cores(2), []*Option[string]{o}).Take(cores(2))).To(Equal([]string{"a", "b"}))
-	g.Expect(Cheapest(cores(0), []*Option[string]{o})).To(BeNil(), "no more tasks may run there")
+	best := SelectCheapest(cores(4), []*Option[string]{o})
+	g.Expect(best.LostWork()).To(Equal(3.0))
+	g.Expect(best.TakeVictims(cores(4))).To(Equal([]string{"c"}))
+	g.Expect(SelectCheapest(cores(3), []*Option[string]{o})).To(BeNil(), "a and b free two cores")
+	g.Expect(SelectCheapest(cores(2), []*Option[string]{o}).TakeVictims(cores(2))).To(Equal([]string{"a", "b"}))
+	g.Expect(SelectCheapest(cores(0), []*Option[string]{o})).To(BeNil(), "no more tasks may run there")
 }
 
 // Guards against work that is thrown away though another worker has cheaper runs.
@@ -35,10 +35,10 @@
 	first := &Option[string]{Most: 1, Free: cores(1), Victims: []Victim[string]{victim("b", 1, 1)}}
 	second := &Option[string]{Most: 1, Free: cores(1), Victims: []Victim[string]{victim("c", 1, 1)}}
 	full := &Option[string]{Most: 0, Free: cores(9)}
-	g.Expect(Cheapest(cores(2), []*Option[string]{dear, first, second, full}).Take(cores(2))).To(Equal([]string{"b"}))
+	g.Expect(SelectCheapest(cores(2), []*Option[string]{dear, first, second, full}).TakeVictims(cores(2))).To(Equal([]string{"b"}))
 }
 
 // Guards against accelerators that count for nothing in what a stop throws away.
 func TestAcceleratorsAreWork(t *testing.T) {
-	NewWithT(t).Expect(Work(cell.Resources{CPUMillis: 500, Accelerators: 1}, 2*time.Second)).To(Equal(17.0))
+	NewWithT(t).Expect(CoreSeconds(cell.Resources{CPUMillis: 500, Accelerators: 1}, 2*time.Second)).To(Equal(17.0))
 }
--- a/pkg/relay/messages.go
+++ b/pkg/relay/messages.go
@@ -30,7 +30,7 @@
 }
 
 func putReport(r *poolpb.Result, report dispatch.Report) {
-	r.Born, r.More, r.Strange = report.Born, report.More, int64(report.Strange)
+	r.Born, r.More, r.Strange = report.IncarnationStart, report.Truncated, int64(report.UnparsableRuns)
 	for _, a := range report.Active {
 		r.Active = append(r.Active, &poolpb.Active{
 			Task: a.Task.String(), Run: int64(a.Run), Checkpoint: a.Checkpoint, Percent: int64(a.Percent), Load: int64(a.Load),
@@ -38,22 +38,22 @@
 	}
 	for _, f := range report.Finished {
 		r.Finished = append(r.Finished, &poolpb.Finished{
-			Number: f.Number, Task: f.Task.String(), Run: int64(f.Run), How: int64(f.How), Checkpoint: f.Checkpoint,
+			Number: f.Number, Task: f.Task.String(), Run: int64(f.Run), How: int64(f.Reason), Checkpoint: f.Checkpoint,
 		})
 	}
 }
 
 func reportOf(r *poolpb.Result) (report dispatch.Report, err error) {
-	report.Born, report.More, report.Strange = r.Born, r.More, int(r.Strange)
+	report.IncarnationStart, report.Truncated, report.UnparsableRuns = r.Born, r.More, int(r.Strange)
 	for _, a := range r.Active {
-		row := dispatch.Active{Run: int(a.Run), Checkpoint: a.Checkpoint, Percent: int(a.Percent), Load: int(a.Load)}
+		row := dispatch.ActiveRun{Run: int(a.Run), Checkpoint: a.Checkpoint, Percent: int(a.Percent), Load: int(a.Load)}
 		if row.Task, err = job.ParseTaskID(a.Task); err != nil {
 			return dispatch.Report{}, errors.Wrap(err, "active run")
 		}
 		report.Active = append(report.Active, row)
 	}
 	for _, f := range r.Finished {
-		row := dispatch.Finished{Number: f.Number, Run: int(f.Run), How: dispatch.End(f.How), Checkpoint: f.Checkpoint}
+		row := dispatch.FinishedRun{Number: f.Number, Run: int(f.Run), Reason: dispatch.EndReason(f.How), Checkpoint: f.Checkpoint}
 		if row.Task, err = job.ParseTaskID(f.Task); err != nil {
 			return dispatch.Report{}, errors.Wrap(err, "ended run")
 		}
--- a/pkg/relay/relay_test.go
+++ b/pkg/relay/relay_test.go
@@ -75,11 +75,11 @@
 func TestHoldBringsTheReportBack(t *testing.T) {
 	var got platform.HoldOrder
 	report := dispatch.Report{
-		Born:     1_767_225_600_000,
-		Strange:  2,
-		More:     true,
-		Active:   []dispatch.Active{{Task: testTask(), Run: 2, Checkpoint: "c", Percent: 41, Load: 900}},
-		Finished: []dispatch.Finished{{Number: 58, Task: testTask(), Run: 1, How: dispatch.EndFailed, Checkpoint: "d"}},
+		IncarnationStart: 1_767_225_600_000,
+		UnparsableRuns:   2,
+		Truncated:        true,
+		Active:           []dispatch.ActiveRun{{Task: testTask(), Run: 2, Checkpoint: "c", Percent: 41, Load: 900}},
+		Finished:         []dispatch.FinishedRun{{Number: 58, Task: testTask(), Run: 1, Reason: dispatch.EndFailed, Checkpoint: "d"}},
 	}
 	l := newLoop(t, Calls{Hold: func(_ context.Context, o platform.HoldOrder) (dispatch.Answer, dispatch.Report, error) {
 		got = o
--- a/pkg/runend/doc.go
+++ b/pkg/runend/doc.go
@@ -8,6 +8,6 @@
 //	p.Begin(begun)
 //	p.Observe(10, begun.Add(time.Second))
 //	p.Observe(20, begun.Add(2*time.Second))
-//	p.EndsIn(time.Minute, begun, now) // by its speed; before that, by the estimate of a minute
-//	runend.RoomIn(need, free, []runend.End{{In: time.Second, Frees: need}})
+//	p.TimeLeft(time.Minute, begun, now) // by its speed; before that, by the estimate of a minute
+//	runend.TimeUntilRoom(need, free, []runend.End{{In: time.Second, Frees: need}})
 package runend
--- a/pkg/runend/runend_test.go
+++ b/pkg/runend/runend_test.go
@@ -26,10 +26,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var p Progress
-			p.Begin(begun)
-			p.Observe(c.first, begun.Add(time.Second))
-			p.Observe(c.last, begun.Add(2*time.Second))
-			NewWithT(t).Expect(p.EndsIn(10*time.Second, begun, now)).To(Equal(c.in))
+			p.Start(begun)
+			p.Update(c.first, begun.Add(time.Second))
+			p.Update(c.last, begun.Add(2*time.Second))
+			NewWithT(t).Expect(p.TimeLeft(10*time.Second, begun, now)).To(Equal(c.in))
 		})
 	}
 }
@@ -37,19 +37,19 @@
 // Guards against a step that counts for ever on the room of a run that stands still.
 func TestRunThatShouldHaveEndedLongAgoIsNotExpectedToEndSoon(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(Within(time.Second, time.Second)).To(BeTrue())
-	g.Expect(Within(time.Second+1, time.Second)).To(BeFalse())
-	g.Expect(Within(-overdueAfter+1, time.Second)).To(BeTrue())
-	g.Expect(Within(-overdueAfter, time.Second)).To(BeFalse())
+	g.Expect(EndsWithin(time.Second, time.Second)).To(BeTrue())
+	g.Expect(EndsWithin(time.Second+1, time.Second)).To(BeFalse())
+	g.Expect(EndsWithin(-maxOverdue+1, time.Second)).To(BeTrue())
+	g.Expect(EndsWithin(-maxOverdue, time.Second)).To(BeFalse())
 }
 
 // Guards against room that is expected too early, before enough runs have ended, or where there never is any.
 func TestRoomIsThereWhenEnoughRunsHaveEnded(t *testing.T) {
 	g := NewWithT(t)
 	cores := func(n int64) cell.Resources { return cell.Resources{CPUMillis: 1000 * n} }
-	ends := []End{{3 * time.Second, cores(1)}, {time.Second, cores(1)}}
-	g.Expect(RoomIn(cores(1), cores(1), ends)).To(BeZero())
-	g.Expect(RoomIn(cores(2), cores(1), ends)).To(Equal(time.Second))
-	g.Expect(RoomIn(cores(3), cores(1), ends)).To(Equal(3 * time.Second))
-	g.Expect(RoomIn(cores(4), cores(1), ends)).To(Equal(Never))
+	ends := []ExpectedEnd{{3 * time.Second, cores(1)}, {time.Second, cores(1)}}
+	g.Expect(TimeUntilRoom(cores(1), cores(1), ends)).To(BeZero())
+	g.Expect(TimeUntilRoom(cores(2), cores(1), ends)).To(Equal(time.Second))
+	g.Expect(TimeUntilRoom(cores(3), cores(1), ends)).To(Equal(3 * time.Second))
+	g.Expect(TimeUntilRoom(cores(4), cores(1), ends)).To(Equal(Never))
 }
--- a/pkg/takeover/blocked_jobs.go
+++ b/pkg/takeover/blocked_jobs.go
@@ -6,8 +6,8 @@
 	"foldarch.dev/foldarch/pkg/job"
 )
 
-// Silent is a life of a worker that has not reported to the new owner and may still run something of a former one.
-type Silent struct {
+// SilentWorker is a life of a worker that has not reported to the new owner and may still run something of a former one.
+type SilentWorker struct {
 	Worker string // name, which all lives of a worker share
 	// Retired says that Jobs has every job that may have a run on the worker; otherwise any job may.
 	Retired bool
@@ -15,52 +15,52 @@
 }
 
 // Equal says that two hold back the same jobs.
-func (s Silent) Equal(o Silent) bool {
+func (s SilentWorker) Equal(o SilentWorker) bool {
 	return s.Worker == o.Worker && s.Retired == o.Retired && slices.Equal(s.Jobs, o.Jobs)
 }
 
-// Names are the workers to which starts of a job may have gone.
-type Names struct {
+// StoredWorkers are the workers to which starts of a job may have gone.
+type StoredWorkers struct {
 	// Stored says that every owner that may have started the job stored the worker's name first; otherwise nothing is known.
-	Stored  bool
-	Workers []string // by name
+	Complete bool
+	Workers  []string // by name
 }
 
 // Holds are the jobs that may have unknown runs of former owners, by the workers that are silent. New makes them.
-type Holds struct {
-	retired map[job.ID]int  // how many retired workers may run a job
-	open    map[string]bool // workers that may run anything
+type BlockedJobs struct {
+	retiredWorkers      map[job.ID]int  // how many retired workers may run a job
+	unrestrictedWorkers map[string]bool // workers that may run anything
 }
 
-// New returns what a set of silent workers holds back.
-func New(silent []Silent) *Holds {
-	h := &Holds{retired: map[job.ID]int{}, open: map[string]bool{}}
+// NewBlockedJobs returns what a set of silent workers holds back.
+func NewBlockedJobs(silent []SilentWorker) *BlockedJobs {
+	h := &BlockedJobs{retiredWorkers: map[job.ID]int{}, unrestrictedWorkers: map[string]bool{}}
 	for _, s := range silent {
 		if !s.Retired {
-			h.open[s.Worker] = true
+			h.unrestrictedWorkers[s.Worker] = true
 			continue
 		}
 		for _, id := range s.Jobs {
-			h.retired[id]++
+			h.retiredWorkers[id]++
 		}
 	}
 	return h
 }
 
 // Holds says whether a job may have unknown runs.
-func (h *Holds) Holds(id job.ID, names Names) bool {
+func (h *BlockedJobs) IsBlocked(id job.ID, names StoredWorkers) bool {
 	switch {
-	case h.retired[id] > 0:
+	case h.retiredWorkers[id] > 0:
 		return true
-	case len(h.open) == 0:
+	case len(h.unrestrictedWorkers) == 0:
 		return false
-	case !names.Stored:
+	case !names.Complete:
 		return true
 	}
-	return slices.ContainsFunc(names.Workers, func(w string) bool { return h.open[w] })
+	return slices.ContainsFunc(names.Workers, func(w string) bool { return h.unrestrictedWorkers[w] })
 }
 
-// Open counts the silent workers that may run anything.
-func (h *Holds) Open() int {
-	return len(h.open)
+// UnrestrictedWorkers counts the silent workers that may run anything.
+func (h *BlockedJobs) UnrestrictedWorkers() int {
+	return len(h.unrestrictedWorkers)
 }
--- a/pkg/workerid/id.go
+++ b/pkg/workerid/id.go
@@ -11,14 +11,14 @@
 // platform does not tell it, an ID is the name, and a worker that starts again has another name.
 type ID string
 
-const lifeSeparator = "@"
+const incarnationSeparator = "@"
 
 // New returns the ID of the life of a worker that began at a time, in Unix ms; 0 when that is not told.
 func New(name string, born int64) ID {
 	if born == 0 {
 		return ID(name)
 	}
-	return ID(name + lifeSeparator + strconv.FormatInt(born, 10))
+	return ID(name + incarnationSeparator + strconv.FormatInt(born, 10))
 }
 
 // Name is the worker's name.
@@ -27,14 +27,14 @@
 	return name
 }
 
-// Born is when the life began, in Unix ms; 0 when that is not told.
-func (id ID) Born() int64 {
+// StartedAt is when the life began, in Unix ms; 0 when that is not told.
+func (id ID) StartedAt() int64 {
 	_, born := id.split()
 	return born
 }
 
 func (id ID) split() (name string, born int64) {
-	at := strings.LastIndex(string(id), lifeSeparator)
+	at := strings.LastIndex(string(id), incarnationSeparator)
 	if at < 0 {
 		return string(id), 0
 	}
--- a/pkg/workerid/id_test.go
+++ b/pkg/workerid/id_test.go
@@ -20,6 +20,6 @@
 	} {
 		g := NewWithT(t)
 		g.Expect(c.id.Name()).To(Equal(c.name))
-		g.Expect(c.id.Born()).To(Equal(c.born))
+		g.Expect(c.id.StartedAt()).To(Equal(c.born))
 	}
 }
--- a/pkg/worth/objective_test.go
+++ b/pkg/worth/objective_test.go
@@ -38,6 +38,6 @@
 		{Estimate: 3 * time.Second},
 	}
 	g := NewWithT(t)
-	g.Expect(Chains(steps, 0)).To(Equal([]time.Duration{7 * time.Second, 3 * time.Second, 6 * time.Second, time.Second, 3 * time.Second}))
-	g.Expect(Chains(steps, time.Second)).To(Equal([]time.Duration{10 * time.Second, 5 * time.Second, 8 * time.Second, 2 * time.Second, 4 * time.Second}))
+	g.Expect(ChainEstimates(steps, 0)).To(Equal([]time.Duration{7 * time.Second, 3 * time.Second, 6 * time.Second, time.Second, 3 * time.Second}))
+	g.Expect(ChainEstimates(steps, time.Second)).To(Equal([]time.Duration{10 * time.Second, 5 * time.Second, 8 * time.Second, 2 * time.Second, 4 * time.Second}))
 }
