--- a/pkg/account/account.go
+++ b/pkg/account/account.go
@@ -6,71 +6,75 @@
 	"foldarch.dev/foldarch/pkg/customer"
 )
 
-// Claimant is a step that takes from a quota, by a number above 0 that no other one has.
+// Claimant is a step that uses a quota. It is identified by a number above 0 that no other step has.
 type Claimant int64
 
-// Account is what one customer has in the pools of one owner. New makes one.
+// Account keeps what one customer uses in the pools of one owner. New makes one.
 type Account struct {
 	customer customer.Customer
 	used     cell.Resources
-	// unreported is what it may have running besides, on workers that a new owner has not heard of, and ended the part of it that is
-	// of jobs that had ended.
+	// unreported is what the customer may have running, beside used, on workers that have not reported to
+	// this owner. endedJobUse is the part of it that belongs to jobs that have ended.
 	unreported, endedJobUse cell.Resources
-	// reserved is what steps that come first in the order of this plan wait for and can't have yet, and promises is it by step.
+	// reservations is the room in the quota that the present plan keeps for steps that can't start yet,
+	// and reserved is the sum.
 	reserved     cell.Resources
 	reservations map[Claimant]cell.Resources
-	// orphans counts the runs that workers list of its jobs that have ended, of which nothing else is known any more.
+	// orphans counts the runs that workers list of ended jobs of the customer, of which nothing else is
+	// known.
 	orphans int
 	rate    customer.Rate
 }
 
-// New returns the account of a customer that has nothing running.
+// New returns the account of a customer without running tasks.
 func New(c customer.Customer) *Account {
 	return &Account{customer: c, reservations: map[Claimant]cell.Resources{}}
 }
 
-// Update gives the account the weight and the quota of a newer configuration.
+// Update sets the customer's weight and quota of a newer configuration.
 func (a *Account) Update(c customer.Customer) {
 	a.customer = c
 }
 
-// Customer is whose account it is, with the weight and the quota in force.
+// Customer returns the customer, with the weight and the quota in force.
 func (a *Account) Customer() customer.Customer {
 	return a.customer
 }
 
-// Used is what is booked.
+// Used returns the resources that are charged.
 func (a *Account) Used() cell.Resources {
 	return a.used
 }
 
-// Charge counts a task, from the moment its start is decided.
+// Charge adds the resources of a task. It is called when the start of the task is decided.
 func (a *Account) Charge(need cell.Resources) {
 	a.used = a.used.Add(need)
 }
 
-// Release takes back what Book counted, once the run has certainly ended.
+// Release subtracts what Charge has added, once the run has certainly ended.
 func (a *Account) Release(need cell.Resources) {
 	a.used = a.used.Sub(need)
 }
 
-// IsOverQuota says that more is booked than the quota allows, which happens when it is lowered.
+// IsOverQuota says whether more is charged than the quota allows, which happens when the quota is
+// lowered.
 func (a *Account) IsOverQuota() bool {
 	return !a.customer.Allows(a.used)
 }
 
-// StartableTasks is how many more tasks of a need the customer may start for a step, at most most.
-func (a *Account) StartableTasks(by Claimant, need cell.Resources, most int) int {
+// StartableTasks returns how many more tasks that need these resources the customer may start for a step,
+// up to maxTasks.
+func (a *Account) StartableTasks(by Claimant, need cell.Resources, maxTasks int) int {
 	if a.orphans > 0 {
-		return 0 // what they take is not known; they are being stopped
+		return 0 // it is not known what the orphans use; they are being stopped
 	}
-	return min(most, a.quotaRoom(by, need, most))
+	return min(maxTasks, a.quotaRoom(by, need, maxTasks))
 }
 
-// quotaRoom is how many tasks of a need the quota has room for, at most most.
-func (a *Account) quotaRoom(by Claimant, need cell.Resources, most int) int {
+// quotaRoom returns for how many tasks that need these resources the quota has room, up to maxTasks.
+func (a *Account) quotaRoom(by Claimant, need cell.Resources, maxTasks int) int {
 	quota, running := a.customer.Quota, a.used.Add(a.unreported).Add(a.ReservedForOthers(by))
-	n := int64(most)
+	n := int64(maxTasks)
 	for _, kind := range []struct{ limit, running, need int64 }{
 		{quota.CPUMillis, running.CPUMillis, need.CPUMillis},
 		{quota.MemoryMB, running.MemoryMB, need.MemoryMB},
@@ -83,8 +87,10 @@
 	return int(n)
 }
 
-// Reserve keeps room in the quota for what a step waits for as a whole, until ClearReservations. While the quota is not well used, it does so for the first step
-// only: no more than one can be served next, and what is kept for several of them leaves the quota unused. What the quota never allows is promised nothing.
+// Reserve keeps room in the quota, until ClearReservations, for a step that waits until it can start as a
+// whole. While the quota is not mostly used, only the first step gets a reservation: no more than one
+// step can start next, and reservations for several would leave the quota unused. A step that needs more
+// than the whole quota gets none.
 func (a *Account) Reserve(to Claimant, need cell.Resources) {
 	if !a.customer.Allows(need) || len(a.reservations) > 0 && !a.IsMostlyUsed() {
 		return
@@ -93,46 +99,48 @@
 	a.reservations[to] = need
 }
 
-// ClearReservations begins a plan.
+// ClearReservations removes all reservations, at the beginning of a plan.
 func (a *Account) ClearReservations() {
 	a.reserved = cell.Resources{}
 	clear(a.reservations)
 }
 
-// ReservedFor is what was kept in the last plan for a step.
+// ReservedFor returns what the last plan has reserved for a step.
 func (a *Account) ReservedFor(by Claimant) cell.Resources {
 	return a.reservations[by]
 }
 
-// ReservedForOthers is what was kept in the last plan for other steps than this one.
+// ReservedForOthers returns what the last plan has reserved for all other steps.
 func (a *Account) ReservedForOthers(by Claimant) cell.Resources {
 	return a.reserved.Sub(a.ReservedFor(by))
 }
 
-// mostlyUsedShare is the part of a quota from which on it is well used. The platform counts a job as lost that waits while less than half is in use.
+// mostlyUsedShare is the share of a quota above which it counts as mostly used. The platform counts a job
+// as lost that waits while less than half of the quota is in use.
 const mostlyUsedShare = 0.6
 
-// IsMostlyUsed says that most of the quota is in use.
+// IsMostlyUsed says whether more than mostlyUsedShare of the quota is in use.
 func (a *Account) IsMostlyUsed() bool {
 	return a.used.DominantShare(a.customer.Quota) > mostlyUsedShare
 }
 
-// Orphans counts the runs of the customer of which nothing else is known.
+// Orphans returns the number of runs of the customer of which nothing else is known.
 func (a *Account) Orphans() int {
 	return a.orphans
 }
 
-// AddOrphan takes in that a worker lists a run of the customer of which nothing else is known.
+// AddOrphan counts a run of the customer that a worker lists and of which nothing else is known.
 func (a *Account) AddOrphan() {
 	a.orphans++
 }
 
-// RemoveOrphan takes back what AddOrphan has counted of one run.
+// RemoveOrphan removes one run that AddOrphan has counted.
 func (a *Account) RemoveOrphan() {
 	a.orphans--
 }
 
-// RecordArrival takes in a job of the customer that was accepted at a time, and says whether it is beyond the customer's weight.
+// RecordArrival records that a job of the customer was accepted at a time, and says whether it is over
+// the customer's share.
 func (a *Account) RecordArrival(accepted clock.Time) bool {
 	return a.rate.Beyond(a.customer.Weight, accepted)
 }
--- a/pkg/account/account_test.go
+++ b/pkg/account/account_test.go
@@ -22,24 +22,24 @@
 	both := cell.Resources{CPUMillis: 1000, MemoryMB: 2000}
 	for name, test := range map[string]struct {
 		quota, used, need cell.Resources
-		most, want        int
+		maxTasks, want    int
 	}{
-		"nothing runs":                   {cores(3), cell.Resources{}, cores(1), 5, 3},
-		"no more than asked for":         {cores(3), cell.Resources{}, cores(1), 2, 2},
-		"some run":                       {cores(3), cores(2), cores(1), 5, 1},
-		"all is used":                    {cores(3), cores(3), cores(1), 5, 0},
-		"a lowered quota":                {cores(1), cores(3), cores(1), 5, 0},
-		"a part is not enough":           {cores(3), cores(2), cores(2), 5, 0},
-		"0 is no limit":                  {cell.Resources{}, cores(100), cores(1), 5, 5},
-		"the scarcest kind":              {cell.Resources{CPUMillis: 9000, MemoryMB: 5000}, cell.Resources{}, both, 9, 2},
-		"a kind that is not needed":      {cell.Resources{CPUMillis: 9000, Accelerators: 1}, cell.Resources{Accelerators: 1}, cores(3), 9, 3},
-		"accelerators":                   {cell.Resources{Accelerators: 4}, cell.Resources{Accelerators: 1}, cell.Resources{Accelerators: 2}, 9, 1},
-		"a kind with a limit and no use": {cell.Resources{MemoryMB: 100}, cell.Resources{}, cores(1), 7, 7},
+		"nothing runs":                          {cores(3), cell.Resources{}, cores(1), 5, 3},
+		"up to the maximum":                     {cores(3), cell.Resources{}, cores(1), 2, 2},
+		"some run":                              {cores(3), cores(2), cores(1), 5, 1},
+		"all is used":                           {cores(3), cores(3), cores(1), 5, 0},
+		"a lowered quota":                       {cores(1), cores(3), cores(1), 5, 0},
+		"not room for a whole task":             {cores(3), cores(2), cores(2), 5, 0},
+		"0 is no limit":                         {cell.Resources{}, cores(100), cores(1), 5, 5},
+		"the scarcest resource":                 {cell.Resources{CPUMillis: 9000, MemoryMB: 5000}, cell.Resources{}, both, 9, 2},
+		"a resource that is not needed":         {cell.Resources{CPUMillis: 9000, Accelerators: 1}, cell.Resources{Accelerators: 1}, cores(3), 9, 3},
+		"accelerators":                          {cell.Resources{Accelerators: 4}, cell.Resources{Accelerators: 1}, cell.Resources{Accelerators: 2}, 9, 1},
+		"a limited resource that is not needed": {cell.Resources{MemoryMB: 100}, cell.Resources{}, cores(1), 7, 7},
 	} {
 		t.Run(name, func(t *testing.T) {
 			a := withQuota(test.quota)
 			a.Charge(test.used)
-			NewWithT(t).Expect(a.StartableTasks(1, test.need, test.most)).To(Equal(test.want))
+			NewWithT(t).Expect(a.StartableTasks(1, test.need, test.maxTasks)).To(Equal(test.want))
 		})
 	}
 }
@@ -77,7 +77,7 @@
 	a.Reserve(2, cores(3))
 	a.Reserve(3, cores(5))
 	g.Expect(a.StartableTasks(1, cores(1), 9)).To(Equal(7))
-	g.Expect(a.StartableTasks(2, cores(3), 9)).To(Equal(3), "its own promise does not count against it")
+	g.Expect(a.StartableTasks(2, cores(3), 9)).To(Equal(3), "its own reservation does not count against it")
 	g.Expect(a.ReservedForOthers(2)).To(Equal(cell.Resources{}))
 	g.Expect(a.ReservedForOthers(3)).To(Equal(cores(3)))
 }
@@ -104,12 +104,12 @@
 func TestUnheardCounts(t *testing.T) {
 	g, a := NewWithT(t), withQuota(cores(9))
 	a.AddEndedJobUse(cores(2))
-	g.Expect(a.StartableTasks(1, cores(1), 9)).To(Equal(9), "the sum has not begun")
+	g.Expect(a.StartableTasks(1, cores(1), 9)).To(Equal(9), "it counts from ResetUnreported on")
 	a.ResetUnreported()
 	a.AddUnreported(cores(3))
 	g.Expect(a.StartableTasks(1, cores(1), 9)).To(Equal(4))
 	a.CapUnreported(cores(4))
-	g.Expect(a.StartableTasks(1, cores(1), 9)).To(Equal(5), "the workers hold no more")
+	g.Expect(a.StartableTasks(1, cores(1), 9)).To(Equal(5), "the workers have room for no more")
 	a.ClearUnreported()
 	g.Expect(a.StartableTasks(1, cores(1), 9)).To(Equal(9))
 	a.ClearEndedJobUse()
@@ -122,5 +122,5 @@
 	at := clock.Time(1).Add(time.Second)
 	g.Expect([]bool{a.RecordArrival(at), a.RecordArrival(at), a.RecordArrival(at)}).To(Equal([]bool{false, false, true}), "a burst of two seconds")
 	a.Update(customer.Customer{Name: "north"})
-	g.Expect(a.RecordArrival(at)).To(BeFalse(), "no weight is no limit")
+	g.Expect(a.RecordArrival(at)).To(BeFalse(), "without a weight there is no limit")
 }
--- a/pkg/advice/advisers.go
+++ b/pkg/advice/advisers.go
@@ -6,18 +6,20 @@
 	"foldarch.dev/foldarch/pkg/clock"
 )
 
-// A process whose calls fail makes none for initialBackoff, and twice as long with each more in a row, maxBackoffDoublings
-// times at most, to 2 s: hosts of a data hall that is cut off don't reach the service. A job may wait for no
-// more than 3 s when the service is back.
 const (
+	// An adviser whose call has failed makes none for initialBackoff. The pause doubles with each further
+	// failure in a row, up to maxBackoffDoublings times, to 2 s. Hosts of a data hall that is cut off
+	// can't reach the advice service, and once it can be reached again, a job may wait no longer than 3
+	// s.
 	initialBackoff      = 250 * time.Millisecond
 	maxBackoffDoublings = 3
 )
 
-// Advisers are the processes that make calls for advice, one at a time each. NewAdvisers makes them.
+// Advisers are the processes that make the calls for advice, each one call at a time. NewAdvisers makes
+// them.
 type Advisers struct {
 	idle      map[string]bool
-	idleCount int // how many are idle
+	idleCount int // number of idle processes
 	backoffs  map[string]*backoff
 }
 
@@ -27,25 +29,25 @@
 	until    clock.Time
 }
 
-// NewAdvisers returns advisers of which none has joined.
+// NewAdvisers returns an empty set of advisers.
 func NewAdvisers() *Advisers {
 	return &Advisers{idle: map[string]bool{}, backoffs: map[string]*backoff{}}
 }
 
-// Put takes in a process that can make calls. It is free.
+// Add adds a process that can make calls. It is idle at first.
 func (a *Advisers) Put(name string) {
 	a.setIdle(name, true)
 }
 
-// Remove takes in that a process can't be reached any more.
+// Remove removes a process that can't be reached any more.
 func (a *Advisers) Remove(name string) {
 	a.setIdle(name, false)
 	delete(a.idle, name)
 	delete(a.backoffs, name)
 }
 
-// Acquire has a process make a call: the first by name of those that are free. It is busy until Answered. With none that is free,
-// it returns an empty name.
+// Acquire chooses the first idle process by name to make a call. The process is busy until Release.
+// Acquire returns an empty name when none is idle.
 func (a *Advisers) Acquire() string {
 	first := ""
 	for name, idle := range a.idle {
@@ -59,9 +61,10 @@
 	return first
 }
 
-// Release takes in whether a process's call succeeded: it is free, or rests.
+// Release ends the call of a process. If the call has succeeded, the process becomes idle, otherwise
+// after a backoff.
 func (a *Advisers) Release(name string, ok bool, now clock.Time) {
-	if _, there := a.idle[name]; !there {
+	if _, known := a.idle[name]; !known {
 		return
 	}
 	if ok {
@@ -69,20 +72,20 @@
 		a.setIdle(name, true)
 		return
 	}
-	r, rests := a.backoffs[name]
-	if !rests {
-		r = &backoff{}
-		a.backoffs[name] = r
+	b, exists := a.backoffs[name]
+	if !exists {
+		b = &backoff{}
+		a.backoffs[name] = b
 	}
-	r.until = now.Add(initialBackoff << min(r.failures, maxBackoffDoublings))
-	r.failures++
+	b.until = now.Add(initialBackoff << min(b.failures, maxBackoffDoublings))
+	b.failures++
 }
 
-// EndBackoffs makes processes free that have rested for long enough.
+// EndBackoffs makes the processes idle whose backoff is over.
 func (a *Advisers) EndBackoffs(now clock.Time) {
-	for name, r := range a.backoffs {
-		if r.until != 0 && now >= r.until {
-			r.until = 0
+	for name, b := range a.backoffs {
+		if b.until != 0 && now >= b.until {
+			b.until = 0
 			a.setIdle(name, true)
 		}
 	}
@@ -97,21 +100,22 @@
 	a.idle[name] = idle
 }
 
-// Free counts the processes that can make a call at once.
+// IdleCount returns the number of processes that can make a call at once.
 func (a *Advisers) IdleCount() int {
 	return a.idleCount
 }
 
-// Count counts all processes.
+// Count returns the number of all processes.
 func (a *Advisers) Count() int {
 	return len(a.idle)
 }
 
-// WorkingCount counts the processes that make calls, or can.
+// WorkingCount returns the number of processes that are not in a backoff: they make a call or can make
+// one.
 func (a *Advisers) WorkingCount(now clock.Time) int {
 	n := len(a.idle)
-	for _, r := range a.backoffs {
-		if r.until > now {
+	for _, b := range a.backoffs {
+		if b.until > now {
 			n--
 		}
 	}
--- a/pkg/advice/doc.go
+++ b/pkg/advice/doc.go
@@ -1,32 +1,35 @@
-// Package advice reckons with calls for advice: what they cost (prices.go), how many workers they name (number.go), who makes them
-// (advisers.go), and what their answers tell of a queue's next ones (rates.go, rounds.go).
+// Package advice plans calls for advice and keeps account of them: what calls cost (prices.go), about how
+// many workers they ask (worker_count.go), which processes make them (advisers.go), what the answers tell
+// about a queue's next calls (rates.go, rounds.go), and totals for metrics (tally.go).
 //
-// Which workers may run the tasks of some steps is known only to a service outside. A process of the deployment calls it with a list of workers, which
-// takes a fixed time and some for each worker, and gets tickets for those that are allowed. A process makes one call at a time, so that
-// calls are a good that steps share.
+// Only an outside service knows which workers may run the tasks of some steps. A process of the deployment
+// calls it with a list of workers. The call takes a fixed time and some more for each worker, and brings
+// tickets for the workers that are allowed. Since a process makes one call at a time, calls are a limited
+// resource that steps share.
 //
-// The package knows neither steps nor workers, only numbers. Package dispatch finds out which workers a step could use and how many tasks
-// each has room for, asks here how many of them to name in how many calls, and has the calls made. Package queue has the times of
-// a queue's calls.
+// The package knows neither steps nor workers, only numbers. Package dispatch finds out which workers a
+// step could use and for how many tasks each has room. It asks this package about how many of them to ask,
+// in how many calls, and has the calls made. Package queue has the times that a queue's calls take.
 //
 // # Usage
 //
-// Eight workers have room for two tasks each, and a step has three tasks. At the queue's rate, three in ten workers are allowed.
+// Eight workers have room for two tasks each, and a step has three tasks. At the queue's rate, three in ten
+// workers are allowed.
 //
 //	cost := queue.AdviceCost{Base: 400 * time.Millisecond, PerWorker: 6 * time.Millisecond}
-//	p := advice.Prices{Cost: cost, Free: 4, Most: 2}
+//	p := advice.Prices{Cost: cost, FreeAdvisers: 4, MaxCalls: 2}
 //	rooms := []int{2, 2, 2, 2, 2, 2, 2, 2}
-//	n, suffices := p.Cheapest(rooms, 3, 0.3, 0) // 8, 0.74: a second call would cost more than all the names
-//	p.Size(n)                                   // 8 in one call
-//	p.Wait(n)                                   // 448 ms
+//	n, suffices := p.CheapestCount(rooms, 3, 0.3, 0) // 8, 0.74: a second call would cost more than all workers in one
+//	p.WorkersPerCall(n)                              // 8 in one call
+//	p.CallTime(n)                                    // 448 ms
 //
-//	hosts := advice.NewAdvisers()
-//	hosts.Put("host-1")
-//	name := hosts.Take() // host-1, which makes the call
-//	hosts.Answered(name, true, now)
+//	advisers := advice.NewAdvisers()
+//	advisers.Add("host-1")
+//	name := advisers.Acquire() // host-1, which makes the call
+//	advisers.Release(name, true, now)
 //
 //	rates := advice.Rates{}
-//	rates.Of("recap")           // 0.5, of which nothing is known yet
-//	rates.Learn("recap", 2, 20) // two of twenty were allowed
+//	rates.Of("recap")           // 0.5: nothing is known of the queue yet
+//	rates.Learn("recap", 2, 20) // two of twenty workers were allowed
 //	rates.Of("recap")           // 0.44
 package advice
--- a/pkg/advice/prices.go
+++ b/pkg/advice/prices.go
@@ -8,53 +8,54 @@
 )
 
 const (
-	// MaxWorkersPerCall is how many workers a call names at most.
+	// MaxWorkersPerCall is how many workers a call may ask about.
 	MaxWorkersPerCall = 100
-	// callOverhead is what a call costs beside the time of the process that makes it, in that time: its messages at the owner
-	// and its price at the platform.
+	// callOverhead is the cost of a call beside the time of the process that makes it, expressed as such
+	// a time: its messages at the owner and its price on the platform.
 	callOverhead = 50 * time.Millisecond
 )
 
-// Prices say what calls cost that go out together for a step, in seconds that steps wait.
-// The step waits for the longest of its calls. A process can make one call at a time, so that a second
-// of one process has the other steps wait for its share in the processes that are free: with many of them
-// a step's calls are split into small parts, with few it makes one.
+// Prices compute what a step's calls cost that are sent at the same time, in seconds that steps wait. The
+// step itself waits for the longest of its calls. Since a process can make one call at a time, each
+// second of a process also delays other steps, the more the fewer processes are idle. So a step's calls
+// are split into small calls when many processes are idle, and few make it one call.
 type Prices struct {
 	Cost queue.AdviceCost
-	// Free counts the processes that can make a call at once; at least 1.
+	// FreeAdvisers is the number of processes that can make a call at once; at least 1.
 	FreeAdvisers int
-	// MaxCalls is how many calls may go out now.
+	// MaxCalls is how many calls may be sent now.
 	MaxCalls int
 }
 
-// MaxWorkers is how many workers the calls can name.
+// MaxWorkers returns how many workers the calls can ask about.
 func (p Prices) MaxWorkers() int {
 	return MaxWorkersPerCall * max(p.MaxCalls, 1)
 }
 
-// optimalCalls is the number of calls in which n workers are best named: more parts are answered sooner, and each
-// takes the fixed time of a call. The price's derivative by the number of parts is zero there.
+// optimalCalls returns the number of calls that asks about n workers at the lowest price. More calls are
+// answered sooner, but each takes the fixed time of a call. At the returned number, the price's
+// derivative by the number of calls is zero.
 func (p Prices) optimalCalls(n int) int {
-	least := (n + MaxWorkersPerCall - 1) / MaxWorkersPerCall
+	minCalls := (n + MaxWorkersPerCall - 1) / MaxWorkersPerCall
 	fixed := (p.Cost.Base + callOverhead).Seconds() / float64(p.FreeAdvisers)
 	best := math.Sqrt(float64(n) * p.Cost.PerWorker.Seconds() / fixed)
-	return max(min(int(best), p.MaxCalls), least, 1)
+	return max(min(int(best), p.MaxCalls), minCalls, 1)
 }
 
-// WorkersPerCall is how many workers a call names when n are named in all.
+// WorkersPerCall returns how many workers each call asks about when all calls together ask about n.
 func (p Prices) WorkersPerCall(n int) int {
-	parts := p.optimalCalls(n)
-	return max((n+parts-1)/parts, 1)
+	calls := p.optimalCalls(n)
+	return max((n+calls-1)/calls, 1)
 }
 
-// CallTime is how long the calls take that name n workers.
+// CallTime returns how long the calls take that ask about n workers.
 func (p Prices) CallTime(n int) time.Duration {
 	return p.Cost.Of(p.WorkersPerCall(n))
 }
 
-// price is what calls cost that name n workers, in seconds.
+// price returns the cost, in seconds, of the calls that ask about n workers.
 func (p Prices) price(n int) float64 {
-	parts := float64(p.optimalCalls(n))
-	busy := parts*(p.Cost.Base+callOverhead).Seconds() + float64(n)*p.Cost.PerWorker.Seconds()
+	calls := float64(p.optimalCalls(n))
+	busy := calls*(p.Cost.Base+callOverhead).Seconds() + float64(n)*p.Cost.PerWorker.Seconds()
 	return p.CallTime(n).Seconds() + busy/float64(p.FreeAdvisers)
 }
--- a/pkg/advice/rates_test.go
+++ b/pkg/advice/rates_test.go
@@ -12,7 +12,7 @@
 	r.Learn("q", 20, 20)
 	g.Expect(r.Of("q")).To(BeNumerically("~", 0.575, 1e-9))
 	r.Learn("q", 0, 2)
-	g.Expect(r.Of("q")).To(BeNumerically("~", 0.575*0.985, 1e-9), "a small part tells less")
+	g.Expect(r.Of("q")).To(BeNumerically("~", 0.575*0.985, 1e-9), "an answer about few workers has less weight")
 	for range 100 {
 		r.Learn("q", 0, 100)
 	}
--- a/pkg/advice/tally.go
+++ b/pkg/advice/tally.go
@@ -6,22 +6,23 @@
 	"foldarch.dev/foldarch/pkg/worth"
 )
 
-// TicketOutcome says how a ticket ended that a call brought.
+// TicketOutcome says what became of a ticket that a call brought.
 type TicketOutcome int
 
-// The ends of tickets.
+// The outcomes of tickets.
 const (
-	// TicketUsed: one start or more went out with it.
+	// TicketUsed: one or more starts were sent with it.
 	TicketUsed TicketOutcome = iota
-	// TicketNoRoom: its worker had no room when it was named, so that later calls need not learn of it, and has none now.
+	// TicketNoRoom: its worker had no room when the call was made, and has none now. The worker was asked
+	// about so that later calls need not.
 	TicketNoRoom
-	// TicketRoomTaken: its worker had room when it was named, and has none now.
+	// TicketRoomTaken: its worker had room when the call was made, and has none now.
 	TicketRoomTaken
-	// TicketQuotaFull: the customer's quota lets no task of the step start.
+	// TicketQuotaFull: the customer's quota does not let a task of the step start.
 	TicketQuotaFull
-	// TicketGangIncomplete: its worker has room, and the gang lacks other members.
+	// TicketGangIncomplete: its worker has room, but not all members of the gang can start.
 	TicketGangIncomplete
-	// TicketExpired: the step waits, and its worker has room.
+	// TicketExpired: it expired while the step was waiting and its worker had room.
 	TicketExpired
 	// TicketStepDone: all tasks of the step were started without it, or the job has ended.
 	TicketStepDone
@@ -34,7 +35,7 @@
 
 var valueClassNames = [valueClassCount]string{"overdue", "in_time", "late", "beyond", "worthless"}
 
-// Tally counts what calls for advice have taken and brought, since the owner began. NewTally makes it.
+// Tally counts the calls for advice and their results since the owner began. NewTally makes it.
 type Tally struct {
 	calls              int64
 	failed             int64
@@ -45,22 +46,23 @@
 	callTimeByCustomer map[string]time.Duration
 }
 
-// NewTally returns a tally of nothing.
+// NewTally returns an empty tally.
 func NewTally() *Tally {
 	return &Tally{callTimeByCustomer: map[string]time.Duration{}}
 }
 
-// CallResult is a call that was answered, or has failed.
+// CallResult is the result of a call that was answered or has failed.
 type CallResult struct {
 	Customer string
-	// ValueClass is that of the step when the call was made, and Starving says that it had waited too long by then.
+	// ValueClass is that of the step when the call was made, and Delayed says whether the step had waited
+	// too long for advice by then.
 	ValueClass worth.ValueClass
 	Delayed    bool
 	Duration   time.Duration
 	OK         bool
 }
 
-// AddCall takes in a call that is over.
+// AddCall counts a call that is over.
 func (t *Tally) AddCall(c CallResult) {
 	t.calls++
 	if !c.OK {
@@ -73,51 +75,51 @@
 	t.callTimeByCustomer[c.Customer] += c.Duration
 }
 
-// AddStart takes in that a start goes out with a ticket.
+// AddStart counts a start that is sent with a ticket.
 func (t *Tally) AddStart() {
 	t.starts++
 }
 
-// AddTickets takes in how a number of tickets ended.
-func (t *Tally) AddTickets(end TicketOutcome, n int) {
-	t.tickets[end] += int64(n)
+// AddTickets counts n tickets with an outcome.
+func (t *Tally) AddTickets(outcome TicketOutcome, n int) {
+	t.tickets[outcome] += int64(n)
 }
 
-// Tickets is how many tickets ended in a way.
-func (t *Tally) Tickets(end TicketOutcome) int64 {
-	return t.tickets[end]
+// Tickets returns the number of tickets with an outcome.
+func (t *Tally) Tickets(outcome TicketOutcome) int64 {
+	return t.tickets[outcome]
 }
 
-// Starts is how many starts went out with tickets.
+// Starts returns how many starts were sent with tickets.
 func (t *Tally) Starts() int64 {
 	return t.starts
 }
 
-// Calls is how many calls are over.
+// Calls returns how many calls are over.
 func (t *Tally) Calls() int64 {
 	return t.calls
 }
 
-// CallTime is what calls have taken for steps of a standing.
-func (t *Tally) CallTime(s worth.ValueClass) time.Duration {
-	return t.callTime[s-worth.Overdue]
+// CallTime returns the total time of the calls for steps of a value class.
+func (t *Tally) CallTime(c worth.ValueClass) time.Duration {
+	return t.callTime[c-worth.Overdue]
 }
 
-// CustomerCallTime is what calls have taken for a customer's steps.
+// CustomerCallTime returns the total time of the calls for a customer's steps.
 func (t *Tally) CustomerCallTime(customer string) time.Duration {
 	return t.callTimeByCustomer[customer]
 }
 
-// Metrics are the totals by name, times in milliseconds.
+// Metrics returns the totals by name, times in milliseconds.
 func (t *Tally) Metrics() map[string]int64 {
 	out := map[string]int64{
 		"advice_calls_over": t.calls, "advice_calls_failed": t.failed, "advice_starts": t.starts, "advice_ms_starving": t.delayedCallTime.Milliseconds(),
 	}
-	for end, n := range t.tickets {
-		out["advice_tickets_"+ticketOutcomeNames[end]] = n
+	for outcome, n := range t.tickets {
+		out["advice_tickets_"+ticketOutcomeNames[outcome]] = n
 	}
-	for s, spent := range t.callTime {
-		out["advice_ms_"+valueClassNames[s]] = spent.Milliseconds()
+	for class, spent := range t.callTime {
+		out["advice_ms_"+valueClassNames[class]] = spent.Milliseconds()
 	}
 	return out
 }
--- a/pkg/advice/worker_count_test.go
+++ b/pkg/advice/worker_count_test.go
@@ -38,11 +38,11 @@
 		want       int
 		suffices   float64
 	}{
-		"nothing is needed":                {Prices{long, 4, 2}, 0, 0.3, 0, 0, 1},
-		"the fixed time is long":           {Prices{long, 4, 2}, 3, 0.3, 0, 8, 0.7447},
-		"each worker takes long":           {Prices{each, 4, 1}, 1, 0.3, 0, 1, 0.3},
-		"all are allowed":                  {Prices{long, 4, 2}, 3, 1, 0, 2, 1},
-		"the known ones take their places": {Prices{long, 4, 1}, 3, 0.3, 97, 3, 0.216},
+		"nothing is needed":                      {Prices{long, 4, 2}, 0, 0.3, 0, 0, 1},
+		"the fixed time is long":                 {Prices{long, 4, 2}, 3, 0.3, 0, 8, 0.7447},
+		"each worker takes long":                 {Prices{each, 4, 1}, 1, 0.3, 0, 1, 0.3},
+		"all are allowed":                        {Prices{long, 4, 2}, 3, 1, 0, 2, 1},
+		"known workers take up room in the call": {Prices{long, 4, 1}, 3, 0.3, 97, 3, 0.216},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -58,7 +58,7 @@
 	cost := queue.AdviceCost{Base: 50 * time.Millisecond, PerWorker: 10 * time.Millisecond}
 	g.Expect(Prices{cost, 1, 8}.WorkersPerCall(40)).To(Equal(20), "in two calls")
 	g.Expect(Prices{cost, 16, 8}.WorkersPerCall(40)).To(Equal(5), "in eight")
-	g.Expect(Prices{cost, 16, 1}.WorkersPerCall(40)).To(Equal(40), "in one, since no more may go out")
+	g.Expect(Prices{cost, 16, 1}.WorkersPerCall(40)).To(Equal(40), "in one, since no more may be sent")
 	g.Expect(Prices{cost, 16, 8}.CallTime(40)).To(Equal(100 * time.Millisecond))
-	g.Expect(Prices{cost, 1, 2}.WorkersPerCall(1000)).To(Equal(MaxWorkersPerCall), "no call names more")
+	g.Expect(Prices{cost, 1, 2}.WorkersPerCall(1000)).To(Equal(MaxWorkersPerCall), "no call asks about more")
 }
--- a/pkg/crash/crash_test.go
+++ b/pkg/crash/crash_test.go
@@ -13,7 +13,7 @@
 
 const at = clock.Time(100_000)
 
-// Guards against a job that is given up since one worker crashes by itself again and again.
+// Guards against a job that is given up because one worker crashes again and again without its fault.
 func TestLivesOfOneWorkerAreSureOnce(t *testing.T) {
 	alone := func(workers ...string) []job.Crash {
 		var out []job.Crash
@@ -22,15 +22,15 @@
 		}
 		return out
 	}
-	sure := func(crashes []job.Crash) int {
+	conclusive := func(crashes []job.Crash) int {
 		var x TaskRecord
 		x.Load(nil, crashes)
 		return x.ConclusiveCrashes()
 	}
 	g := NewWithT(t)
-	g.Expect(sure(alone("w1@1000", "w1@1900", "w1@2800"))).To(Equal(1))
-	g.Expect(sure(alone("w1@1000", "w2@1900", "w1@2800"))).To(Equal(2))
-	g.Expect(sure(alone("w1", "w2"))).To(Equal(2))
+	g.Expect(conclusive(alone("w1@1000", "w1@1900", "w1@2800"))).To(Equal(1))
+	g.Expect(conclusive(alone("w1@1000", "w2@1900", "w1@2800"))).To(Equal(2))
+	g.Expect(conclusive(alone("w1", "w2"))).To(Equal(2))
 }
 
 func start(id job.ID, run int) Start {
@@ -41,7 +41,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, n}), 80)
 }
 
-// crashOf is the crash of a worker at its own address under starts of some jobs.
+// crashOf returns the crash of a worker at its own address under starts of some jobs.
 func crashOf(worker byte, when clock.Time, jobs ...job.ID) *Crash {
 	var starts Starts
 	for _, id := range jobs {
@@ -54,24 +54,25 @@
 	return nil
 }
 
-// Guards against a task that is held for the only cause of a crash that may have another one, and against one that is never.
+// Guards against a task that counts as the only possible cause of a crash which may have another one, and
+// against a task that never does.
 func TestTaskIsTheOnlyCauseUnlessSomethingElseExplainsTheCrash(t *testing.T) {
 	for name, c := range map[string]struct {
-		jobs   []job.ID
-		before []*Crash
-		silent []*Crash
-		soon   bool
-		alone  bool
+		jobs     []job.ID
+		before   []*Crash
+		silent   []*Crash
+		inWindow bool
+		alone    bool
 	}{
-		"nothing else":                 {jobs: []job.ID{"a"}, soon: true, alone: true},
-		"heard of long after":          {jobs: []job.ID{"a"}},
-		"another job was beginning":    {jobs: []job.ID{"a", "b"}, soon: true},
-		"another worker crashed":       {jobs: []job.ID{"a"}, before: []*Crash{crashOf(2, at-900, "b", "c")}, soon: true},
-		"another crashed long before":  {jobs: []job.ID{"a"}, before: []*Crash{crashOf(2, at-1000, "b", "c")}, soon: true, alone: true},
-		"another crashed for its job":  {jobs: []job.ID{"a"}, before: []*Crash{crashOf(2, at-900, "b")}, soon: true, alone: true},
-		"another crashed under it":     {jobs: []job.ID{"a"}, before: []*Crash{crashOf(2, at-900, "a", "c")}, soon: true, alone: true},
-		"another went silent":          {jobs: []job.ID{"a"}, silent: []*Crash{crashOf(2, at, "b")}, soon: true},
-		"another went silent under it": {jobs: []job.ID{"a"}, silent: []*Crash{crashOf(2, at, "a")}, soon: true, alone: true},
+		"nothing else":                           {jobs: []job.ID{"a"}, inWindow: true, alone: true},
+		"seen long after the start":              {jobs: []job.ID{"a"}},
+		"another job was starting":               {jobs: []job.ID{"a", "b"}, inWindow: true},
+		"another worker crashed":                 {jobs: []job.ID{"a"}, before: []*Crash{crashOf(2, at-900, "b", "c")}, inWindow: true},
+		"another crashed long before":            {jobs: []job.ID{"a"}, before: []*Crash{crashOf(2, at-1000, "b", "c")}, inWindow: true, alone: true},
+		"another crashed, its job at fault":      {jobs: []job.ID{"a"}, before: []*Crash{crashOf(2, at-900, "b")}, inWindow: true, alone: true},
+		"another crashed under the same job":     {jobs: []job.ID{"a"}, before: []*Crash{crashOf(2, at-900, "a", "c")}, inWindow: true, alone: true},
+		"another fell silent":                    {jobs: []job.ID{"a"}, silent: []*Crash{crashOf(2, at, "b")}, inWindow: true},
+		"another fell silent under the same job": {jobs: []job.ID{"a"}, silent: []*Crash{crashOf(2, at, "a")}, inWindow: true, alone: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := NewHistory(time.Second, 0)
@@ -81,13 +82,13 @@
 			x := crashOf(1, at, c.jobs...)
 			h.Add(x, func() []*Crash { return c.silent }, at)
 			s := start("a", 3)
-			s.InCrashWindow = c.soon
+			s.InCrashWindow = c.inWindow
 			NewWithT(t).Expect(x.RecordFor(s)).To(Equal(job.Crash{Run: 3, Worker: "w@1", Alone: c.alone}))
 		})
 	}
 }
 
-// Guards against jobs that are given up for a server that goes down and up by itself.
+// Guards against jobs that are given up for a server that goes down and up without their fault.
 func TestWorkerAtAnAddressThatCrashedBeforeProvesNothing(t *testing.T) {
 	g := NewWithT(t)
 	h := NewHistory(time.Second, 0)
@@ -100,10 +101,11 @@
 	h.RemoveCrashesOf("w@2")
 	later := NewCrash("w@3", address(1), at.Add(21*time.Second), Starts{start("a", 1)})
 	h.Add(later, none, at.Add(21*time.Second))
-	g.Expect(later.RecordFor(start("a", 1)).Alone).To(BeTrue(), "the others had only been cut off")
+	g.Expect(later.RecordFor(start("a", 1)).Alone).To(BeTrue(), "the other workers had only been cut off")
 }
 
-// Guards against a job that is given up for two crashes in a row where workers crash often, or where a new owner can't know whether they do.
+// Guards against a job that is given up for two crashes in a row where workers crash often for other
+// causes, or where a new owner can't know yet whether they do.
 func TestMoreCrashesAreNeededWhileWorkersCrashForOtherCauses(t *testing.T) {
 	g := NewWithT(t)
 	h := NewHistory(time.Second, at)
@@ -115,13 +117,13 @@
 	}
 	g.Expect(h.ConclusiveCrashesNeeded("a", 100, late)).To(Equal(conclusiveCrashesNeededWhenUnstable))
 	g.Expect(h.ConclusiveCrashesNeeded("a", 1000, late)).To(Equal(conclusiveCrashesNeeded))
-	g.Expect(h.ConclusiveCrashesNeeded("b", 100, late)).To(Equal(conclusiveCrashesNeeded), "they may be its own")
+	g.Expect(h.ConclusiveCrashesNeeded("b", 100, late)).To(Equal(conclusiveCrashesNeeded), "the job may have caused them itself")
 	g.Expect(h.IsQuietFor("a", late)).To(BeFalse())
 	g.Expect(h.IsQuietFor("b", late)).To(BeTrue())
 	g.Expect(h.IsQuietFor("a", late.Add(quietPeriod))).To(BeTrue())
 }
 
-// Guards against crashes that are counted against a task after one of its later starts was survived.
+// Guards against crashes that still count against a task after a worker has survived a later start of it.
 func TestSurvivedStartTakesAllCrashesBack(t *testing.T) {
 	g := NewWithT(t)
 	var x TaskRecord
@@ -137,10 +139,10 @@
 	g.Expect(x.RecordSurvival(6)).To(BeTrue())
 	g.Expect(x.IsSuspect() || x.IsUnresolved()).To(BeFalse())
 	g.Expect(x.AddCrash(job.Crash{Run: 6, Worker: "w@1"})).To(BeFalse())
-	g.Expect(x.RecordSurvival(7)).To(BeFalse(), "the store has nothing of it")
+	g.Expect(x.RecordSurvival(7)).To(BeFalse(), "nothing is stored of the task")
 }
 
-// Guards against starts that are counted against tasks though their worker had crashed before.
+// Guards against counting a start against its task when the worker may have crashed before it.
 func TestStartAfterASignOfTroubleIsNoCause(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(WorkerLiveness{LastSeenAt: at}.MayPrecede(at.Add(responsiveTime))).To(BeFalse())
--- a/pkg/crash/history.go
+++ b/pkg/crash/history.go
@@ -11,43 +11,48 @@
 )
 
 const (
-	// conclusiveCrashesNeeded is how many crashes in a row for which nothing but the task can be the cause give it up, and
-	// conclusiveCrashesNeededWhenUnstable how many do while more crash for other causes than maxUnrelatedCrashShare allows.
+	// A task is given up after conclusiveCrashesNeeded crashes in a row that only this task can have
+	// caused, and after conclusiveCrashesNeededWhenUnstable while more workers crash for other causes
+	// than maxUnrelatedCrashShare allows.
 	conclusiveCrashesNeeded             = 2
 	conclusiveCrashesNeededWhenUnstable = 3
-	// maxUnrelatedCrashShare is the part of the starts that may meet a crash of their worker for another cause before two in a row are
-	// no proof: with 0.003 that happens to one of 100,000 tasks that were beside a cause.
+	// maxUnrelatedCrashShare is the share of starts whose worker may crash for another cause. Above it,
+	// two conclusive crashes in a row are no proof: at 0.003, one of 100,000 tasks that ran beside the
+	// cause of a crash has them by coincidence.
 	maxUnrelatedCrashShare = 0.003
-	// survivalCheckTime is how long a start takes to be proven: SurvivalTime, and the wait of a hold.
+	// survivalCheckTime is how long it takes to learn that a worker has survived a start: SurvivalTime,
+	// and the longest wait of a poll.
 	survivalCheckTime = time.Second
-	// quietPeriod is for how long no worker may have crashed for another cause before a task is started that the next crash gives
-	// up: it covers the time in which one that crashed is found out to have done so.
+	// quietPeriod is for how long no worker may have crashed for another cause before a task is started
+	// that is given up at its next crash. It covers the time until the owner finds out that a worker has
+	// crashed.
 	quietPeriod = 5 * time.Second
-	// historyTime is for how long a crash at an address speaks against the next worker there: servers that go down and
-	// up by turns do so within seconds.
+	// historyTime is for how long a crash at an address counts as an earlier crash of the next worker
+	// there: servers that go down and up by turns do so within seconds.
 	historyTime = 30 * time.Second
 )
 
-// Crash is the end of a worker that had not said that it would leave.
+// Crash is the end of a worker that had not announced that it would leave.
 type Crash struct {
 	worker     workerid.ID
 	address    netip.AddrPort
-	lastSeenAt clock.Time // when the worker was heard of last
+	lastSeenAt clock.Time // last sign of life of the worker
 	jobs       map[job.ID]bool
-	// hasSingleCause says that nothing but one job can be the cause.
+	// hasSingleCause says that only one job can be the cause.
 	hasSingleCause bool
 }
 
-// NewCrash returns the crash of a worker that was heard of last at a time, and of which some starts may be the cause.
-func NewCrash(worker workerid.ID, address netip.AddrPort, at clock.Time, starts Starts) *Crash {
-	c := &Crash{worker: worker, address: address, lastSeenAt: at, jobs: map[job.ID]bool{}}
+// NewCrash returns the crash of a worker that was last seen at lastSeenAt, with the starts that may have
+// caused it.
+func NewCrash(worker workerid.ID, address netip.AddrPort, lastSeenAt clock.Time, starts Starts) *Crash {
+	c := &Crash{worker: worker, address: address, lastSeenAt: lastSeenAt, jobs: map[job.ID]bool{}}
 	for _, s := range starts {
 		c.jobs[s.Task.Job] = true
 	}
 	return c
 }
 
-// RecordFor is what the crash says against the task of a start.
+// RecordFor returns the record of the crash that is kept for the task of one of the starts.
 func (c *Crash) RecordFor(s Start) job.Crash {
 	return job.Crash{Run: s.Run, Worker: string(c.worker), Alone: c.hasSingleCause && s.InCrashWindow}
 }
@@ -61,21 +66,24 @@
 	return false
 }
 
-// History is what is remembered of crashes.
+// History has the crashes of the last historyTime.
 type History struct {
 	began       clock.Time
-	crashes     []*Crash                      // of the last memory
-	lastCrashAt map[netip.AddrPort]clock.Time // by address, of these
-	// coincidenceWindow is how far apart workers that crash together may have been heard of last.
+	crashes     []*Crash
+	lastCrashAt map[netip.AddrPort]clock.Time // by address
+	// coincidenceWindow is how far apart two workers may have been seen last for their crashes to
+	// coincide.
 	coincidenceWindow time.Duration
 }
 
-// NewHistory returns a history that begins at a time. Workers that crash together may have been heard of last as far apart as given.
-func NewHistory(together time.Duration, now clock.Time) *History {
-	return &History{began: now, lastCrashAt: map[netip.AddrPort]clock.Time{}, coincidenceWindow: together}
+// NewHistory returns an empty history that begins at a time. Two crashes may coincide when their workers
+// were seen last less than coincidenceWindow apart.
+func NewHistory(coincidenceWindow time.Duration, now clock.Time) *History {
+	return &History{began: now, lastCrashAt: map[netip.AddrPort]clock.Time{}, coincidenceWindow: coincidenceWindow}
 }
 
-// Add takes in a crash. silent lists what has gone silent at the same time, as if it had crashed; it is asked for only where it matters.
+// Add adds a crash and determines whether only one job can have caused it. silent returns the workers
+// that fell silent at the same time, as crashes; it is called only where the answer matters.
 func (h *History) Add(c *Crash, silent func() []*Crash, now clock.Time) {
 	c.hasSingleCause = len(c.jobs) == 1 && !h.hasCoincidingCrash(c, silent) && !h.hasEarlierCrash(c)
 	h.crashes = slices.DeleteFunc(h.crashes, func(o *Crash) bool { return now.Sub(o.lastSeenAt) >= historyTime })
@@ -86,13 +94,14 @@
 	}
 }
 
-// MayCoincide says that a worker that was heard of last at a time may have crashed together with another one.
-func (h *History) MayCoincide(c *Crash, at clock.Time) bool {
-	return max(at.Sub(c.lastSeenAt), c.lastSeenAt.Sub(at)) < h.coincidenceWindow
+// MayCoincide says whether a worker that was last seen at a time may have crashed at the same time as
+// another one.
+func (h *History) MayCoincide(c *Crash, lastSeenAt clock.Time) bool {
+	return max(lastSeenAt.Sub(c.lastSeenAt), c.lastSeenAt.Sub(lastSeenAt)) < h.coincidenceWindow
 }
 
-// hasCoincidingCrash says that other workers, on which none of the same jobs was beginning, ended or went
-// silent at the time of a crash. Those for which another job is the only cause don't count.
+// hasCoincidingCrash says whether other workers, on which none of the same jobs was starting, crashed or
+// fell silent at the same time. Crashes that only another job can have caused don't count.
 func (h *History) hasCoincidingCrash(c *Crash, silent func() []*Crash) bool {
 	for _, o := range h.crashes {
 		if o.worker != c.worker && h.MayCoincide(c, o.lastSeenAt) && !o.hasSingleCause && !c.sharesJob(o) {
@@ -102,32 +111,36 @@
 	return slices.ContainsFunc(silent(), func(o *Crash) bool { return !c.sharesJob(o) })
 }
 
-// hasEarlierCrash says that a worker at the same address crashed lately under none of the same jobs.
+// hasEarlierCrash says whether another worker at the same address crashed recently while none of the same
+// jobs was starting there.
 func (h *History) hasEarlierCrash(c *Crash) bool {
 	return slices.ContainsFunc(h.crashes, func(o *Crash) bool {
 		return o.address == c.address && o.worker != c.worker && !c.sharesJob(o)
 	})
 }
 
-// LastCrashAt is when a worker at an address was heard of last that crashed lately; 0 for none.
+// LastCrashAt returns when a worker at the address that crashed recently was last seen; 0 for none.
 func (h *History) LastCrashAt(address netip.AddrPort) clock.Time {
 	return h.lastCrashAt[address]
 }
 
-// RemoveCrashesOf forgets the crash of a worker that had only been cut off for long.
+// RemoveCrashesOf removes the crash of a worker that turned out to have been cut off for long, and not to
+// have crashed.
 func (h *History) RemoveCrashesOf(worker workerid.ID) {
 	h.crashes = slices.DeleteFunc(h.crashes, func(c *Crash) bool { return c.worker == worker })
 }
 
-// IsQuietFor says that no worker has crashed lately for another cause than a job, so that a task of it may be started that the next crash gives up.
+// IsQuietFor says whether no worker has crashed recently for a cause other than the job. Only then may a
+// task of the job be started that is given up at its next crash.
 func (h *History) IsQuietFor(id job.ID, now clock.Time) bool {
 	return !slices.ContainsFunc(h.crashes, func(c *Crash) bool {
 		return !c.hasSingleCause && !c.jobs[id] && now.Sub(c.lastSeenAt) < quietPeriod
 	})
 }
 
-// ConclusiveCrashesNeeded is how many crashes for which nothing but a job can be the cause give it up: more while workers, of which there are so many,
-// crash for other causes, and while the history is too short to tell whether they do.
+// ConclusiveCrashesNeeded returns after how many conclusive crashes a job is given up. It needs more
+// while workers crash for other causes, in relation to the number of workers, and while the history is
+// too short to tell whether they do.
 func (h *History) ConclusiveCrashesNeeded(id job.ID, workers int, now clock.Time) int {
 	if now.Sub(h.began) < historyTime {
 		return conclusiveCrashesNeededWhenUnstable
--- a/pkg/crash/probe.go
+++ b/pkg/crash/probe.go
@@ -8,27 +8,29 @@
 )
 
 const (
-	// ClaimTimeout is how long a worker is claimed for a step before something begins there: SurvivalTime and the longest wait of a hold,
-	// with as much to spare for a busy owner.
+	// ClaimTimeout is how long a worker stays claimed for a step before something starts there:
+	// SurvivalTime and the longest wait of a poll, and as much again for a busy owner.
 	ClaimTimeout = 2 * time.Second
-	// maxClaimedShare is the part of the workers, at least one, that may be claimed at once: with all of them a crash of many
-	// workers would stop what has nothing to do with it.
+	// maxClaimedShare is the share of the workers that may be claimed at once; one always may. If all
+	// could be, a crash of many workers would stop work that has nothing to do with it.
 	maxClaimedShare = 0.25
 )
 
-// MayClaimWorker says whether one more worker may be claimed, of so many, of which some are.
+// MayClaimWorker says whether one more worker may be claimed when claimed of all workers are.
 func MayClaimWorker(claimed, all int) bool {
 	return claimed < max(1, int(maxClaimedShare*float64(all)))
 }
 
-// ProbeFitness is how well a worker suits a task that is to be started alone.
+// ProbeFitness says how well a worker suits a probe: the start of a suspect task alone on a worker.
 type ProbeFitness struct {
-	RecentRuns int        // runs of other jobs that are not proven
-	CrashedAt  clock.Time // at its address; 0 for not lately. Such a worker may crash on its own again
-	LastSeenAt clock.Time // one that was heard of lately has not crashed yet
+	RecentRuns int // runs of other jobs that the worker has not survived yet
+	// CrashedAt is when the worker's address last had a crash, since it may crash again without a task's fault;
+	// 0 when that was not recent.
+	CrashedAt  clock.Time
+	LastSeenAt clock.Time // a worker that was seen recently has not crashed yet
 }
 
-// Compare puts workers first on which nothing else is beginning.
+// Compare orders workers by fitness, the best first: above all those on which no other run is recent.
 func (f ProbeFitness) Compare(g ProbeFitness) int {
 	return cmp.Or(
 		cmp.Compare(min(f.RecentRuns, 1), min(g.RecentRuns, 1)), cmp.Compare(f.CrashedAt, g.CrashedAt),
--- a/pkg/crash/start.go
+++ b/pkg/crash/start.go
@@ -11,64 +11,70 @@
 )
 
 const (
-	// SurvivalTime is how long a worker must have lived on after the start of a run, by its own clock, for the start
-	// not to be what ends the worker. Tasks that crash their workers were seen to do so 10 ms after their start.
+	// SurvivalTime is how long a worker must have lived on after the start of a run, by its own clock, to
+	// have survived the start. Tasks that crash their workers have done so 10 ms after their start.
 	SurvivalTime = 300 * time.Millisecond
-	// crashWindow is how long after a start its worker may have been heard of, by its own clock, for the start to be
-	// the only cause that there can be. With SurvivalTime in its place, two workers in a row that crashed on their own gave up a job in two of
-	// 5,000 random histories in which each worker does so every 40 s.
+	// crashWindow is how long after a start a worker may last have been seen, by its own clock, for its
+	// crash to be conclusive. With SurvivalTime in its place, two workers in a row that crashed for other
+	// causes gave up a job in two of 5,000 random histories in which each worker crashes every 40 s.
 	crashWindow = 150 * time.Millisecond
-	// responsiveTime is for how long a worker counts as living after it was heard of, when a start got no answer: one that was ordered later may
-	// have met a worker that had crashed before. Holds wait up to 0.6 s in pools of usual size, so half of the workers were heard of within it.
+	// responsiveTime is how long after its last sign of life a worker counts as alive. When a start got
+	// no answer that was ordered later, its worker may have crashed before the start. Polls wait up to
+	// 0.6 s in pools of usual size, so half of the workers were seen within this time.
 	responsiveTime = 300 * time.Millisecond
 )
 
-// HasSurvived says that a worker lives on after a start, by two readings of its own clock in milliseconds.
-func HasSurvived(begun, heard int64) bool {
-	return heard-begun >= SurvivalTime.Milliseconds()
+// HasSurvived says whether a worker has survived a start, by the times of the start and of its last sign
+// of life, both in milliseconds of the worker's own clock.
+func HasSurvived(startedAt, lastSeenAt int64) bool {
+	return lastSeenAt-startedAt >= SurvivalTime.Milliseconds()
 }
 
-// Soon says that a worker was not heard of for longer than crashWindow after a start, by two readings of its own clock in milliseconds.
-func IsInCrashWindow(begun, heard int64) bool {
-	return heard-begun <= crashWindow.Milliseconds()
+// IsInCrashWindow says whether a worker was last seen within crashWindow after a start, by the times of
+// both in milliseconds of the worker's own clock.
+func IsInCrashWindow(startedAt, lastSeenAt int64) bool {
+	return lastSeenAt-startedAt <= crashWindow.Milliseconds()
 }
 
-// WorkerLiveness is what is known of a worker's life from its answers.
+// WorkerLiveness is what a worker's answers tell of whether it lives.
 type WorkerLiveness struct {
-	LastSeenAt clock.Time // last
-	// FirstUnansweredAt is when the first call got no answer since then; 0 when none has failed.
+	LastSeenAt clock.Time
+	// FirstUnansweredAt is when the first call after LastSeenAt got no answer; 0 when every call was
+	// answered.
 	FirstUnansweredAt clock.Time
 }
 
-// IsResponsive says that the worker was heard of just now, and that no call since has failed. Another one may have crashed already, and a start
-// there would be counted against its task.
+// IsResponsive says whether the worker was seen recently and no call has failed since. A worker that is
+// not responsive may have crashed already, and a start sent to it would be counted against its task.
 func (w WorkerLiveness) IsResponsive(now clock.Time) bool {
 	return w.FirstUnansweredAt == 0 && now.Sub(w.LastSeenAt) <= responsiveTime
 }
 
-// MayPrecede says that the worker may have ended before a start without an answer that was ordered at a time: a call before it got none
-// either, or the worker had not been heard of for a while.
+// MayHaveCrashedBefore says whether the worker may have crashed before a start without an answer that was ordered
+// at a time: an earlier call got no answer either, or the worker had not been seen for longer than
+// responsiveTime.
 func (w WorkerLiveness) MayPrecede(ordered clock.Time) bool {
 	return w.FirstUnansweredAt != 0 && ordered > w.FirstUnansweredAt || ordered.Sub(w.LastSeenAt) > responsiveTime
 }
 
-// Start is a start that may have ended its worker.
+// Start is a start that may have crashed its worker.
 type Start struct {
 	Task job.TaskID
 	Run  int
-	// Soon says that the worker is known to have begun it, and was not heard of for longer than crashWindow after that.
+	// InCrashWindow says that the worker is known to have begun the run, and was last seen no later than
+	// crashWindow after that.
 	InCrashWindow bool
 }
 
 // Starts are starts on one worker.
 type Starts []Start
 
-// HasRun says whether a run is among them.
+// HasRun says whether the starts include the run.
 func (s Starts) HasRun(id job.TaskID, run int) bool {
 	return slices.ContainsFunc(s, func(x Start) bool { return x.Run == run && x.Task == id })
 }
 
-// String names starts for logs, such as "a.0.0.1:3,b.0.0.0:1"; a few of them.
+// String lists the first starts for logs, such as "a.0.0.1:3,b.0.0.0:1".
 func (s Starts) String() string {
 	const most = 8
 	names := make([]string, 0, most)
--- a/pkg/latestart/ack_delays.go
+++ b/pkg/latestart/ack_delays.go
@@ -6,27 +6,29 @@
 	"foldarch.dev/foldarch/pkg/clock"
 )
 
-// AckDelays keeps ends of one worker from being noted while late starts of their tasks may be carried out. The zero value keeps none.
+// AckDelays delays the acknowledgement of run ends on one worker while late starts of their tasks may be
+// carried out. The zero value delays none.
 type AckDelays struct {
 	delayed []delayedAck
 }
 
-// delayedAck is an end that is not to be noted before a time.
+// delayedAck is a run end that must not be acknowledged before a time.
 type delayedAck struct {
 	number int64
 	until  clock.Time
 }
 
-// Add keeps an end, by its number on the worker, from being noted until a time.
-func (n *AckDelays) Add(number int64, until clock.Time) {
-	n.delayed = append(n.delayed, delayedAck{number, until})
+// Add delays the acknowledgement of an end, given by its number on the worker, until a time.
+func (a *AckDelays) Add(number int64, until clock.Time) {
+	a.delayed = append(a.delayed, delayedAck{number, until})
 }
 
-// LastAckable is the number up to which all ends may be noted, of those up to one that are taken in.
-func (n *AckDelays) LastAckable(taken int64, now clock.Time) int64 {
-	n.delayed = slices.DeleteFunc(n.delayed, func(h delayedAck) bool { return now >= h.until })
-	for _, h := range n.delayed {
-		taken = min(taken, h.number-1)
+// LastAckable returns the number up to which all ends may be acknowledged, given the number of the last
+// end that was processed.
+func (a *AckDelays) LastAckable(processed int64, now clock.Time) int64 {
+	a.delayed = slices.DeleteFunc(a.delayed, func(d delayedAck) bool { return now >= d.until })
+	for _, d := range a.delayed {
+		processed = min(processed, d.number-1)
 	}
-	return taken
+	return processed
 }
--- a/pkg/latestart/doc.go
+++ b/pkg/latestart/doc.go
@@ -1,40 +1,48 @@
-// Package latestart keeps the starts of tasks that may still be carried out by another life of the worker that they were sent to, and
-// says what they keep their tasks from.
+// Package latestart keeps the late starts of tasks: starts that a later incarnation of the worker they were
+// sent to may still carry out. It says which starts of the same tasks have to be avoided because of them.
 //
-// It knows tasks by the numbers of their runs, workers by name and lives of workers by number only. Package dispatch tells it of each start,
-// and asks it where a task may start, under which number, and from when on ends may be noted.
+// It knows tasks by the numbers of their runs, workers by name, and incarnations of workers by number only.
+// Package dispatch reports each start to it, and asks it on which worker a task may start, under which run
+// number, and from when on run ends may be acknowledged.
 //
-// A Task is not safe for concurrent use.
+// A TaskStarts is not safe for concurrent use.
 //
 // # What a late start is
 //
-// A start without an answer that was fenced off, or whose worker was lost, does nothing any more on the life that it was sent to. The next life of that
-// worker has seen no token and may carry it out until Lasts after it was sent. Until then:
-//
-//   - Its task starts again at once, but only on the same worker. A life that has seen a higher token does not carry the late start out, and what ran on a
-//     life that has ended does not run beside it. A task that lasts is not kept from other workers while that one can't be given it (Unbind).
-//   - It starts again under the same number, until a run with that has ended: if that start gets no answer either, the next life may carry out both, and it
-//     does not begin a run again that is there. A gang starts again under the same number, too.
-//   - Once a run with that number has ended, the worker rejects the number, and the task does not start again before the late start is over: the next life
-//     would run two starts with numbers of their own beside each other.
-//   - No end of its task as done or failed, nor one of another member of its gang, is noted (Notes), so a late start does not come after an end that was.
-//     The job is shown as completed all the same.
-//
-// Tickets are for one life, so starts with one are rejected by the next.
+// A start that got no answer may have been fenced off, or its worker may have been lost. Such a start has no
+// effect any more on the incarnation that it was sent to. The next incarnation of that worker has seen no
+// fencing token, and may carry the start out until MaxDelay after it was sent. Until then:
+//
+//   - Its task starts again at once, but only on the same worker. An incarnation that has seen a higher
+//     token rejects the late start, and what ran on a terminated incarnation does not run beside the new
+//     run. A long-running task may go to another worker while this one can't be given it (UnbindUnusable).
+//   - The task starts again under the same run number until a run with that number has ended. If that start
+//     gets no answer either, the next incarnation may carry out both orders: the second one then has no
+//     effect, since a worker does not begin a run again that it already has. A gang starts again under the
+//     same number, too.
+//   - Once a run with that number has ended, the worker rejects the number. The task is then blocked until
+//     the late start has expired: under a new number, the next incarnation would run both starts beside
+//     each other.
+//   - No end of its task as done or failed, nor one of another member of its gang, is acknowledged
+//     (AckDelays). The worker so remembers the end, and does not carry out a late start after it. The job
+//     is shown as completed all the same.
+//
+// A ticket is valid for one incarnation, so the next one rejects starts that carry a ticket.
 //
 // # What a later owner learns
 //
-// A later owner has to know of the starts that may come late. So the store is told of one as soon as it got no answer, with its worker (Tell). What
-// a later owner reads counts as a late start on that worker for Lasts, unless a worker lists it (Take). A start whose owner was gone before the store was
-// told is not known.
+// A later owner has to know which starts may come late. So each start is put into the store, with its
+// worker, as soon as its call has ended without an answer (AddUnanswered). A later owner takes each stored
+// one for a late start on that worker for up to MaxDelay, unless a worker lists its run (LoadUnanswered). A
+// start whose owner ended before it was stored stays unknown.
 //
 // # Usage
 //
-//	var t latestart.Task
-//	t.Add(latestart.Start{Number: 3, Life: 1, Worker: "w1", Until: now.Add(latestart.Lasts)})
-//	n := latestart.Numbers{Given: 3}
-//	t.MayRunOn("w2")      // false
-//	t.ReusesNumberOn("w1", n)  // true: the next run there has number 3
-//	n.Ended = 3           // that run has ended
-//	t.Outwaits(n)         // true: nothing starts before the late start is over
+//	var t latestart.TaskStarts
+//	t.Add(latestart.Start{Number: 3, Incarnation: 1, Worker: "w1", ExpiresAt: now.Add(latestart.MaxDelay)})
+//	n := latestart.RunNumbers{LastAssigned: 3}
+//	t.MayRunOn("w2")          // false
+//	t.ReusesNumberOn("w1", n) // true: the next run there has number 3
+//	n.LastEnded = 3           // that run has ended
+//	t.IsBlocked(n)            // true: nothing starts before the late start has expired
 package latestart
--- a/pkg/latestart/gang_members.go
+++ b/pkg/latestart/gang_members.go
@@ -1,7 +1,9 @@
 package latestart
 
-// AssignMembers gives each member of a gang a worker by its index, those that are bound theirs and the others the ones with most room; nil when the
-// workers don't suffice. room is for how many members each has room; it is used up.
+// AssignMembers assigns a worker, by index, to each member of a gang: to bound members the worker that
+// they are bound to, then to the others the one with most room, together with the member before where it
+// has room. It returns nil when the workers don't suffice. room tells for how many members each worker
+// has room; AssignMembers decreases it as it assigns them.
 func AssignMembers(members []*TaskStarts, workers []string, room []int) []int {
 	chosen, last := make([]int, len(members)), -1
 	for _, bound := range []bool{true, false} {
@@ -23,7 +25,8 @@
 	return chosen
 }
 
-// workerWithMostRoom is the index of the worker with most room that the task may be started on; -1 for none.
+// workerWithMostRoom returns the index of the worker with most room among those on which the task may
+// start; -1 for none.
 func (t *TaskStarts) workerWithMostRoom(workers []string, room []int) int {
 	best := -1
 	for n, w := range workers {
--- a/pkg/latestart/start_call.go
+++ b/pkg/latestart/start_call.go
@@ -2,17 +2,19 @@
 
 import "foldarch.dev/foldarch/pkg/clock"
 
-// StartCall is the call of one start.
+// StartCall is the call that sends one start order to a worker.
 type StartCall struct {
 	OrderedAt clock.Time
-	// UnansweredAt is when it got no answer; 0 while that may come.
+	// UnansweredAt is when the call ended without an answer; 0 while an answer may still come.
 	UnansweredAt clock.Time
-	// ReusesNumber says that the start, which may be carried out yet, has the number of an earlier one: a list that shows the run may tell of that one.
+	// ReusesNumber says that the start, which may still be carried out, has the run number of an earlier
+	// start. A worker's list that shows a run of that number may then show the earlier one's.
 	ReusesNumber bool
-	Stored       bool // the store is told that it got no answer
+	Stored       bool // the store has it as a start without an answer
 }
 
-// RecordResult takes in how the call ended: a repeated start can't come any more unless it got no answer.
+// RecordResult records whether the call got an answer. A start that reuses a number can't come any more
+// unless its call got no answer.
 func (c *StartCall) RecordResult(unanswered bool, now clock.Time) {
 	if !unanswered {
 		c.ReusesNumber = false
@@ -21,17 +23,19 @@
 	c.UnansweredAt = now
 }
 
-// ExpireNumberReuse forgets that a start is a repeated one when it can't be carried out any more.
+// ExpireNumberReuse clears ReusesNumber once the start can't be carried out any more.
 func (c *StartCall) ExpireNumberReuse(now clock.Time) {
 	c.ReusesNumber = c.ReusesNumber && now < c.LastEventAt().Add(MaxDelay)
 }
 
-// LastEventAt is when the start was ordered or, since it may have waited to be sent, when its call got no answer.
+// LastEventAt returns when the call ended without an answer, since the order may have waited until then
+// to be sent; before that, when the start was ordered.
 func (c *StartCall) LastEventAt() clock.Time {
 	return max(c.OrderedAt, c.UnansweredAt)
 }
 
-// SentNoLaterThan is when the start was sent, at the latest: one whose call is not over may be sent yet.
+// SentNoLaterThan returns the latest time at which the order can have been sent. While the call goes on,
+// that is now.
 func (c *StartCall) SentNoLaterThan(now clock.Time) clock.Time {
 	if c.UnansweredAt == 0 {
 		return now
@@ -39,7 +43,7 @@
 	return c.UnansweredAt
 }
 
-// ExpiresAt is until when the start may be carried out, at the latest.
+// ExpiresAt returns the latest time at which the start may be carried out.
 func (c *StartCall) ExpiresAt(now clock.Time) clock.Time {
 	return c.SentNoLaterThan(now).Add(MaxDelay)
 }
