--- a/pkg/admission/limits.go
+++ b/pkg/admission/limits.go
@@ -10,92 +10,98 @@
 )
 
 const (
-	// MinExcessTime is for how long a customer's work must wait for too long before it is limited: a burst that is just being started is no backlog.
+	// MinExcessTime is for how long a customer's work must wait too long before the customer is limited:
+	// a burst that is just being started is no backlog.
 	MinExcessTime = 500 * time.Millisecond
-	// leastSlack is what a job may wait in any case: shorter waits come and go with the owner's heartbeats.
+	// minSlack is how long a job may wait in any case: shorter waits come and go with the owner's
+	// heartbeats.
 	leastSlack = 250 * time.Millisecond
-	// runningTimeConstant is over which time the work is smoothed that a customer has in progress: between two waves of its tasks it has little.
+	// runningTimeConstant is the time constant for smoothing a customer's work in progress, of which
+	// there is little between two waves of its tasks.
 	runningTimeConstant = 3 * time.Second
-	// arrivalTimeConstant is over which time a customer's jobs are counted.
+	// arrivalTimeConstant is the time constant for counting a customer's jobs.
 	arrivalTimeConstant = 2 * time.Second
-	// targetWaitShare is the part of the slack that a limited customer's jobs are to wait: what is shorter leaves workers idle, what is longer comes
-	// too late when the work in progress falls. A limit ends below releaseWaitShare.
+	// targetWaitShare is the share of the slack that the jobs of a limited customer should wait. A
+	// shorter wait would leave workers idle, and after a longer one jobs would end too late when the work
+	// in progress falls. A limit ends below releaseWaitShare.
 	targetWaitShare  = 0.8
 	releaseWaitShare = 0.2
-	// leastShare bounds for how many jobs one that was taken in may stand.
+	// minShare is the lowest share by which a job that was accepted is counted for those that were not.
 	leastShare = 0.01
-	// sharesKept is of how many decisions the shares are kept that hosts may still go by: those of a slow heartbeat.
+	// keptShares is of how many decisions the shares are kept. Hosts may still apply them when a
+	// heartbeat is slow.
 	sharesKept = 5
 )
 
-// Demand is what the owner knows of one customer.
+// Demand is what the owner knows about one customer's work.
 type Demand struct {
 	Customer string
-	// Weight is the customer's share in jobs a second; 0 is no limit.
+	// Weight is the number of jobs per second within the customer's share; 0 is no limit.
 	Weight float64
-	// OverShare says that a job of it waits that is beyond its weight.
+	// OverShare says that a job over the customer's share is waiting.
 	OverShare bool
 	Queues    []QueueDemand
 }
 
-// QueueDemand is what a customer has in one queue. Work is told as the time for which it keeps the whole pool busy, by the resource that is
-// scarcest for it.
+// QueueDemand is a customer's work in one queue. An amount of work is given as the time for which it
+// keeps the whole pool busy, by the resource that is scarcest for it.
 type QueueDemand struct {
 	Queue, Pool string
 	Priority    int
-	// Waiting is the work that waits, and WorkPerJob that of a job in the mean.
+	// Waiting is the work that waits, and WorkPerJob the mean work of a job.
 	Waiting, WorkPerJob time.Duration
-	// Running is the part of the pool that is in use: the work carried out in a second.
+	// Running is the share of the pool in use: the work done per second.
 	Running float64
-	// Slack is how long a job may wait in the mean and still end within its objective.
+	// Slack is how long a job may wait on average and still end within its objective.
 	Slack time.Duration
 }
 
-// Limit says that not all that a customer sends is taken in for now.
+// Limit says that only a share of a customer's jobs is accepted for now.
 type Limit struct {
 	Customer string
 	Queues   []QueueLimit
 }
 
-// QueueLimit is the share of a queue's jobs that is taken in. Hosts choose by the job's ID, so that a job that is sent again is taken in by none
-// or by all: what is taken in is so when it is sent first, when it can still end in time.
+// QueueLimit is the share of a queue's jobs that is accepted. Hosts choose by the job's ID, so a job that
+// is sent again is accepted by no host or by all. A job that is accepted so is accepted when it is first
+// sent, while it can still end in time.
 type QueueLimit struct {
 	Refusal
 	Share float64
 }
 
-// Limiter decides which customers are limited. What a customer waits for follows from its own work alone: what waits against what is carried out
-// of it. NewLimiter makes one.
+// Limiter decides which customers are limited. How long a customer's work waits follows from this work
+// alone: what waits against what is done per second. NewLimiter makes one.
 type Limiter struct {
-	decidedAt clock.Time // of the last decision
+	decidedAt clock.Time // last decision
 	customers map[string]*customerState
 }
 
-// customerState is what is remembered of a customer between decisions, by queue.
+// customerState has a customer's figures by queue between decisions.
 type customerState struct {
 	runningShare map[string]float64 // smoothed
 	arrivals     map[string]*decayingCount
 	excess       map[string]*excess
 }
 
-// excess is what is remembered of a queue whose jobs wait for too long.
+// excess describes a queue whose jobs wait too long.
 type excess struct {
 	since clock.Time
-	// shares are those of the last decisions; none before the customer is limited.
+	// shares are those of the last decisions; empty before the customer is limited.
 	shares []float64
 }
 
-// decayingCount counts over arrivalTimeConstant.
+// decayingCount is a count that decays with arrivalTimeConstant.
 type decayingCount struct {
 	count float64
 	at    clock.Time
 }
 
-func (r *decayingCount) value(now clock.Time) float64 {
-	return r.count * math.Exp(-max(now.Sub(r.at), 0).Seconds()/arrivalTimeConstant.Seconds())
+func (d *decayingCount) value(now clock.Time) float64 {
+	return d.count * math.Exp(-max(now.Sub(d.at), 0).Seconds()/arrivalTimeConstant.Seconds())
 }
 
-// NewLimiter returns a limiter that knows of no customer.
+// NewLimiter returns a limiter without customers.
 func NewLimiter() *Limiter {
 	return &Limiter{customers: map[string]*customerState{}}
 }
@@ -109,7 +115,8 @@
 	return c
 }
 
-// RecordAccepted takes in that a customer's job was. While a share is taken in, it stands for those that were not.
+// RecordAccepted records that a job of a customer was accepted. While only a share of the jobs is
+// accepted, each also counts for those that were not.
 func (l *Limiter) RecordAccepted(customer, queueName string, now clock.Time) {
 	c := l.customerState(customer)
 	r := c.arrivals[queueName]
@@ -124,8 +131,9 @@
 	*r = decayingCount{r.value(now) + 1/max(share, leastShare), now}
 }
 
-// Limits lists the customers to limit, in the order of the demands. age is how long ago the owner began. Before the processes that make calls
-// for advice have joined it lists none: little is carried out until then.
+// Limits returns the limits of the customers to limit, in the order of demands. age is how long ago the
+// owner began. Limits returns none before the advisers have joined, because little work is done until
+// then.
 func (l *Limiter) Limits(demands []Demand, age time.Duration, now clock.Time) []Limit {
 	var out []Limit
 	for _, d := range demands {
@@ -144,16 +152,16 @@
 	return out
 }
 
-// forgetMissing forgets the customers of whom nothing is to be done.
+// forgetMissing removes the customers without a demand.
 func (l *Limiter) forgetMissing(demands []Demand) {
 	maps.DeleteFunc(l.customers, func(name string, _ *customerState) bool {
 		return !slices.ContainsFunc(demands, func(d Demand) bool { return d.Customer == name })
 	})
 }
 
-// updateRunning takes in what the customer has in progress, some time after the last.
-func (c *customerState) updateRunning(queues []QueueDemand, passed time.Duration) {
-	gain := min(passed.Seconds()/runningTimeConstant.Seconds(), 1)
+// updateRunning updates the smoothed work in progress, some time after the last update.
+func (c *customerState) updateRunning(queues []QueueDemand, elapsed time.Duration) {
+	gain := min(elapsed.Seconds()/runningTimeConstant.Seconds(), 1)
 	for queue := range c.runningShare {
 		c.runningShare[queue] -= gain * c.runningShare[queue]
 	}
@@ -162,7 +170,8 @@
 	}
 }
 
-// queueLimits lists the queues whose jobs wait for too long, once they have done so for some time.
+// queueLimits returns the limits of the queues whose jobs have waited too long for at least
+// MinExcessTime.
 func (c *customerState) queueLimits(d Demand, now clock.Time) []QueueLimit {
 	var out []QueueLimit
 	for _, q := range d.Queues {
@@ -186,8 +195,9 @@
 	return out
 }
 
-// queueLimit has a queue's jobs wait as long as is aimed at: what is carried out of them is taken in, or less of it while they wait for longer, and what
-// is within the customer's weight.
+// queueLimit returns the limit at which a queue's jobs wait as long as aimed. It accepts as many jobs as
+// are done, or fewer while they wait longer than that, and beside those the jobs within the customer's
+// weight.
 func (c *customerState) queueLimit(d Demand, q QueueDemand, wait, aimed time.Duration, now clock.Time) QueueLimit {
 	l := QueueLimit{Refusal: Refusal{Queue: q.Queue, Wait: wait, RetryAfter: min(max(wait-aimed, time.Second), MaxAdviceWait)}, Share: 1}
 	var all float64
@@ -199,16 +209,16 @@
 		sent = r.value(now) / arrivalTimeConstant.Seconds()
 	}
 	if sent > 0 && q.WorkPerJob > 0 && wait > 0 {
-		carriedOut := max(c.runningShare[q.Queue], q.Running) / q.WorkPerJob.Seconds()
-		l.Share = min(d.Weight/all+carriedOut*aimed.Seconds()/wait.Seconds()/sent, 1)
+		donePerSecond := max(c.runningShare[q.Queue], q.Running) / q.WorkPerJob.Seconds()
+		l.Share = min(d.Weight/all+donePerSecond*aimed.Seconds()/wait.Seconds()/sent, 1)
 	}
 	return l
 }
 
-// maxWait stands for the wait of work of which nothing is carried out.
+// maxWait is the wait that is assumed for work of which nothing is being done.
 const maxWait = time.Hour
 
-// expectedWait is how long a new job of a queue waits for the customer's work that goes before it.
+// expectedWait returns how long a new job of a queue waits for the customer's work that goes before it.
 func (c *customerState) expectedWait(d Demand, q QueueDemand) time.Duration {
 	var ahead time.Duration
 	var rate, smoothed float64
--- a/pkg/admission/limits_test.go
+++ b/pkg/admission/limits_test.go
@@ -10,16 +10,16 @@
 
 const decideEvery = 250 * time.Millisecond
 
-// play has a limiter decide on the same demands for a time, and returns the last decision.
+// decideFor makes a limiter decide on the same demands for a time, and returns the last decision.
 func play(l *Limiter, demands []Demand, age, forTime time.Duration) []Limit {
 	var last []Limit
-	for passed := decideEvery; passed <= forTime; passed += decideEvery {
-		last = l.Limits(demands, age, clock.Time(100_000).Add(passed))
+	for elapsed := decideEvery; elapsed <= forTime; elapsed += decideEvery {
+		last = l.Limits(demands, age, clock.Time(100_000).Add(elapsed))
 	}
 	return last
 }
 
-// demandOf is a customer that waits for a time with all its work, with a tenth of the pool in use by it.
+// demandOf returns the demand of a customer whose work waits for a time and uses a tenth of the pool.
 func demandOf(name string, waits time.Duration) Demand {
 	return Demand{
 		Customer: name, Weight: 2, OverShare: true,
@@ -27,7 +27,7 @@
 	}
 }
 
-// customers names the customers of limits.
+// customersOf returns the customers of limits.
 func customers(limits []Limit) []string {
 	var out []string
 	for _, l := range limits {
@@ -36,7 +36,8 @@
 	return out
 }
 
-// Customers that send 12 and 15 times their usual wait for their own work; the one that sends its usual does not.
+// Customers that send 12 and 15 times their usual number of jobs wait for their own work; the one that
+// sends its usual number does not.
 func TestLimitsFollowEachCustomersOwnBacklog(t *testing.T) {
 	g := NewWithT(t)
 	demands := []Demand{demandOf("usual", 500*time.Millisecond), demandOf("twelve", 6*time.Second), demandOf("fifteen", 40*time.Second)}
@@ -44,8 +45,8 @@
 	g.Expect(customers(limits)).To(Equal([]string{"twelve", "fifteen"}))
 	g.Expect(limits[0].Queues).To(HaveLen(1))
 	g.Expect(limits[0].Queues[0].Wait).To(BeNumerically("~", 6*time.Second, time.Millisecond))
-	g.Expect(limits[0].Queues[0].RetryAfter).To(BeNumerically("~", 3600*time.Millisecond, time.Millisecond), "then the wait is what is aimed at")
-	g.Expect(limits[1].Queues[0].RetryAfter).To(Equal(MaxAdviceWait), "nobody is sent away for longer")
+	g.Expect(limits[0].Queues[0].RetryAfter).To(BeNumerically("~", 3600*time.Millisecond, time.Millisecond), "after that the wait is as long as aimed")
+	g.Expect(limits[1].Queues[0].RetryAfter).To(Equal(MaxAdviceWait), "no caller has to wait longer")
 }
 
 func TestNothingIsLimitedWhenInDoubt(t *testing.T) {
@@ -68,7 +69,7 @@
 	}
 }
 
-// What goes before a job counts, not what comes after it.
+// Only work that goes before a job counts for its wait.
 func TestQueuesOfHigherPriorityAreTakenInLonger(t *testing.T) {
 	g := NewWithT(t)
 	d := demandOf("c", 5*time.Second)
@@ -81,7 +82,8 @@
 	g.Expect(limits[0].Queues[0].Wait).To(BeNumerically("~", 5200*time.Millisecond, time.Millisecond))
 }
 
-// A limit ends once the wait is well below what is allowed, so that it does not come and go with each decision.
+// A limit ends when the wait is well below the allowed one, so that limits don't come and go with each
+// decision.
 func TestLimitEndsWhenTheBacklogIsWorkedOff(t *testing.T) {
 	g := NewWithT(t)
 	l := NewLimiter()
@@ -98,7 +100,7 @@
 	g.Expect(at(2 * time.Second)).To(BeEmpty())
 }
 
-// Between two waves of its tasks a customer has little running: that is no sign of a long wait.
+// A customer has little running between two waves of its tasks, which does not mean a long wait.
 func TestWorkInProgressIsSmoothed(t *testing.T) {
 	g := NewWithT(t)
 	l := NewLimiter()
@@ -114,15 +116,16 @@
 	}
 }
 
-// A customer's jobs beyond its weight are taken in as far as they are carried out in time; how many it sends is worked out from those that are.
+// Of a customer's jobs over its weight as many are accepted as are done in time. How many it sends is
+// computed from those accepted.
 func TestShareFollowsWhatIsSentAndCarriedOut(t *testing.T) {
 	g := NewWithT(t)
 	l := NewLimiter()
 	now, share, aim := clock.Time(100_000), 1.0, 6*time.Second
 	send := func(perS float64, forTime time.Duration) {
-		owed := 0.0
+		toSend := 0.0
 		for end := now.Add(forTime); now < end; now = now.Add(decideEvery) {
-			for owed += share * perS * decideEvery.Seconds(); owed >= 1; owed-- {
+			for toSend += share * perS * decideEvery.Seconds(); toSend >= 1; toSend-- {
 				l.RecordAccepted("c", "sheets", now)
 			}
 			share = 1
@@ -132,7 +135,7 @@
 		}
 	}
 	send(100, 20*time.Second)
-	g.Expect(share).To(BeNumerically("~", (2+10*targetWaitShare/2)/100, 0.01), "its weight, and of what is carried out so much that the wait becomes shorter")
+	g.Expect(share).To(BeNumerically("~", (2+10*targetWaitShare/2)/100, 0.01), "its weight, and so much less than is done that the wait becomes shorter")
 	send(4, 10*time.Second)
-	g.Expect(share).To(Equal(1.0), "all that it sends now is within that")
+	g.Expect(share).To(Equal(1.0), "all that it sends now is within the limit")
 }
--- a/pkg/admission/refusals.go
+++ b/pkg/admission/refusals.go
@@ -8,28 +8,31 @@
 )
 
 const (
-	// MaxAdviceWait is how long the calls may take that go before those of a new job. What became of jobs is asked 14 s after
-	// the last was handed in: its own call and a run of 4 s come after the wait.
+	// MaxAdviceWait is how long the calls for advice may take that go before those of a new job. Callers
+	// ask for the outcome of jobs 14 s after the last was submitted: after this wait, the job still needs
+	// its own call and a run of 4 s.
 	MaxAdviceWait = 9 * time.Second
-	// AdviserJoinTime is how long the processes that make calls may take to join a new owner. Before that it knows of few, and would refuse what
-	// all of them get through.
+	// AdviserJoinTime is how long the advisers may take to join a new owner. Before that, the owner knows
+	// few of them, and would refuse jobs for which all of them suffice.
 	AdviserJoinTime = 5 * time.Second
 )
 
-// Refusal says that a queue takes in no jobs for now.
+// Refusal says that a queue accepts no jobs for now.
 type Refusal struct {
 	Queue string
-	// Wait is how long the calls for advice take that go before those of a new job, and RetryAfter when they will be fewer, or may be.
+	// Wait is how long the calls for advice take that go before those of a new job, and RetryAfter the
+	// time after which there are few enough, or may be.
 	Wait, RetryAfter time.Duration
 }
 
-// PendingAdvice is the time of the calls for advice that accepted jobs still need, by priority; a lower one goes first.
+// PendingAdvice is the time of the calls for advice that accepted jobs still need, by priority. A lower
+// number goes first.
 type PendingAdvice map[int]time.Duration
 
-// timeAhead is the time of the calls that go before those of a new job of a priority.
-func (o PendingAdvice) timeAhead(priority int) time.Duration {
+// timeAhead returns the time of the calls that go before those of a new job of a priority.
+func (p PendingAdvice) timeAhead(priority int) time.Duration {
 	var ahead time.Duration
-	for other, d := range o {
+	for other, d := range p {
 		if other <= priority {
 			ahead += d
 		}
@@ -37,18 +40,19 @@
 	return ahead
 }
 
-// Load is what an owner knows when it decides.
+// Load is what an owner knows when it decides on refusals.
 type Load struct {
 	// Age is how long ago the owner began.
 	Age time.Duration
-	// Advisers counts the processes that make calls, or can.
+	// Advisers is the number of processes that make calls for advice or can make one.
 	Advisers      int
 	PendingAdvice PendingAdvice
-	// IsMostlyUsed says that most of a pool of workers is in use.
+	// IsMostlyUsed says whether most of a pool is in use.
 	IsMostlyUsed func(pool string) bool
 }
 
-// Refusals lists the queues that should take in no jobs, in their order. It lists none before the processes that make calls have joined.
+// Refusals returns the queues that should accept no jobs, in the order of queues. It returns none before
+// the advisers have joined.
 func (l Load) Refusals(queues []queue.Queue) []Refusal {
 	if l.Advisers == 0 || l.Age < AdviserJoinTime {
 		return nil
@@ -65,7 +69,7 @@
 	return out
 }
 
-// SameQueues says whether two lists refuse the jobs of the same queues.
+// SameQueues says whether two lists refuse jobs of the same queues.
 func SameQueues(a, b []Refusal) bool {
 	return slices.EqualFunc(a, b, func(x, y Refusal) bool { return x.Queue == y.Queue })
 }
--- a/pkg/admission/refusals_test.go
+++ b/pkg/admission/refusals_test.go
@@ -23,21 +23,21 @@
 	for name, test := range map[string]struct {
 		age      time.Duration
 		advisers int
-		owed     PendingAdvice
+		pending  PendingAdvice
 		want     []Refusal
 	}{
-		"nothing is owed":             {time.Minute, 1, nil, nil},
-		"just as long as a job waits": {time.Minute, 1, PendingAdvice{0: MaxAdviceWait}, nil},
-		"what goes before counts": {time.Minute, 2, PendingAdvice{0: time.Second, 1: 25 * time.Second, 2: 2 * time.Second}, []Refusal{
+		"no advice is pending":    {time.Minute, 1, nil, nil},
+		"just as long as allowed": {time.Minute, 1, PendingAdvice{0: MaxAdviceWait}, nil},
+		"calls that go before count": {time.Minute, 2, PendingAdvice{0: time.Second, 1: 25 * time.Second, 2: 2 * time.Second}, []Refusal{
 			{"long", 13 * time.Second, 4 * time.Second}, {"last", 14 * time.Second, 5 * time.Second},
 		}},
-		"more processes get through it":  {time.Minute, 4, PendingAdvice{0: time.Second, 1: 25 * time.Second, 2: 2 * time.Second}, nil},
-		"nobody is sent away for longer": {time.Minute, 1, PendingAdvice{2: time.Minute}, []Refusal{{"last", time.Minute, MaxAdviceWait}}},
-		"none has joined":                {time.Minute, 0, PendingAdvice{0: time.Minute}, nil},
-		"others are about to join":       {AdviserJoinTime - time.Millisecond, 1, PendingAdvice{0: time.Minute}, nil},
+		"more advisers suffice":     {time.Minute, 4, PendingAdvice{0: time.Second, 1: 25 * time.Second, 2: 2 * time.Second}, nil},
+		"the longest time to retry": {time.Minute, 1, PendingAdvice{2: time.Minute}, []Refusal{{"last", time.Minute, MaxAdviceWait}}},
+		"no adviser has joined":     {time.Minute, 0, PendingAdvice{0: time.Minute}, nil},
+		"others may still join":     {AdviserJoinTime - time.Millisecond, 1, PendingAdvice{0: time.Minute}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := Load{Age: test.age, Advisers: test.advisers, PendingAdvice: test.owed, IsMostlyUsed: func(pool string) bool { return pool == "busy" }}
+			l := Load{Age: test.age, Advisers: test.advisers, PendingAdvice: test.pending, IsMostlyUsed: func(pool string) bool { return pool == "busy" }}
 			NewWithT(t).Expect(l.Refusals(testQueues())).To(Equal(test.want))
 		})
 	}
--- a/pkg/advice/prices.go
+++ b/pkg/advice/prices.go
@@ -16,12 +16,12 @@
 )
 
 // Prices compute what a step's calls cost that are sent at the same time, in seconds that steps wait. The
-// step itself waits for the longest of its calls. Since a process can make one call at a time, each
-// second of a process also delays other steps, the more the fewer processes are idle. So a step's calls
-// are split into small calls when many processes are idle, and few make it one call.
+// step itself waits for the longest of its calls. Since a process can make one call at a time, each second
+// of a process also delays other steps, the more the fewer processes are idle. So a step's calls are split
+// into many small ones when many processes are idle, and made as one when few are.
 type Prices struct {
 	Cost queue.AdviceCost
-	// FreeAdvisers is the number of processes that can make a call at once; at least 1.
+	// IdleAdvisers is the number of processes that can make a call at once; at least 1.
 	FreeAdvisers int
 	// MaxCalls is how many calls may be sent now.
 	MaxCalls int
--- a/pkg/advice/worker_count.go
+++ b/pkg/advice/worker_count.go
@@ -59,7 +59,7 @@
 const countStepDivisor = 16
 
 // countStep returns the distance between the numbers tried around n. The probability changes little
-// between them, and each try takes time in proportion to the tasks that need room.
+// between them, and each try takes time in proportion to the workers that have to be allowed.
 func countStep(n int) int {
 	return 1 + n/countStepDivisor
 }
--- a/pkg/preemption/core_seconds.go
+++ b/pkg/preemption/core_seconds.go
@@ -6,11 +6,10 @@
 	"foldarch.dev/foldarch/pkg/cell"
 )
 
-// acceleratorCores is how many processors an accelerator counts for in work, as the platform
-// prices it.
+// acceleratorCores is how many cores an accelerator counts for, as in the platform's prices.
 const acceleratorCores = 8
 
-// CoreSeconds is what resources do in a time, in core-seconds.
+// CoreSeconds returns the work that resources do in a time, in core-seconds.
 func CoreSeconds(need cell.Resources, d time.Duration) float64 {
 	cores := float64(need.CPUMillis)/1000 + acceleratorCores*float64(need.Accelerators)
 	return cores * d.Seconds()
--- a/pkg/preemption/doc.go
+++ b/pkg/preemption/doc.go
@@ -1,12 +1,14 @@
-// Package preemption chooses which runs are stopped on which workers to make room for tasks, so that least work is thrown away.
+// Package preemption chooses which runs to stop on which worker to make room for a task, so that least work
+// is lost.
 //
-// It knows neither jobs nor workers. Package dispatch says which runs may be stopped and what their stops cost.
+// It knows neither jobs nor workers. Package dispatch says which runs may be stopped and how much work each
+// stop loses.
 //
 // # Usage
 //
 //	var options []*preemption.Option[*run] // one for each worker
-//	best := preemption.Cheapest(need, options)
-//	if best != nil && best.Lost() <= limit {
-//		stops := best.Take(need) // then again, for the next task
+//	best := preemption.SelectCheapest(need, options)
+//	if best != nil && best.LostWork() <= limit {
+//		stops := best.TakeVictims(need) // then again, for the next task
 //	}
 package preemption
--- a/pkg/preemption/option.go
+++ b/pkg/preemption/option.go
@@ -10,20 +10,21 @@
 type Victim[R any] struct {
 	Run       R
 	Resources cell.Resources
-	LostWork  float64 // work that is done anew after its stop
+	LostWork  float64 // work to be done again after the stop
 }
 
-// Option is a worker on which stops can make room for one more task.
+// Option is a worker where runs can be stopped to make room for one more task.
 type Option[R any] struct {
 	Free cell.Resources
-	Most int // more tasks that may run there
+	Most int // number of further tasks that may run there
 	// Victims are those that throw least away first.
 	Victims  []Victim[R]
-	chosen   []int // indices of the victims that make room for one more task, rising
+	chosen   []int // indices, rising, of the victims that make room for one more task
 	lostWork float64
 }
 
-// SelectCheapest is the option on which room for one more task throws least work away, the first one of those that are alike; nil when there is none.
+// SelectCheapest returns the option that loses least work to make room for one more task, the first one
+// among equals; nil when there is none.
 func SelectCheapest[R any](need cell.Resources, options []*Option[R]) *Option[R] {
 	var best *Option[R]
 	for _, o := range options {
@@ -34,12 +35,12 @@
 	return best
 }
 
-// LostWork is the work that the stops throw away that Cheapest has chosen.
+// LostWork returns the work that is lost by the stops that SelectCheapest has chosen.
 func (o *Option[R]) LostWork() float64 {
 	return o.lostWork
 }
 
-// TakeVictims counts the chosen stops and the task that they make room for, and returns them.
+// TakeVictims removes the chosen victims, subtracts the task that they make room for, and returns them.
 func (o *Option[R]) TakeVictims(need cell.Resources) []R {
 	var out []R
 	for _, n := range o.chosen {
@@ -54,7 +55,7 @@
 	return out
 }
 
-// chooseVictims finds the runs to be stopped for one more task, and says whether they suffice.
+// chooseVictims chooses the runs to be stopped for one more task, and says whether they suffice.
 func (o *Option[R]) chooseVictims(need cell.Resources) bool {
 	o.chosen, o.lostWork = o.chosen[:0], 0
 	if o.Most <= 0 {
@@ -71,7 +72,7 @@
 	if !need.Fits(free) {
 		return false
 	}
-	for i := len(o.chosen) - 1; i >= 0; i-- { // those that turned out not to be needed go on
+	for i := len(o.chosen) - 1; i >= 0; i-- { // leave out those that turn out not to be needed
 		if less := free.Sub(o.Victims[o.chosen[i]].Resources); need.Fits(less) {
 			free = less
 			o.chosen = slices.Delete(o.chosen, i, i+1)
--- a/pkg/preemption/preemption_test.go
+++ b/pkg/preemption/preemption_test.go
@@ -12,11 +12,11 @@
 	return cell.Resources{CPUMillis: 1000 * n}
 }
 
-func victim(name string, frees int64, lost float64) Victim[string] {
-	return Victim[string]{Run: name, Resources: cores(frees), LostWork: lost}
+func victim(name string, coreCount int64, lostWork float64) Victim[string] {
+	return Victim[string]{Run: name, Resources: cores(coreCount), LostWork: lostWork}
 }
 
-// Guards against stops that are not needed once a larger run is stopped.
+// Guards against stopping small runs that are not needed any more once a larger run is stopped.
 func TestRunsThatAreNotNeededGoOn(t *testing.T) {
 	g := NewWithT(t)
 	o := &Option[string]{Most: 2, Victims: []Victim[string]{victim("a", 1, 1), victim("b", 1, 2), victim("c", 4, 3)}}
@@ -28,17 +28,17 @@
 	g.Expect(SelectCheapest(cores(0), []*Option[string]{o})).To(BeNil(), "no more tasks may run there")
 }
 
-// Guards against work that is thrown away though another worker has cheaper runs.
+// Guards against losing work though another worker has cheaper runs to stop.
 func TestCheapestWorkerIsChosen(t *testing.T) {
 	g := NewWithT(t)
-	dear := &Option[string]{Most: 1, Victims: []Victim[string]{victim("a", 2, 2)}}
+	costly := &Option[string]{Most: 1, Victims: []Victim[string]{victim("a", 2, 2)}}
 	first := &Option[string]{Most: 1, Free: cores(1), Victims: []Victim[string]{victim("b", 1, 1)}}
 	second := &Option[string]{Most: 1, Free: cores(1), Victims: []Victim[string]{victim("c", 1, 1)}}
 	full := &Option[string]{Most: 0, Free: cores(9)}
-	g.Expect(SelectCheapest(cores(2), []*Option[string]{dear, first, second, full}).TakeVictims(cores(2))).To(Equal([]string{"b"}))
+	g.Expect(SelectCheapest(cores(2), []*Option[string]{costly, first, second, full}).TakeVictims(cores(2))).To(Equal([]string{"b"}))
 }
 
-// Guards against accelerators that count for nothing in what a stop throws away.
+// Guards against leaving accelerators out of the lost work.
 func TestAcceleratorsAreWork(t *testing.T) {
 	NewWithT(t).Expect(CoreSeconds(cell.Resources{CPUMillis: 500, Accelerators: 1}, 2*time.Second)).To(Equal(17.0))
 }
--- a/pkg/worth/objective.go
+++ b/pkg/worth/objective.go
@@ -7,18 +7,21 @@
 	"foldarch.dev/foldarch/pkg/job"
 )
 
-// maxLatenessFactor times the objective is the last moment at which a late end is worth something.
+// maxLatenessFactor times the time allowed by the objective is when a late end is worth something for the
+// last time.
 const maxLatenessFactor = 3
 
-// Deadlines returns when a job should have ended that began to wait at a time, and the last moment at which that is still worth something.
-// longest is the estimated time of its longest chain of steps, of which its queue allows extension times, at least one, and target besides.
+// Deadlines returns when a job that began to wait at a time should have ended, and the last moment at
+// which its end is still worth something. longest is the estimated time of the job's longest chain of
+// steps. The queue allows extension times that, at least once, plus target.
 func Deadlines(from clock.Time, longest time.Duration, extension float64, target time.Duration) (objective, latest clock.Time) {
 	span := time.Duration(float64(longest)*max(extension, 1)) + target
 	return from.Add(span), from.Add(maxLatenessFactor * span)
 }
 
-// ChainEstimates returns for each step of a job the estimated time from its start to the end of the job. advice is how long a call for advice
-// takes that each step waits for. Steps come after earlier ones only.
+// ChainEstimates returns for each step of a job the estimated time from the step's start to the end of
+// the job. advice is how long each step waits for a call for advice. A step depends on earlier steps of
+// the list only.
 func ChainEstimates(steps []job.Step, advice time.Duration) []time.Duration {
 	out := make([]time.Duration, len(steps))
 	for i := len(steps) - 1; i >= 0; i-- {
--- a/pkg/worth/objective_test.go
+++ b/pkg/worth/objective_test.go
@@ -15,10 +15,10 @@
 		target            time.Duration
 		objective, latest clock.Time
 	}{
-		"as long as it takes":   {1, 0, 3000, 7000},
-		"an extension":          {1.5, 0, 4000, 10_000},
-		"a target besides":      {1.5, 500 * time.Millisecond, 4500, 11_500},
-		"no less than it takes": {0, time.Second, 4000, 10_000},
+		"the estimate alone":           {1, 0, 3000, 7000},
+		"an extension":                 {1.5, 0, 4000, 10_000},
+		"with a target":                {1.5, 500 * time.Millisecond, 4500, 11_500},
+		"an extension of at least one": {0, time.Second, 4000, 10_000},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
--- a/pkg/worth/rank.go
+++ b/pkg/worth/rank.go
@@ -6,17 +6,17 @@
 	"foldarch.dev/foldarch/pkg/clock"
 )
 
-// Rank is what decides when a step has its turn.
+// Rank is a step's place in the order in which waiting steps are considered.
 type Rank struct {
 	ValueClass  ValueClass
-	Priority    int // of its queue; a lower one goes first
+	Priority    int // priority of its queue; a lower number goes first
 	LatestStart clock.Time
-	Seq         int64 // rises with each step that is made; it decides among steps that are alike
+	Seq         int64 // creation number, which decides between steps that are equal otherwise
 }
 
-// Compare is below 0 when the step of a place goes before that of another: what is still worth most first, then by priority, then by
-// the latest moment at which the step may begin.
-func (p Rank) Compare(o Rank) int {
-	return cmp.Or(cmp.Compare(p.ValueClass, o.ValueClass), cmp.Compare(p.Priority, o.Priority),
-		cmp.Compare(p.LatestStart, o.LatestStart), cmp.Compare(p.Seq, o.Seq))
+// Compare returns less than 0 when the step of rank r goes before that of o: ordered by value class, then
+// by priority, then by the latest moment at which the step may start.
+func (r Rank) Compare(o Rank) int {
+	return cmp.Or(cmp.Compare(r.ValueClass, o.ValueClass), cmp.Compare(r.Priority, o.Priority),
+		cmp.Compare(r.LatestStart, o.LatestStart), cmp.Compare(r.Seq, o.Seq))
 }
--- a/pkg/worth/value_class.go
+++ b/pkg/worth/value_class.go
@@ -7,12 +7,12 @@
 	"foldarch.dev/foldarch/pkg/clock"
 )
 
-// ValueClass is what the end of a step's work can still be worth. A lower one goes first.
+// ValueClass says what the end of a step's work can still be worth. A lower class goes first.
 type ValueClass int
 
-// The standings.
+// The value classes.
 const (
-	// Overdue: a task that lasts and has been away for too long. It goes before all others.
+	// Overdue: the step has a long-running task that has not run for too long. It goes before all others.
 	Overdue ValueClass = iota - 1
 	InTime
 	Late
@@ -21,27 +21,28 @@
 	NoValue
 )
 
-// MaxServiceWait is how long a task that lasts may wait for its turn among others of its priority.
-// The platform counts one lost that is away for 3 s while there could be room; a start takes
-// up to 0.4 s for a stop that makes the room, and a call for advice before.
+// MaxServiceWait is how long a long-running task may wait in order with others of its priority. The
+// platform counts such a task as lost that does not run for 3 s while there could be room. A start takes
+// up to 0.4 s when runs have to be stopped first to make room, and may need a call for advice before.
 const MaxServiceWait = time.Second
 
-// Work is what the standing of a step depends on.
+// Work is what a step's value class depends on.
 type Work struct {
-	// LongRunning says that its tasks serve until the job is cancelled.
+	// LongRunning says that the step's tasks run until the job is cancelled.
 	LongRunning bool
-	// OverShare says that its customer sends more than its weight.
+	// OverShare says that the customer sends more than its weight.
 	OverShare bool
-	// ReadySince is when its tasks began to wait.
+	// ReadySince is when the tasks began to wait.
 	ReadySince clock.Time
-	// Objective is when all tasks of the job should have ended, and Latest the last moment at which that is still worth something.
+	// Objective is when all tasks of the job should have ended, and LatestUsefulEnd the last moment at
+	// which their end is still worth something.
 	Objective, LatestUsefulEnd clock.Time
 	// ChainEstimate is the estimated time from the start of the step to the end of the job.
 	ChainEstimate time.Duration
 }
 
-// ValueClass says what the end of the work can still be worth. Tasks that last serve whenever they run,
-// so they never come too late.
+// ValueClass returns the class at a time. Long-running tasks serve whenever they run, so they are never
+// too late.
 func (w *Work) ValueClass(now clock.Time) ValueClass {
 	switch {
 	case w.LongRunning && now.Sub(w.ReadySince) > MaxServiceWait:
@@ -56,8 +57,8 @@
 	return NoValue
 }
 
-// LatestStart is the last moment at which the work may begin for its job to end in time. A task that
-// lasts is due at once.
+// LatestStart returns the last moment at which the work may start for its job to end in time. A
+// long-running task is due at once.
 func (w *Work) LatestStart() clock.Time {
 	if w.LongRunning {
 		return w.ReadySince
@@ -65,7 +66,7 @@
 	return w.Objective.Add(-w.ChainEstimate)
 }
 
-// NextClassChange is when the standing changes that a step has at a time; NoChange when it does not.
+// NextClassChange returns when the class that the work has at a time changes; NoChange when it does not.
 func (w *Work) NextClassChange(now clock.Time) clock.Time {
 	first := NoChange
 	for _, last := range []clock.Time{w.ReadySince.Add(MaxServiceWait), w.Objective, w.LatestUsefulEnd} {
@@ -76,5 +77,5 @@
 	return first
 }
 
-// NoChange is the time of a change that does not come.
+// NoChange is the time of a change that never comes.
 const NoChange = clock.Time(math.MaxInt64)
--- a/pkg/worth/worth_test.go
+++ b/pkg/worth/worth_test.go
@@ -12,8 +12,8 @@
 func TestStanding(t *testing.T) {
 	const objective, latest = clock.Time(10_000), clock.Time(30_000)
 	batch := Work{Objective: objective, LatestUsefulEnd: latest, ReadySince: 1}
-	beyond, lasts, both := batch, batch, batch
-	beyond.OverShare, lasts.LongRunning = true, true
+	overShare, longRunning, both := batch, batch, batch
+	overShare.OverShare, longRunning.LongRunning = true, true
 	both.OverShare, both.LongRunning = true, true
 	for name, test := range map[string]struct {
 		work Work
@@ -24,13 +24,13 @@
 		"late":                           {batch, objective + 1, Late},
 		"late at the end":                {batch, latest, Late},
 		"too late":                       {batch, latest + 1, NoValue},
-		"beyond and in time":             {beyond, objective, OverShare},
-		"beyond and late":                {beyond, latest, OverShare},
-		"beyond and too late":            {beyond, latest + 1, NoValue},
-		"lasts":                          {lasts, lasts.ReadySince.Add(MaxServiceWait), InTime},
-		"lasts and was away":             {lasts, lasts.ReadySince.Add(MaxServiceWait + time.Millisecond), Overdue},
-		"lasts and was away, beyond":     {both, latest + 1, Overdue},
-		"lasts, and beyond is no matter": {both, both.ReadySince, InTime},
+		"over share, in time":            {overShare, objective, OverShare},
+		"over share, late":               {overShare, latest, OverShare},
+		"over share, too late":           {overShare, latest + 1, NoValue},
+		"long-running":                   {longRunning, longRunning.ReadySince.Add(MaxServiceWait), InTime},
+		"long-running, not run for long": {longRunning, longRunning.ReadySince.Add(MaxServiceWait + time.Millisecond), Overdue},
+		"both, not run for long":         {both, latest + 1, Overdue},
+		"both":                           {both, both.ReadySince, InTime},
 	} {
 		t.Run(name, func(t *testing.T) {
 			NewWithT(t).Expect(test.work.ValueClass(test.now)).To(Equal(test.want))
@@ -56,23 +56,23 @@
 	NewWithT(t).Expect(got).To(Equal(want))
 }
 
-// The standing that is foretold to last is the one that each moment has, and the next one is another.
+// The class stays the same until the time of the change, and is another one then.
 func TestStandingChanges(t *testing.T) {
 	batch := Work{Objective: 500, LatestUsefulEnd: 1500, ReadySince: 100}
-	beyond, lasts, over := batch, batch, batch
-	beyond.OverShare, lasts.LongRunning = true, true
-	over.Objective, over.LatestUsefulEnd = 10, 30
-	for name, w := range map[string]Work{"batch": batch, "beyond": beyond, "lasts": lasts, "objective before it was ready": over} {
+	overShare, longRunning, readyLate := batch, batch, batch
+	overShare.OverShare, longRunning.LongRunning = true, true
+	readyLate.Objective, readyLate.LatestUsefulEnd = 10, 30
+	for name, w := range map[string]Work{"batch": batch, "beyond": beyond, "long-running": lasts, "objective before it was ready": over} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			for now := clock.Time(0); now < 2000; now += 7 {
-				changes := w.NextClassChange(now)
-				g.Expect(changes).To(BeNumerically(">", now))
-				for at := now; at < min(changes, 2000); at++ {
+				change := w.NextClassChange(now)
+				g.Expect(change).To(BeNumerically(">", now))
+				for at := now; at < min(change, 2000); at++ {
 					g.Expect(w.ValueClass(at)).To(Equal(w.ValueClass(now)))
 				}
-				if changes != NoChange {
-					g.Expect(w.ValueClass(changes)).NotTo(Equal(w.ValueClass(now)))
+				if change != NoChange {
+					g.Expect(w.ValueClass(change)).NotTo(Equal(w.ValueClass(now)))
 				}
 			}
 		})
