--- a/pkg/admission/doc.go
+++ b/pkg/admission/doc.go
@@ -27,5 +27,5 @@
 //
 //	x := admission.NewLimiter()
 //	x.RecordAccepted("hot", "sheets", now) // for each job
-//	x.Limits(demands, time.Minute, now)    // once a heartbeat: of "hot" and "sheets" a share of 0.2, RetryAfter 4 s
+//	x.Limits(demands, time.Minute, now)    // each heartbeat: "hot", "sheets": share 0.2, RetryAfter 4 s
 package admission
--- a/pkg/admission/limits.go
+++ b/pkg/admission/limits.go
@@ -26,7 +26,7 @@
 	// in progress falls. A limit ends below releaseWaitShare.
 	targetWaitShare  = 0.8
 	releaseWaitShare = 0.2
-	// minShare is the lowest share by which a job that was accepted is counted for those that were not.
+	// minShare bounds for how many jobs one accepted job is counted.
 	leastShare = 0.01
 	// keptShares is of how many decisions the shares are kept. Hosts may still apply them when a
 	// heartbeat is slow.
--- a/pkg/fit/doc.go
+++ b/pkg/fit/doc.go
@@ -1,9 +1,10 @@
-// Package fit says how many tasks there is room for, and how well a worker suits a task.
+// Package fit computes for how many tasks there is room, and how well a worker suits a task.
 //
-// It knows tasks and workers by figures only. Package dispatch decides which workers may run a task, and chooses the one of least cost.
+// It knows tasks and workers by their resources and other figures only. Package dispatch decides which
+// workers may run a task, and chooses the one with the lowest cost.
 //
 // # Usage
 //
-//	fit.Tasks(need, free, 10) // at most 10
-//	fit.Worker{Free: free, Capacity: capacity, Far: true}.Cost(need)
+//	fit.MaxTasks(need, free, 10) // at most 10
+//	fit.Candidate{Free: free, Capacity: capacity, FarFromData: true}.Cost(need)
 package fit
--- a/pkg/fit/fit.go
+++ b/pkg/fit/fit.go
@@ -2,9 +2,9 @@
 
 import "foldarch.dev/foldarch/pkg/cell"
 
-// MaxTasks is how many tasks of a need resources suffice for, at most most.
-func MaxTasks(need, free cell.Resources, most int) int {
-	n := most
+// MaxTasks returns for how many tasks that need these resources the free ones suffice, up to limit.
+func MaxTasks(need, free cell.Resources, limit int) int {
+	n := limit
 	if need.CPUMillis > 0 {
 		n = min(n, int(free.CPUMillis/need.CPUMillis))
 	}
@@ -17,25 +17,25 @@
 	return max(n, 0)
 }
 
-// Candidate is a worker with room for a task, as the task sees it.
+// Candidate is a worker with room for a task.
 type Candidate struct {
 	Free, Capacity cell.Resources
-	Far            bool // from the task's data
-	FailedThere    bool // the task failed there last
-	FailsLately    bool // the task has failed somewhere, and so did the last tasks on this worker
+	Far            bool // far from the task's data
+	FailedThere    bool // the task's last attempt failed on this worker
+	FailsLately    bool // the task has failed before, and so did the last tasks on this worker
 }
 
-// What a worker costs beside what is left free there, which is at most 1 + otherResourcesWeight. Only the
-// order of these matters: data near goes before a good fit, a worker that has not failed lately before data
-// near, and any other worker before the one where the task failed.
+// These costs are added to the share that a task leaves free, which is at most 1 + otherResourcesWeight. Only
+// their order matters: nearness of the data counts more than a good fit, a worker without recent failures more
+// than nearness, and any other worker is better than the one on which the task failed.
 const (
 	farFromDataCost    = 10
 	recentFailuresCost = 50
 	failedHereCost     = 100
 )
 
-// Cost is what it costs to run a task of a need on the worker: the one that a task uses up most, near its data and away from where it
-// failed, costs least.
+// Cost returns the cost of running a task on the worker. It is lowest on a worker that the task fills up
+// most, that is near the task's data, and on which the task has not failed.
 func (w Candidate) Cost(need cell.Resources) float64 {
 	cost := w.remainingShare(need)
 	if w.Far {
@@ -50,11 +50,12 @@
 	return cost
 }
 
-// otherResourcesWeight makes the other resources decide among workers that are alike in the scarcest one.
+// otherResourcesWeight lets the other resources decide among workers that are equal in the scarcest one.
 const otherResourcesWeight = 0.1
 
-// remainingShare is what the worker keeps free beside a task: first of the resource of which the task takes
-// the largest share, so that workers which are broken into already fill up and whole ones stay whole.
+// remainingShare returns the share of the worker that stays free beside a task. It counts above all the
+// resource of which the task needs the largest share, so that partly used workers fill up and unused ones
+// stay unused.
 func (w Candidate) remainingShare(need cell.Resources) float64 {
 	left := w.Free.Sub(need)
 	return left.ShareOf(need.Dominant(w.Capacity), w.Capacity) + otherResourcesWeight*left.DominantShare(w.Capacity)
--- a/pkg/fit/fit_test.go
+++ b/pkg/fit/fit_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// Guards against more tasks than the scarcest resource allows, also where less than nothing is free.
+// Guards against more tasks than the scarcest resource allows, also when free resources are negative.
 func TestScarcestResourceLimitsTheTasks(t *testing.T) {
 	free := cell.Resources{CPUMillis: 7000, MemoryMB: 100, Accelerators: 2}
 	for name, c := range map[string]struct {
@@ -28,7 +28,8 @@
 	NewWithT(t).Expect(MaxTasks(cell.Resources{CPUMillis: 1}, cell.Resources{CPUMillis: -5}, 9)).To(BeZero())
 }
 
-// Guards against a task that goes where it failed, to a worker that fails, or far from its data for the sake of a better fit.
+// Guards against starting a task where it failed, on a worker with recent failures, or far from its data
+// for the sake of a better fit.
 func TestCostOrdersWorkers(t *testing.T) {
 	g := NewWithT(t)
 	capacity := cell.Resources{CPUMillis: 16_000, MemoryMB: 1000, Accelerators: 4}
--- a/pkg/outcome/outcome_test.go
+++ b/pkg/outcome/outcome_test.go
@@ -11,7 +11,7 @@
 
 const at = clock.Time(1000)
 
-// Guards against an end that is shown differently later: a job ends once.
+// Guards against an outcome that changes later: a job ends once.
 func TestFirstOutcomeOfAJobStands(t *testing.T) {
 	g := NewWithT(t)
 	o := New()
@@ -23,7 +23,7 @@
 	g.Expect(o.Contains("b")).To(BeFalse())
 }
 
-// Guards against ends that are noted too early: an earlier time does not take the place of a later one.
+// Guards against ends that are acknowledged too early because an earlier time replaces a later one.
 func TestLatestOfTheLateStartsCounts(t *testing.T) {
 	g := NewWithT(t)
 	o := New()
@@ -36,7 +36,7 @@
 	g.Expect(o.Contains("b")).To(BeFalse())
 }
 
-// Guards against outcomes that are forgotten while callers may ask for them, or kept for ever.
+// Guards against outcomes that are removed while callers may still ask for them, or kept for ever.
 func TestOutcomesAreForgottenInTheOrderInWhichTheyWereLearned(t *testing.T) {
 	g := NewWithT(t)
 	o := New()
--- a/pkg/pace/change.go
+++ b/pkg/pace/change.go
@@ -1,18 +1,18 @@
 package pace
 
-// Change is how the fillers on a worker change their paces.
+// Change is a change of the paces of the fillers on a worker.
 type Change int
 
-// The changes.
+// The kinds of changes.
 const (
 	Keep         Change = iota
 	SlowDown            // slower at once
-	CapAtInitial        // no faster than one that has just started
+	CapAtInitial        // no faster than a filler that has just started
 	SpeedUp             // faster by a step
-	ResetToFull         // nothing is served there
+	ResetToFull         // no task on the worker serves
 )
 
-// Apply is the next pace of a filler with a present one, in percent.
+// Apply returns the next pace of a filler from its present pace, both in percent.
 func (c Change) Apply(present int) int {
 	switch c {
 	case SlowDown:
@@ -27,7 +27,8 @@
 	return present
 }
 
-// Initial is the pace of a filler that was given none yet, in percent: it goes at full pace, or begins slowly when it has to be slowed down.
+// Initial returns the pace, in percent, of a filler that has none yet: the full pace, or a low one when
+// the change would slow it down.
 func (c Change) Initial() int {
 	if next := c.Apply(Full); next < Full {
 		return min(next, initialPace)
--- a/pkg/preemption/option.go
+++ b/pkg/preemption/option.go
@@ -17,7 +17,7 @@
 type Option[R any] struct {
 	Free cell.Resources
 	Most int // number of further tasks that may run there
-	// Victims are those that throw least away first.
+	// Victims are ordered by LostWork, the lowest first.
 	Victims  []Victim[R]
 	chosen   []int // indices, rising, of the victims that make room for one more task
 	lostWork float64
--- a/pkg/runend/runend.go
+++ b/pkg/runend/runend.go
@@ -10,30 +10,30 @@
 )
 
 const (
-	// Never stands for the end of what lasts.
+	// Never stands for the end of a long-running run.
 	Never = 24 * time.Hour
-	// minPercent is the progress from which a run's end can be told: reports give whole percents, so that
-	// with less the speed is off by a fifth or more.
+	// minPercent is the progress from which on a run's end can be predicted. Reports give whole percents,
+	// so below it the speed would be off by a fifth or more.
 	minPercent = 5
-	// maxOverdue is how long after it should have ended a run is no longer expected to end soon: one that stands still would hold up a step for ever that
-	// counts on its room.
+	// maxOverdue is how long after its expected end a run is still expected to end soon. Without this
+	// bound, a run that makes no progress would delay a step that counts on its room for ever.
 	maxOverdue = 500 * time.Millisecond
 )
 
-// Progress is what reports tell of a run.
+// Progress is a run's progress by its reports.
 type Progress struct {
 	Percent      int
-	ChangedAt    clock.Time // Percent changed last
-	firstPercent int        // at the first report, with what a checkpoint brought
+	ChangedAt    clock.Time // last change of Percent
+	firstPercent int        // Percent at the first report, including what a checkpoint brought
 	hasReport    bool
 }
 
-// Start takes in that the run is known to go on.
+// Start records that the run is known to be running.
 func (p *Progress) Start(now clock.Time) {
 	p.ChangedAt = now
 }
 
-// Update takes in a report.
+// Update records a report.
 func (p *Progress) Update(percent int, now clock.Time) {
 	if !p.hasReport {
 		p.hasReport, p.firstPercent = true, percent
@@ -43,8 +43,8 @@
 	}
 }
 
-// TimeLeft is how long a run is expected to go on that began at a time, by its progress or, before there is any, by the
-// estimate of its task. It is below 0 for one that should have ended.
+// TimeLeft returns how long a run that began at a time is expected to go on: by its progress or, before
+// there is any, by the estimate of its task. It is negative for a run that should have ended.
 func (p *Progress) TimeLeft(estimate time.Duration, begun, now clock.Time) time.Duration {
 	if p.Percent >= minPercent && p.firstPercent < p.Percent {
 		done := p.Percent - p.firstPercent
@@ -53,18 +53,20 @@
 	return estimate - now.Sub(begun)
 }
 
-// EndsWithin says that a run which is expected to end in a time does so within another one. What should have ended a while ago does not.
-func EndsWithin(in, within time.Duration) bool {
-	return in <= within && in > -maxOverdue
+// EndsWithin says whether a run that is expected to end after timeLeft ends within a time. A run that
+// should have ended maxOverdue ago or earlier does not count.
+func EndsWithin(timeLeft, within time.Duration) bool {
+	return timeLeft <= within && timeLeft > -maxOverdue
 }
 
-// ExpectedEnd is the expected end of a run.
+// ExpectedEnd is the expected end of a run and the resources that become free then.
 type ExpectedEnd struct {
 	In        time.Duration
 	Resources cell.Resources
 }
 
-// TimeUntilRoom is how long it is expected to take until there is room for a need beside the runs that end; Never when there won't be.
+// TimeUntilRoom returns how long it is expected to take until enough runs have ended to make room; Never
+// when there will be none.
 func TimeUntilRoom(need, free cell.Resources, ends []ExpectedEnd) time.Duration {
 	if need.Fits(free) {
 		return 0
--- a/pkg/runend/runend_test.go
+++ b/pkg/runend/runend_test.go
@@ -11,12 +11,13 @@
 
 const begun = clock.Time(1000)
 
-// Guards against an end that is told from too little progress, or from what a checkpoint brought.
+// Guards against an end that is predicted from too little progress, or from the progress that a
+// checkpoint brought.
 func TestEndIsToldByTheSpeedSinceTheFirstReport(t *testing.T) {
 	now := begun.Add(4 * time.Second)
 	for name, c := range map[string]struct {
 		first, last int
-		in          time.Duration
+		timeLeft    time.Duration
 	}{
 		"too little progress": {0, 4, 6 * time.Second},
 		"no progress":         {50, 50, 6 * time.Second},
@@ -29,12 +30,12 @@
 			p.Start(begun)
 			p.Update(c.first, begun.Add(time.Second))
 			p.Update(c.last, begun.Add(2*time.Second))
-			NewWithT(t).Expect(p.TimeLeft(10*time.Second, begun, now)).To(Equal(c.in))
+			NewWithT(t).Expect(p.TimeLeft(10*time.Second, begun, now)).To(Equal(c.timeLeft))
 		})
 	}
 }
 
-// Guards against a step that counts for ever on the room of a run that stands still.
+// Guards against a step that waits for ever for the room of a run that makes no progress.
 func TestRunThatShouldHaveEndedLongAgoIsNotExpectedToEndSoon(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(EndsWithin(time.Second, time.Second)).To(BeTrue())
@@ -43,7 +44,7 @@
 	g.Expect(EndsWithin(-maxOverdue, time.Second)).To(BeFalse())
 }
 
-// Guards against room that is expected too early, before enough runs have ended, or where there never is any.
+// Guards against room that is expected before enough runs have ended, or where there will never be any.
 func TestRoomIsThereWhenEnoughRunsHaveEnded(t *testing.T) {
 	g := NewWithT(t)
 	cores := func(n int64) cell.Resources { return cell.Resources{CPUMillis: 1000 * n} }
--- a/pkg/takeover/blocked_jobs.go
+++ b/pkg/takeover/blocked_jobs.go
@@ -6,61 +6,65 @@
 	"foldarch.dev/foldarch/pkg/job"
 )
 
-// SilentWorker is a life of a worker that has not reported to the new owner and may still run something of a former one.
+// SilentWorker is an incarnation of a worker that has not reported to the new owner and may still run
+// tasks that a previous owner started.
 type SilentWorker struct {
-	Worker string // name, which all lives of a worker share
-	// Retired says that Jobs has every job that may have a run on the worker; otherwise any job may.
+	Worker string // name, the same for all incarnations of the worker
+	// Retired says that a previous owner retired the worker, so that Jobs has every job that may have a
+	// run on it. Otherwise any job may have one.
 	Retired bool
 	Jobs    []job.ID
 }
 
-// Equal says that two hold back the same jobs.
+// Equal says whether two silent workers block the same jobs.
 func (s SilentWorker) Equal(o SilentWorker) bool {
 	return s.Worker == o.Worker && s.Retired == o.Retired && slices.Equal(s.Jobs, o.Jobs)
 }
 
-// StoredWorkers are the workers to which starts of a job may have gone.
+// StoredWorkers are the workers to which starts of a job may have been sent, by the store.
 type StoredWorkers struct {
-	// Stored says that every owner that may have started the job stored the worker's name first; otherwise nothing is known.
+	// Complete says that every owner that may have started tasks of the job stored a worker's name before
+	// its first start there. Otherwise the job may also run on other workers.
 	Complete bool
-	Workers  []string // by name
+	Workers  []string // names
 }
 
-// Holds are the jobs that may have unknown runs of former owners, by the workers that are silent. New makes them.
+// BlockedJobs are the jobs that may have runs which previous owners started and this owner does not know
+// of, because some workers are silent. NewBlockedJobs makes them.
 type BlockedJobs struct {
-	retiredWorkers      map[job.ID]int  // how many retired workers may run a job
-	unrestrictedWorkers map[string]bool // workers that may run anything
+	retiredWorkers      map[job.ID]int  // number of silent retired workers that may run a job
+	unrestrictedWorkers map[string]bool // silent workers that may run any job
 }
 
-// NewBlockedJobs returns what a set of silent workers holds back.
+// NewBlockedJobs returns the jobs that a set of silent workers blocks.
 func NewBlockedJobs(silent []SilentWorker) *BlockedJobs {
-	h := &BlockedJobs{retiredWorkers: map[job.ID]int{}, unrestrictedWorkers: map[string]bool{}}
+	b := &BlockedJobs{retiredWorkers: map[job.ID]int{}, unrestrictedWorkers: map[string]bool{}}
 	for _, s := range silent {
 		if !s.Retired {
-			h.unrestrictedWorkers[s.Worker] = true
+			b.unrestrictedWorkers[s.Worker] = true
 			continue
 		}
 		for _, id := range s.Jobs {
-			h.retiredWorkers[id]++
+			b.retiredWorkers[id]++
 		}
 	}
-	return h
+	return b
 }
 
-// Holds says whether a job may have unknown runs.
-func (h *BlockedJobs) IsBlocked(id job.ID, names StoredWorkers) bool {
+// IsBlocked says whether a job may have unknown runs. stored has the workers of the job in the store.
+func (b *BlockedJobs) IsBlocked(id job.ID, stored StoredWorkers) bool {
 	switch {
-	case h.retiredWorkers[id] > 0:
+	case b.retiredWorkers[id] > 0:
 		return true
-	case len(h.unrestrictedWorkers) == 0:
+	case len(b.unrestrictedWorkers) == 0:
 		return false
-	case !names.Complete:
+	case !stored.Complete:
 		return true
 	}
-	return slices.ContainsFunc(names.Workers, func(w string) bool { return h.unrestrictedWorkers[w] })
+	return slices.ContainsFunc(stored.Workers, func(w string) bool { return b.unrestrictedWorkers[w] })
 }
 
-// UnrestrictedWorkers counts the silent workers that may run anything.
-func (h *BlockedJobs) UnrestrictedWorkers() int {
-	return len(h.unrestrictedWorkers)
+// UnrestrictedWorkers returns the number of silent workers that may run any job.
+func (b *BlockedJobs) UnrestrictedWorkers() int {
+	return len(b.unrestrictedWorkers)
 }
--- a/pkg/takeover/blocked_jobs_test.go
+++ b/pkg/takeover/blocked_jobs_test.go
@@ -7,28 +7,28 @@
 	. "github.com/onsi/gomega"
 )
 
-// A few workers that never report again must not hold back jobs that have no run there.
+// A few workers that never report again must not block jobs that have no run there.
 func TestHolds(t *testing.T) {
-	left := SilentWorker{Worker: "left", Retired: true, Jobs: []job.ID{"a", "b"}}
-	cut := SilentWorker{Worker: "cut"}
-	none, elsewhere, there := StoredWorkers{}, StoredWorkers{true, []string{"w1", "w2"}}, StoredWorkers{true, []string{"w1", "cut"}}
+	retired := SilentWorker{Worker: "retired", Retired: true, Jobs: []job.ID{"a", "b"}}
+	unrestricted := SilentWorker{Worker: "unrestricted"}
+	none, elsewhere, there := StoredWorkers{}, StoredWorkers{true, []string{"w1", "w2"}}, StoredWorkers{true, []string{"w1", "unrestricted"}}
 	for name, test := range map[string]struct {
 		silent []SilentWorker
 		id     job.ID
-		names  StoredWorkers
+		stored StoredWorkers
 		want   bool
 	}{
-		"all have reported":                           {nil, "a", none, false},
-		"on a retired worker":                         {[]SilentWorker{left}, "a", none, true},
-		"on a retired worker that is not among names": {[]SilentWorker{left}, "a", elsewhere, true},
-		"not on the retired worker":                   {[]SilentWorker{left}, "c", none, false},
-		"an open worker may run anything":             {[]SilentWorker{left, cut}, "c", none, true},
-		"names without the open worker":               {[]SilentWorker{left, cut}, "c", elsewhere, false},
-		"names with the open worker":                  {[]SilentWorker{left, cut}, "c", there, true},
-		"no start was named":                          {[]SilentWorker{cut}, "c", StoredWorkers{Complete: true}, false},
+		"all have reported":                      {nil, "a", none, false},
+		"on a retired worker":                    {[]SilentWorker{retired}, "a", none, true},
+		"on a retired worker that is not stored": {[]SilentWorker{retired}, "a", elsewhere, true},
+		"not on the retired worker":              {[]SilentWorker{retired}, "c", none, false},
+		"an unrestricted worker may run any job": {[]SilentWorker{retired, unrestricted}, "c", none, true},
+		"stored without the unrestricted worker": {[]SilentWorker{retired, unrestricted}, "c", elsewhere, false},
+		"stored with the unrestricted worker":    {[]SilentWorker{retired, unrestricted}, "c", there, true},
+		"no worker is stored":                    {[]SilentWorker{unrestricted}, "c", StoredWorkers{Complete: true}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			NewWithT(t).Expect(NewBlockedJobs(test.silent).IsBlocked(test.id, test.names)).To(Equal(test.want))
+			NewWithT(t).Expect(NewBlockedJobs(test.silent).IsBlocked(test.id, test.stored)).To(Equal(test.want))
 		})
 	}
 }
--- a/pkg/takeover/recorded_workers.go
+++ b/pkg/takeover/recorded_workers.go
@@ -5,50 +5,51 @@
 	"slices"
 )
 
-// RecordedWorkers are the workers of a job as its owner names them in the store. A start goes only to one that the store is known to have. The zero value
-// has none.
+// RecordedWorkers are the workers on which a job may have runs, as its owner records them in the store. A
+// start is sent only to a worker that is known to be in the store. The zero value has none.
 type RecordedWorkers struct {
-	stored map[string]bool // false while the store is not known to have the name
+	stored map[string]bool // false until the store is known to have the worker
 }
 
-// Add names a worker. It says whether the store has to be told.
-func (n *RecordedWorkers) Add(worker string) bool {
-	if _, named := n.stored[worker]; named {
+// Add adds a worker. It says whether the worker is new and so has to be put into the store.
+func (r *RecordedWorkers) Add(worker string) bool {
+	if _, known := r.stored[worker]; known {
 		return false
 	}
-	if n.stored == nil {
-		n.stored = map[string]bool{}
+	if r.stored == nil {
+		r.stored = map[string]bool{}
 	}
-	n.stored[worker] = false
+	r.stored[worker] = false
 	return true
 }
 
-// Stored takes in that the store has names.
-func (n *RecordedWorkers) MarkStored(workers []string) {
-	if n.stored == nil {
-		n.stored = make(map[string]bool, len(workers))
+// MarkStored records that the store has the workers.
+func (r *RecordedWorkers) MarkStored(workers []string) {
+	if r.stored == nil {
+		r.stored = make(map[string]bool, len(workers))
 	}
 	for _, w := range workers {
-		n.stored[w] = true
+		r.stored[w] = true
 	}
 }
 
-// IsStored says that the store has a worker's name.
-func (n *RecordedWorkers) IsStored(worker string) bool {
-	return n.stored[worker]
+// IsStored says whether the store is known to have the worker.
+func (r *RecordedWorkers) IsStored(worker string) bool {
+	return r.stored[worker]
 }
 
-// Retain returns the workers that a condition keeps, sorted, whether the store has them or not. The others are forgotten.
-func (n *RecordedWorkers) Retain(keep func(worker string) bool) []string {
-	maps.DeleteFunc(n.stored, func(w string, _ bool) bool { return !keep(w) })
-	return slices.Sorted(maps.Keys(n.stored))
+// Retain removes the workers for which keep returns false. It returns the others, sorted, whether the
+// store has them or not.
+func (r *RecordedWorkers) Retain(keep func(worker string) bool) []string {
+	maps.DeleteFunc(r.stored, func(w string, _ bool) bool { return !keep(w) })
+	return slices.Sorted(maps.Keys(r.stored))
 }
 
-// StoredWorkers returns the workers that the store has, sorted.
-func (n *RecordedWorkers) StoredWorkers() []string {
+// StoredWorkers returns the workers that the store is known to have, sorted.
+func (r *RecordedWorkers) StoredWorkers() []string {
 	var out []string
-	for _, w := range slices.Sorted(maps.Keys(n.stored)) {
-		if n.stored[w] {
+	for _, w := range slices.Sorted(maps.Keys(r.stored)) {
+		if r.stored[w] {
 			out = append(out, w)
 		}
 	}
--- a/pkg/worth/objective.go
+++ b/pkg/worth/objective.go
@@ -7,8 +7,7 @@
 	"foldarch.dev/foldarch/pkg/job"
 )
 
-// maxLatenessFactor times the time allowed by the objective is when a late end is worth something for the
-// last time.
+// maxLatenessFactor times the time that the objective allows is how long an end is still worth something.
 const maxLatenessFactor = 3
 
 // Deadlines returns when a job that began to wait at a time should have ended, and the last moment at
--- a/pkg/worth/value_class.go
+++ b/pkg/worth/value_class.go
@@ -16,7 +16,8 @@
 	Overdue ValueClass = iota - 1
 	InTime
 	Late
-	// OverShare: its customer sends more than its weight. It goes after what others send within theirs, as long as its end is worth something.
+	// OverShare: the customer sends more than its weight. The step goes after those that other customers send
+	// within theirs, while its end is worth something.
 	OverShare
 	NoValue
 )
--- a/pkg/worth/worth_test.go
+++ b/pkg/worth/worth_test.go
@@ -62,7 +62,7 @@
 	overShare, longRunning, readyLate := batch, batch, batch
 	overShare.OverShare, longRunning.LongRunning = true, true
 	readyLate.Objective, readyLate.LatestUsefulEnd = 10, 30
-	for name, w := range map[string]Work{"batch": batch, "beyond": beyond, "long-running": lasts, "objective before it was ready": over} {
+	for name, w := range map[string]Work{"batch": batch, "over share": overShare, "long-running": longRunning, "objective before it was ready": readyLate} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			for now := clock.Time(0); now < 2000; now += 7 {
