--- a/pkg/account/account.go
+++ b/pkg/account/account.go
@@ -13,8 +13,8 @@
 type Account struct {
 	customer customer.Customer
 	used     cell.Resources
-	// unreported is what the customer may have running, beside used, on workers that have not reported to
-	// this owner. endedJobUse is the part of it that belongs to jobs that have ended.
+	// unreported is what the customer may have running, in addition to used, on workers that have not
+	// reported to this owner. endedJobUse is the part of it that belongs to jobs that have ended.
 	unreported, endedJobUse cell.Resources
 	// reservations is the room in the quota that the present plan keeps for steps that can't start yet,
 	// and reserved is the sum.
--- a/pkg/admission/doc.go
+++ b/pkg/admission/doc.go
@@ -8,7 +8,7 @@
 // that would end too late.
 //
 // When a customer sends more than its weight, and its own work waits longer than its jobs may, only a share
-// of its jobs is accepted (Limiter): those within its weight, and beside them as many as are done in time.
+// of its jobs is accepted (Limiter): those within its weight, and as many others as are done in time.
 // The rate at which its work is done is taken from its work in progress, whatever limits that: room,
 // advice, a quota or the owner. Jobs of other customers are accepted as before. Nothing is refused before
 // the owner knows enough.
--- a/pkg/admission/limits.go
+++ b/pkg/admission/limits.go
@@ -13,8 +13,8 @@
 	// MinExcessTime is for how long a customer's work must wait too long before the customer is limited:
 	// a burst that is just being started is no backlog.
 	MinExcessTime = 500 * time.Millisecond
-	// minSlack is how long a job may wait in any case: shorter waits come and go with the owner's
-	// heartbeats.
+	// minSlack is the shortest wait that is allowed for any job: shorter waits come and go with the
+	// owner's heartbeats.
 	leastSlack = 250 * time.Millisecond
 	// runningTimeConstant is the time constant for smoothing a customer's work in progress, of which
 	// there is little between two waves of its tasks.
@@ -26,10 +26,10 @@
 	// in progress falls. A limit ends below releaseWaitShare.
 	targetWaitShare  = 0.8
 	releaseWaitShare = 0.2
-	// minShare bounds for how many jobs one accepted job is counted.
+	// minShare is the lowest accepted share by which RecordAccepted divides.
 	leastShare = 0.01
-	// keptShares is of how many decisions the shares are kept. Hosts may still apply them when a
-	// heartbeat is slow.
+	// keptShares is the number of last decisions whose shares are kept, since hosts may still apply them
+	// when a heartbeat is slow.
 	sharesKept = 5
 )
 
@@ -50,7 +50,7 @@
 	Priority    int
 	// Waiting is the work that waits, and WorkPerJob the mean work of a job.
 	Waiting, WorkPerJob time.Duration
-	// Running is the share of the pool in use: the work done per second.
+	// Running is the share of the pool that this work has in use, which is the work done per second.
 	Running float64
 	// Slack is how long a job may wait on average and still end within its objective.
 	Slack time.Duration
@@ -62,9 +62,9 @@
 	Queues   []QueueLimit
 }
 
-// QueueLimit is the share of a queue's jobs that is accepted. Hosts choose by the job's ID, so a job that
-// is sent again is accepted by no host or by all. A job that is accepted so is accepted when it is first
-// sent, while it can still end in time.
+// QueueLimit is the share of a queue's jobs that is accepted. Hosts choose by the job's ID, so they agree
+// on each job, and one that was refused is refused again when it is resent. Accepted jobs are therefore
+// accepted when they are first sent, while they can still end in time.
 type QueueLimit struct {
 	Refusal
 	Share float64
@@ -115,8 +115,8 @@
 	return c
 }
 
-// RecordAccepted records that a job of a customer was accepted. While only a share of the jobs is
-// accepted, each also counts for those that were not.
+// RecordAccepted counts a job of a customer that was accepted. While only a share of the jobs is
+// accepted, the job also counts for those that were refused.
 func (l *Limiter) RecordAccepted(customer, queueName string, now clock.Time) {
 	c := l.customerState(customer)
 	r := c.arrivals[queueName]
@@ -195,9 +195,8 @@
 	return out
 }
 
-// queueLimit returns the limit at which a queue's jobs wait as long as aimed. It accepts as many jobs as
-// are done, or fewer while they wait longer than that, and beside those the jobs within the customer's
-// weight.
+// queueLimit returns the limit at which a queue's jobs wait as long as aimed. It accepts the jobs within
+// the customer's weight and as many others as are done, or fewer while the wait is longer than aimed.
 func (c *customerState) queueLimit(d Demand, q QueueDemand, wait, aimed time.Duration, now clock.Time) QueueLimit {
 	l := QueueLimit{Refusal: Refusal{Queue: q.Queue, Wait: wait, RetryAfter: min(max(wait-aimed, time.Second), MaxAdviceWait)}, Share: 1}
 	var all float64
--- a/pkg/admission/limits_test.go
+++ b/pkg/admission/limits_test.go
@@ -53,8 +53,8 @@
 	within, noWeight, idle := demandOf("c", time.Minute), demandOf("c", time.Minute), demandOf("c", 0)
 	within.OverShare, noWeight.Weight, idle.Queues[0].Running = false, 0, 0
 	for name, test := range map[string]struct {
-		demand     Demand
-		age, lasts time.Duration
+		demand        Demand
+		age, duration time.Duration
 	}{
 		"a young owner":                {demandOf("c", time.Minute), AdviserJoinTime - 1, time.Minute},
 		"a customer within its weight": {within, time.Minute, time.Minute},
@@ -64,7 +64,7 @@
 		"a burst that begins":          {demandOf("c", time.Minute), time.Minute, MinExcessTime},
 	} {
 		t.Run(name, func(t *testing.T) {
-			NewWithT(t).Expect(play(NewLimiter(), []Demand{test.demand}, test.age, test.lasts)).To(BeEmpty())
+			NewWithT(t).Expect(play(NewLimiter(), []Demand{test.demand}, test.age, test.duration)).To(BeEmpty())
 		})
 	}
 }
--- a/pkg/advice/advisers.go
+++ b/pkg/advice/advisers.go
@@ -9,8 +9,7 @@
 const (
 	// An adviser whose call has failed makes none for initialBackoff. The pause doubles with each further
 	// failure in a row, up to maxBackoffDoublings times, to 2 s. Hosts of a data hall that is cut off
-	// can't reach the advice service, and once it can be reached again, a job may wait no longer than 3
-	// s.
+	// can't reach the advice service. When they can again, a job may wait for no more than 3 s.
 	initialBackoff      = 250 * time.Millisecond
 	maxBackoffDoublings = 3
 )
--- a/pkg/advice/prices.go
+++ b/pkg/advice/prices.go
@@ -10,8 +10,8 @@
 const (
 	// MaxWorkersPerCall is how many workers a call may ask about.
 	MaxWorkersPerCall = 100
-	// callOverhead is the cost of a call beside the time of the process that makes it, expressed as such
-	// a time: its messages at the owner and its price on the platform.
+	// callOverhead is what a call costs in addition to the time of the process that makes it, expressed
+	// as such a time: its messages at the owner and its price on the platform.
 	callOverhead = 50 * time.Millisecond
 )
 
--- a/pkg/advice/tally.go
+++ b/pkg/advice/tally.go
@@ -13,8 +13,8 @@
 const (
 	// TicketUsed: one or more starts were sent with it.
 	TicketUsed TicketOutcome = iota
-	// TicketNoRoom: its worker had no room when the call was made, and has none now. The worker was asked
-	// about so that later calls need not.
+	// TicketNoRoom: its worker had no room when the call was made, and has none now. It was asked about
+	// in advance, to spare a later call.
 	TicketNoRoom
 	// TicketRoomTaken: its worker had room when the call was made, and has none now.
 	TicketRoomTaken
--- a/pkg/advice/worker_count.go
+++ b/pkg/advice/worker_count.go
@@ -12,13 +12,14 @@
 	minSufficiency = 0.01
 )
 
-// CheapestCount returns about how many workers, in the order of a list, calls should ask, beside those
-// that are known to be allowed: the number at which the calls are expected to cost least until there is
-// enough room. rooms tells for how many tasks each worker of the list has room, need is how many tasks
-// need room, rate the share of workers that are allowed, and known how many others the calls ask about.
+// CheapestCount returns how many workers, in the order of a list, calls should ask about in addition to
+// those that are known to be allowed. It is the number at which the calls are expected to cost least
+// until there is enough room. rooms says for how many tasks each worker of the list has room, need is how
+// many tasks need room, rate the share of workers that are allowed, and known how many others the calls
+// ask about.
 //
 // Calls about n workers suffice if enough of the n are allowed, each with the probability rate. Otherwise
-// further calls follow. CheapestCount also returns the probability to suffice.
+// further calls follow. CheapestCount also returns the probability that the calls suffice.
 func (p Prices) CheapestCount(rooms []int, need, rate float64, known int) (best int, bestSuffices float64) {
 	if need <= 0 {
 		return 0, 1
@@ -45,7 +46,7 @@
 }
 
 // SufficientCount returns how many workers, in the order of a list, have room for a number of tasks, up
-// to maxCount. rooms tells for how many tasks each worker has room.
+// to maxCount. rooms says for how many tasks each worker has room.
 func SufficientCount(rooms []int, need float64, maxCount int) int {
 	n := 0
 	for n < min(len(rooms), maxCount) && need > 0 {
--- a/pkg/crash/history.go
+++ b/pkg/crash/history.go
@@ -16,9 +16,9 @@
 	// than maxUnrelatedCrashShare allows.
 	conclusiveCrashesNeeded             = 2
 	conclusiveCrashesNeededWhenUnstable = 3
-	// maxUnrelatedCrashShare is the share of starts whose worker may crash for another cause. Above it,
-	// two conclusive crashes in a row are no proof: at 0.003, one of 100,000 tasks that ran beside the
-	// cause of a crash has them by coincidence.
+	// maxUnrelatedCrashShare is the highest share of starts whose worker may crash for an unrelated cause
+	// while two conclusive crashes in a row are still proof. At 0.003, two such crashes happen by
+	// coincidence to one of 100,000 tasks that ran beside the cause of a crash.
 	maxUnrelatedCrashShare = 0.003
 	// survivalCheckTime is how long it takes to learn that a worker has survived a start: SurvivalTime,
 	// and the longest wait of a poll.
@@ -42,10 +42,10 @@
 	hasSingleCause bool
 }
 
-// NewCrash returns the crash of a worker that was last seen at lastSeenAt, with the starts that may have
+// NewCrash returns the crash of a worker that was last seen at a time, with the starts that may have
 // caused it.
-func NewCrash(worker workerid.ID, address netip.AddrPort, lastSeenAt clock.Time, starts Starts) *Crash {
-	c := &Crash{worker: worker, address: address, lastSeenAt: lastSeenAt, jobs: map[job.ID]bool{}}
+func NewCrash(worker workerid.ID, address netip.AddrPort, lastSeen clock.Time, starts Starts) *Crash {
+	c := &Crash{worker: worker, address: address, lastSeenAt: lastSeen, jobs: map[job.ID]bool{}}
 	for _, s := range starts {
 		c.jobs[s.Task.Job] = true
 	}
@@ -66,20 +66,20 @@
 	return false
 }
 
-// History has the crashes of the last historyTime.
+// History remembers the crashes of the last historyTime.
 type History struct {
 	began       clock.Time
 	crashes     []*Crash
 	lastCrashAt map[netip.AddrPort]clock.Time // by address
-	// coincidenceWindow is how far apart two workers may have been seen last for their crashes to
-	// coincide.
+	// coincidenceWindow is the difference between the times at which two workers were last seen from
+	// which on their crashes can't coincide.
 	coincidenceWindow time.Duration
 }
 
-// NewHistory returns an empty history that begins at a time. Two crashes may coincide when their workers
-// were seen last less than coincidenceWindow apart.
-func NewHistory(coincidenceWindow time.Duration, now clock.Time) *History {
-	return &History{began: now, lastCrashAt: map[netip.AddrPort]clock.Time{}, coincidenceWindow: coincidenceWindow}
+// NewHistory returns an empty history that begins at now. Two crashes may coincide when their workers
+// were last seen less than window apart.
+func NewHistory(window time.Duration, now clock.Time) *History {
+	return &History{began: now, lastCrashAt: map[netip.AddrPort]clock.Time{}, coincidenceWindow: window}
 }
 
 // Add adds a crash and determines whether only one job can have caused it. silent returns the workers
@@ -94,10 +94,10 @@
 	}
 }
 
-// MayCoincide says whether a worker that was last seen at a time may have crashed at the same time as
-// another one.
-func (h *History) MayCoincide(c *Crash, lastSeenAt clock.Time) bool {
-	return max(lastSeenAt.Sub(c.lastSeenAt), c.lastSeenAt.Sub(lastSeenAt)) < h.coincidenceWindow
+// MayCoincide says whether another worker, last seen at a time, may have crashed at the same time as the
+// worker of c.
+func (h *History) MayCoincide(c *Crash, lastSeen clock.Time) bool {
+	return max(lastSeen.Sub(c.lastSeenAt), c.lastSeenAt.Sub(lastSeen)) < h.coincidenceWindow
 }
 
 // hasCoincidingCrash says whether other workers, on which none of the same jobs was starting, crashed or
@@ -130,8 +130,8 @@
 	h.crashes = slices.DeleteFunc(h.crashes, func(c *Crash) bool { return c.worker == worker })
 }
 
-// IsQuietFor says whether no worker has crashed recently for a cause other than the job. Only then may a
-// task of the job be started that is given up at its next crash.
+// IsQuietFor says whether no worker has crashed within quietPeriod for a cause other than the job. Only
+// then may a task of the job be started that is given up at its next crash.
 func (h *History) IsQuietFor(id job.ID, now clock.Time) bool {
 	return !slices.ContainsFunc(h.crashes, func(c *Crash) bool {
 		return !c.hasSingleCause && !c.jobs[id] && now.Sub(c.lastSeenAt) < quietPeriod
--- a/pkg/crash/probe.go
+++ b/pkg/crash/probe.go
@@ -16,7 +16,7 @@
 	maxClaimedShare = 0.25
 )
 
-// MayClaimWorker says whether one more worker may be claimed when claimed of all workers are.
+// MayClaimWorker says whether one more worker may be claimed, given how many of all workers are claimed.
 func MayClaimWorker(claimed, all int) bool {
 	return claimed < max(1, int(maxClaimedShare*float64(all)))
 }
--- a/pkg/crash/start.go
+++ b/pkg/crash/start.go
@@ -12,15 +12,15 @@
 
 const (
 	// SurvivalTime is how long a worker must have lived on after the start of a run, by its own clock, to
-	// have survived the start. Tasks that crash their workers have done so 10 ms after their start.
+	// have survived the start. Tasks that crash their workers did so 10 ms after their start.
 	SurvivalTime = 300 * time.Millisecond
 	// crashWindow is how long after a start a worker may last have been seen, by its own clock, for its
 	// crash to be conclusive. With SurvivalTime in its place, two workers in a row that crashed for other
 	// causes gave up a job in two of 5,000 random histories in which each worker crashes every 40 s.
 	crashWindow = 150 * time.Millisecond
-	// responsiveTime is how long after its last sign of life a worker counts as alive. When a start got
-	// no answer that was ordered later, its worker may have crashed before the start. Polls wait up to
-	// 0.6 s in pools of usual size, so half of the workers were seen within this time.
+	// responsiveTime is how long after it was last seen a worker counts as alive. If a start that was
+	// ordered later gets no answer, the worker may have crashed before it. Polls wait up to 0.6 s in
+	// pools of usual size, so half of the workers were seen within this time.
 	responsiveTime = 300 * time.Millisecond
 )
 
@@ -36,7 +36,7 @@
 	return lastSeenAt-startedAt <= crashWindow.Milliseconds()
 }
 
-// WorkerLiveness is what a worker's answers tell of whether it lives.
+// WorkerLiveness is what a worker's answers say about whether it is alive.
 type WorkerLiveness struct {
 	LastSeenAt clock.Time
 	// FirstUnansweredAt is when the first call after LastSeenAt got no answer; 0 when every call was
@@ -50,9 +50,9 @@
 	return w.FirstUnansweredAt == 0 && now.Sub(w.LastSeenAt) <= responsiveTime
 }
 
-// MayHaveCrashedBefore says whether the worker may have crashed before a start without an answer that was ordered
-// at a time: an earlier call got no answer either, or the worker had not been seen for longer than
-// responsiveTime.
+// MayHaveCrashedBefore says whether the worker may have crashed before a start without an answer that was
+// ordered at a time: an earlier call got no answer either, or the worker had not been seen for longer
+// than responsiveTime.
 func (w WorkerLiveness) MayPrecede(ordered clock.Time) bool {
 	return w.FirstUnansweredAt != 0 && ordered > w.FirstUnansweredAt || ordered.Sub(w.LastSeenAt) > responsiveTime
 }
--- a/pkg/crash/task.go
+++ b/pkg/crash/task.go
@@ -14,7 +14,7 @@
 // crash.
 const MaxConsecutiveCrashes = 4
 
-// TaskRecord has the starts and crashes that make one task suspect. The zero value has none.
+// TaskRecord has the stored starts and the crashes of one task. The zero value has none.
 type TaskRecord struct {
 	// attempts are starts that are in the store and that their worker is not known to have survived.
 	// crashes are the crashes in a row under starts of the task.
@@ -78,8 +78,8 @@
 	return changed
 }
 
-// AddCrash counts a crash against the task, and says so, unless a worker has survived a later start
-// since.
+// AddCrash counts a crash against the task, unless a worker has survived a later start of the task. It
+// says whether the crash was counted.
 func (t *TaskRecord) AddCrash(c job.Crash) bool {
 	if c.Run <= t.lastSurvivedRun {
 		return false
--- a/pkg/fit/fit.go
+++ b/pkg/fit/fit.go
@@ -53,9 +53,9 @@
 // otherResourcesWeight lets the other resources decide among workers that are equal in the scarcest one.
 const otherResourcesWeight = 0.1
 
-// remainingShare returns the share of the worker that stays free beside a task. It counts above all the
-// resource of which the task needs the largest share, so that partly used workers fill up and unused ones
-// stay unused.
+// remainingShare returns the share of the worker that stays free when the task runs there. It counts
+// above all the resource of which the task needs the largest share, so that partly used workers fill up
+// and unused ones stay unused.
 func (w Candidate) remainingShare(need cell.Resources) float64 {
 	left := w.Free.Sub(need)
 	return left.ShareOf(need.Dominant(w.Capacity), w.Capacity) + otherResourcesWeight*left.DominantShare(w.Capacity)
--- a/pkg/pace/control.go
+++ b/pkg/pace/control.go
@@ -9,8 +9,8 @@
 const (
 	// Full is the pace of a filler that is not slowed down, in percent.
 	Full = 100
-	// initialPace, in percent, is the pace of a filler that has just started beside a serving task, since
-	// it is not known yet how much the filler disturbs it.
+	// initialPace, in percent, is the pace of a filler that has just started on a worker with a serving
+	// task, since it is not known yet how much the filler disturbs that task.
 	initialPace = 30
 	// slowDownFactor times the present pace is the next lower one. Four reports of a high tail bring a
 	// filler from full pace nearly to a standstill, within the 4 s in which the platform ignores
--- a/pkg/preemption/option.go
+++ b/pkg/preemption/option.go
@@ -40,7 +40,8 @@
 	return o.lostWork
 }
 
-// TakeVictims removes the chosen victims, subtracts the task that they make room for, and returns them.
+// TakeVictims applies the choice: it removes the chosen victims, adds their resources to Free, subtracts
+// the task that they make room for, and returns their runs.
 func (o *Option[R]) TakeVictims(need cell.Resources) []R {
 	var out []R
 	for _, n := range o.chosen {
--- a/pkg/takeover/blocked_jobs.go
+++ b/pkg/takeover/blocked_jobs.go
@@ -21,7 +21,7 @@
 	return s.Worker == o.Worker && s.Retired == o.Retired && slices.Equal(s.Jobs, o.Jobs)
 }
 
-// StoredWorkers are the workers to which starts of a job may have been sent, by the store.
+// StoredWorkers are the workers to which starts of a job may have been sent, according to the store.
 type StoredWorkers struct {
 	// Complete says that every owner that may have started tasks of the job stored a worker's name before
 	// its first start there. Otherwise the job may also run on other workers.
--- a/pkg/worth/doc.go
+++ b/pkg/worth/doc.go
@@ -3,7 +3,7 @@
 // The order is by value class: work in time goes first, then late work, then work over its customer's
 // share, then work that is worth nothing any more. Within a class the order is by priority, then by the
 // latest moment at which a step may start for its job to end in time. A step with a long-running task that
-// has not run for too long goes before all others.
+// has waited for too long goes before all others.
 //
 // When a job should have ended follows from the estimates of its steps and from its queue (ChainEstimates,
 // Deadlines).
--- a/pkg/worth/objective.go
+++ b/pkg/worth/objective.go
@@ -7,12 +7,12 @@
 	"foldarch.dev/foldarch/pkg/job"
 )
 
-// maxLatenessFactor times the time that the objective allows is how long an end is still worth something.
+// An end is worth something until maxLatenessFactor times the time that the objective allows.
 const maxLatenessFactor = 3
 
 // Deadlines returns when a job that began to wait at a time should have ended, and the last moment at
 // which its end is still worth something. longest is the estimated time of the job's longest chain of
-// steps. The queue allows extension times that, at least once, plus target.
+// steps. The queue allows a job extension times as long, but at least longest, and target in addition.
 func Deadlines(from clock.Time, longest time.Duration, extension float64, target time.Duration) (objective, latest clock.Time) {
 	span := time.Duration(float64(longest)*max(extension, 1)) + target
 	return from.Add(span), from.Add(maxLatenessFactor * span)
--- a/pkg/worth/value_class.go
+++ b/pkg/worth/value_class.go
@@ -12,7 +12,7 @@
 
 // The value classes.
 const (
-	// Overdue: the step has a long-running task that has not run for too long. It goes before all others.
+	// Overdue: the step has a long-running task that has waited for too long. It goes before all others.
 	Overdue ValueClass = iota - 1
 	InTime
 	Late
@@ -22,9 +22,10 @@
 	NoValue
 )
 
-// MaxServiceWait is how long a long-running task may wait in order with others of its priority. The
-// platform counts such a task as lost that does not run for 3 s while there could be room. A start takes
-// up to 0.4 s when runs have to be stopped first to make room, and may need a call for advice before.
+// MaxServiceWait is how long a long-running task may wait in order with others of its priority before its
+// step is overdue. The platform counts such a task as lost if it does not run for 3 s while there could
+// be room. A start takes up to 0.4 s when runs have to be stopped first to make room, and may need a call
+// for advice before.
 const MaxServiceWait = time.Second
 
 // Work is what a step's value class depends on.
