--- a/pkg/dispatch/advice.go
+++ b/pkg/dispatch/advice.go
@@ -14,62 +14,66 @@
 )
 
 const (
-	// longCallThreshold is the length of a call from which it must leave some processes free for
-	// short ones.
+	// longCallThreshold is the expected duration from which an advice call counts as long. Long calls must
+	// leave some advisers, the processes that make the calls, free for short ones.
 	longCallThreshold = 150 * time.Millisecond
-	// advisersKeptFree is how many processes long calls leave free, but no more than half of them.
+	// advisersKeptFree is how many advisers long calls leave free, but at most half of all advisers.
 	advisersKeptFree = 2
-	// adviceTimeoutMargin is how much longer than it should a call may take.
+	// adviceTimeoutMargin is added to one and a half times the expected duration of a call for its timeout.
 	adviceTimeoutMargin = 300 * time.Millisecond
-	// maxAdviceSelectionsPerPlan is for how many steps one plan chooses workers to be named at most: choosing takes as
-	// long as there are workers, and a plan must not hold up what workers answer.
+	// maxAdviceSelectionsPerPlan is for how many steps at most one plan selects advice targets: a selection
+	// goes over all workers, and a plan must not delay the handling of worker answers.
 	maxAdviceSelectionsPerPlan = 16
-	// adviceLateAfter is how much longer than it should a call may take before others are made for its step.
+	// adviceLateAfter is by how much a call may exceed its expected duration before more calls are made for
+	// its step.
 	adviceLateAfter = 150 * time.Millisecond
-	// minAdviceInterval is the least time between two calls for a step.
+	// minAdviceInterval is the least time between the answer to a call for a step and the next call for it.
 	minAdviceInterval = 60 * time.Millisecond
-	// noTargetBackoff is the pause after there was nobody to be named in a call, in parts of the fixed time of a
-	// call: choosing goes over all workers, and the pause delays the answer by that part at most.
+	// noTargetBackoff is the pause after a selection that found no targets, as a fraction of the expected
+	// duration of a call about one worker. A selection goes over all workers, so it isn't repeated in each
+	// plan; the pause delays an answer by at most this fraction.
 	noTargetBackoff = 0.125
 )
 
-// stepAdvice is what is known of the workers that may run a step. Which ones may does not
-// change, but tickets lapse.
+// stepAdvice is what is known about the workers that may run a step. Whether a worker may run the step does
+// not change, but tickets expire.
 type stepAdvice struct {
 	allowed map[WorkerID]bool
 	denied  map[WorkerID]bool
 	tickets map[WorkerID]ticket
-	// ticketsExpireAt is when the last of them lapses.
+	// ticketsExpireAt is when the last ticket expires.
 	ticketsExpireAt clock.Time
 	pendingCalls    []*pendingAdviceCall
 	notBefore       clock.Time
-	// callTime is what the calls for the step have taken.
+	// callTime is the total duration of the calls for the step.
 	callTime time.Duration
-	// lastAnsweredAt is when a call for the step was answered last, or failed; 0 for never.
+	// lastAnsweredAt is when a call for the step was last answered or failed; 0 for never.
 	lastAnsweredAt clock.Time
 }
 
+// pendingAdviceCall is an advice call that has not been answered.
 type pendingAdviceCall struct {
 	call            AdviceCall
-	step            *step // nil when the answer is of no use any more
-	knownTargets    int   // how many of the named were known to be allowed; they come first
-	targetsWithRoom int   // how many had room, or were expected to; those without come last
+	step            *step // nil when the answer is no longer needed
+	knownTargets    int   // how many targets were known to be allowed; they come first
+	targetsWithRoom int   // how many targets had room, or were expected to; the others come last
 	sentAt          clock.Time
 	expectedTime    time.Duration
 	queue           string
-	result          advice.CallResult // but for how it ended
+	result          advice.CallResult // complete except for the duration and whether the call succeeded
 }
 
-// adviceState are the calls for advice that are on their way, with those who make them and what earlier ones have told of queues.
+// adviceState has the pending advice calls, the advisers that make them, and what earlier calls have shown
+// about queues.
 type adviceState struct {
 	advisers         *advice.Advisers
 	pendingCalls     map[int64]*pendingAdviceCall
-	last             int64 // number of a call
-	longCalls        int   // how many of them are long (longCallThreshold)
+	last             int64 // number of the last call
+	longCalls        int   // how many pending calls are long (longCallThreshold)
 	rates            advice.Rates
 	rounds           advice.Rounds
-	targetOffset     int // shifts which of like workers are named
-	selectionsInPlan int // of workers to be named, in this plan
+	targetOffset     int // shifts the start of a selection, so that calls ask about different workers
+	selectionsInPlan int // how many steps this plan has selected targets for
 	tally            *advice.Tally
 	issuedTickets    []*ticketIssue
 }
@@ -78,7 +82,7 @@
 	return adviceState{advisers: advice.NewAdvisers(), pendingCalls: map[int64]*pendingAdviceCall{}, rates: advice.Rates{}, rounds: advice.Rounds{}, tally: advice.NewTally()}
 }
 
-// maxLongCalls is how many long calls may be on their way.
+// maxLongCalls is how many long calls may be pending at once.
 func (p *Pool) maxLongCalls() int {
 	n := p.advice.advisers.Count()
 	if p.isDisabled(ReservedAdvisers) {
@@ -87,12 +91,12 @@
 	return max(1, n-min(advisersKeptFree, n/2))
 }
 
-// AddAdviser takes in a process that can make calls for advice.
+// AddAdviser registers a process that can make advice calls.
 func (p *Pool) AddAdviser(name string) {
 	p.advice.advisers.Put(name)
 }
 
-// RemoveAdviser takes in that a process can't be reached any more.
+// RemoveAdviser removes a process that can't be reached any more; its pending calls count as failed.
 func (p *Pool) RemoveAdviser(name string, now clock.Time) {
 	for n, a := range p.advice.pendingCalls {
 		if a.call.Adviser == name {
@@ -102,8 +106,8 @@
 	p.advice.advisers.Remove(name)
 }
 
-// ask has advice called for, if a step needs it and processes are free for calls. No more than so
-// many long calls are to be on their way then.
+// requestAdvice makes advice calls for a step if the step needs them and advisers are free. A long call is
+// made only while fewer than longAtOnce long calls are pending.
 func (p *Pool) requestAdvice(s *step, longAtOnce int, reserved *reservations, now clock.Time, out *Actions) {
 	if !p.mayRequestAdvice(s, now) {
 		return
@@ -123,8 +127,8 @@
 	}
 }
 
-// callPrices returns the prices for a queue at present, when no more than so many long calls are to be on
-// their way.
+// callPrices returns the present prices of advice calls for a queue, given that at most longAtOnce long
+// calls may be pending.
 func (p *Pool) callPrices(cost *queue.AdviceCost, longAtOnce int) advice.Prices {
 	most := p.advice.advisers.IdleCount()
 	if cost.Of(1) >= longCallThreshold {
@@ -136,13 +140,13 @@
 	return advice.Prices{Cost: *cost, FreeAdvisers: max(p.advice.advisers.IdleCount(), 1), MaxCalls: most}
 }
 
-// mayRequestAdvice says whether calls for a step may be made in this plan.
+// mayRequestAdvice reports whether this plan may make advice calls for a step.
 func (p *Pool) mayRequestAdvice(s *step, now clock.Time) bool {
 	return p.advice.advisers.IdleCount() > 0 && p.advice.selectionsInPlan < maxAdviceSelectionsPerPlan && now >= s.advice.notBefore && !s.advice.hasTimelyCall(now) &&
 		s.occurrence.job.queue.Advice != nil && s.occurrence.job.outcome == ""
 }
 
-// call has one call made that names workers.
+// sendAdviceCall makes one call that asks about some workers, if an adviser is free for it.
 func (p *Pool) sendAdviceCall(s *step, names adviceTargets, longAtOnce int, now clock.Time, out *Actions) {
 	q := s.occurrence.job.queue
 	cost := q.Advice.Of(len(names.workers))
@@ -168,7 +172,7 @@
 		"workers=%d known=%d waiting=%d by=%s cost_ms=%d", len(names.workers), names.known, s.waitingTasks(), adviser, cost.Milliseconds())})
 }
 
-// HandleAdviceAnswer takes in the answer of a call for advice, or that it failed.
+// HandleAdviceAnswer processes the answer to an advice call, or its failure.
 func (p *Pool) HandleAdviceAnswer(number int64, tickets []Ticket, ok bool, now clock.Time) {
 	a, known := p.advice.pendingCalls[number]
 	if !known {
@@ -200,7 +204,8 @@
 	}
 }
 
-// updateAllowedRate takes the share of allowed workers among those named for the first time.
+// updateAllowedRate updates a queue's rate of allowed workers from the targets that were asked about for the
+// first time.
 func (p *Pool) updateAllowedRate(a *pendingAdviceCall, tickets []Ticket) {
 	fresh := a.call.Workers[a.knownTargets:]
 	if len(fresh) == 0 {
@@ -215,7 +220,7 @@
 	p.advice.rates.Learn(a.queue, allowed, len(fresh))
 }
 
-// recordAdvice keeps what a call for the step told, and returns what it brought.
+// recordAdvice records the answer to a call for the step, and returns the tickets that it issued.
 func (s *step) recordAdvice(a *pendingAdviceCall, tickets []Ticket) *ticketIssue {
 	i := &ticketIssue{step: s, expireAt: a.sentAt.Add(a.expectedTime + s.occurrence.job.queue.Advice.Validity)}
 	uses := make(map[WorkerID]*ticketUse, len(tickets))
@@ -228,8 +233,8 @@
 	return i
 }
 
-// recordAnswer keeps what a call told. The tickets hold from when the service gave them, which it
-// did not do before the call had taken its time.
+// recordAnswer records which workers a call allowed and denied. Tickets are valid from when the advice
+// service issued them, which was not before the expected duration of the call had passed.
 func (s *stepAdvice) recordAnswer(a *pendingAdviceCall, tickets []Ticket, until clock.Time, uses map[WorkerID]*ticketUse) {
 	if s.allowed == nil {
 		s.allowed, s.denied, s.tickets = map[WorkerID]bool{}, map[WorkerID]bool{}, map[WorkerID]ticket{}
@@ -245,12 +250,12 @@
 	}
 }
 
-// hasTimelyCall says that calls for the step are on their way, and not too late.
+// hasTimelyCall reports whether a call for the step is pending that is not late yet.
 func (s *stepAdvice) hasTimelyCall(now clock.Time) bool {
 	return slices.ContainsFunc(s.pendingCalls, func(a *pendingAdviceCall) bool { return now <= a.sentAt.Add(a.expectedTime+adviceLateAfter) })
 }
 
-// abandonAdviceCalls makes the answers of a step's pending calls useless.
+// abandonAdviceCalls makes sure that the answers to a step's pending calls are ignored.
 func (p *Pool) abandonAdviceCalls(s *step) {
 	for _, a := range s.advice.pendingCalls {
 		a.step = nil
@@ -258,7 +263,7 @@
 	s.advice.pendingCalls = nil
 }
 
-// expireAdviceCalls gives up calls whose answers do not come.
+// expireAdviceCalls gives up calls whose timeout has passed without an answer.
 func (p *Pool) expireAdviceCalls(now clock.Time) {
 	const grace = 500 * time.Millisecond
 	p.advice.selectionsInPlan = 0
--- a/pkg/dispatch/advice_targets.go
+++ b/pkg/dispatch/advice_targets.go
@@ -9,24 +9,25 @@
 	"foldarch.dev/foldarch/pkg/clock"
 )
 
-// targetRoomMargin is by how much the room of named workers exceeds the need, since other steps
-// take room while a call lasts.
+// targetRoomMargin is by how much the room of the targets must exceed the need, since other steps take room
+// while a call is pending.
 const targetRoomMargin = 1.2
 
-// roomy is a worker and how many tasks of a step it has room for.
+// workerRoom is a worker and how many tasks of a step it has room for.
 type workerRoom struct {
 	worker *worker
 	room   int
 }
 
-// adviceTargets is a list of workers to be named in a call: first those that are known to be allowed, last those without room.
+// adviceTargets are the workers that advice calls ask about: those known to be allowed come first, those
+// without room last.
 type adviceTargets struct {
 	workers  []WorkerID
 	known    int // how many are known to be allowed
 	withRoom int // how many have room, or are expected to
 }
 
-// split splits them up for calls that name a number of workers each.
+// split divides the targets into parts of at most size workers, one for each call.
 func (n adviceTargets) split(size int) []adviceTargets {
 	var out []adviceTargets
 	for part := range slices.Chunk(n.workers, size) {
@@ -36,13 +37,13 @@
 	return out
 }
 
-// selectAdviceTargets lists the workers to name in calls that go out together: those known to be allowed whose tickets have
-// lapsed, as many others as make the calls for the step shortest (advice.Prices), and some without
-// room, so that no other call has to learn of them.
+// selectAdviceTargets selects the workers to ask about in calls that are made at the same time: those known
+// to be allowed whose tickets have expired, as many others as make the total time of the calls for the step
+// shortest (advice.Prices), and some without room, so that no later call has to ask about them.
 func (p *Pool) selectAdviceTargets(s *step, reserved *reservations, calls advice.Prices, now clock.Time) adviceTargets {
 	waiting := p.startableTasks(s)
 	if s.promoted {
-		waiting = s.waitingTasks() // its tickets are to be there when its customer's quota has room
+		waiting = s.waitingTasks() // it needs tickets by the time its customer's quota has room
 	}
 	known, covered := p.allowedWithoutTickets(s, reserved, calls, now)
 	need := float64(waiting - covered)
@@ -52,7 +53,7 @@
 	enough := sufficientRoomFactor * need / p.advice.rates.Of(s.occurrence.job.queue.Name)
 	others, full := p.workersWithUnknownAdvice(s, reserved, enough, s.spec.Gang || waiting > maxSmallStepTasks, now)
 	if s.spec.Gang && totalRoom(known)+totalRoom(others) < need {
-		known, others = nil, nil // there is no room for all members, whoever is allowed
+		known, others = nil, nil // there is no room for all members, whichever workers are allowed
 	}
 	workers, need := selectKnownTargets(known, need*targetRoomMargin, calls.MaxWorkers())
 	nKnown := len(workers)
@@ -65,8 +66,8 @@
 	return adviceTargets{workers, nKnown, roomy}
 }
 
-// otherTargetCount is how many of the workers, in their order, calls name beside the known ones, and the
-// probability that they suffice.
+// otherTargetCount returns how many of the other workers, taken in their order, the calls should ask about
+// beside the known ones, and the probability that they suffice.
 func (p *Pool) otherTargetCount(s *step, others []workerRoom, need float64, calls advice.Prices, known int) (n int, suffices float64) {
 	rate := p.advice.rates.Of(s.occurrence.job.queue.Name)
 	if p.isDisabled(CostBasedAdviceSize) {
@@ -75,10 +76,11 @@
 	return calls.CheapestCount(roomPerWorker(others), need, rate, known)
 }
 
-// selectFullTargets lists workers without room to be named in a call, those first that will have room
-// soonest. Which workers may run a step does not change, so what is learned now saves the fixed part of
-// a later call, if there is one: that is why they may take as long as that part times the probability
-// that the call does not suffice. It lists none when enough is known for the time when there is room.
+// selectFullTargets selects workers without room, those first that are expected to have room soonest.
+// Whether a worker may run a step does not change, so asking now saves the fixed cost of a later call, if
+// one is needed. That is why the time added for these workers is limited to the fixed cost times the
+// probability that this call does not suffice. It selects none when the workers known to be allowed have
+// enough room when empty.
 func (p *Pool) selectFullTargets(s *step, full []*worker, suffices float64, most int, now clock.Time) []WorkerID {
 	if p.isDisabled(AdviceOnFullWorkers) {
 		return nil
@@ -106,7 +108,8 @@
 	return out
 }
 
-// sortByTimeUntilRoom sorts workers by when they will have room for a task of a step; like ones keep their order.
+// sortByTimeUntilRoom sorts workers by when they are expected to have room for a task of a step, and keeps
+// the order of equal ones.
 func sortByTimeUntilRoom(s *step, workers []*worker, now clock.Time) []*worker {
 	type entry struct {
 		worker *worker
@@ -124,15 +127,17 @@
 	return out
 }
 
-// allowedRoomFactor is how many times the tasks of a step the allowed workers should hold when empty, for
-// the step to find room among others soon: in a pool that is used to three quarters, one in four has room.
+// allowedRoomFactor is for how many times the tasks of a step its allowed workers should have room when
+// empty, so that the step soon finds room on one of them: when three quarters of a pool are in use, one
+// worker in four has room.
 const allowedRoomFactor = 4
 
-// sufficientRoomFactor is how many times the room that a step needs, at the queue's rate, has to be there for room that
-// is only expected to be of no use.
+// sufficientRoomFactor is how many times the room that a step needs, divided by its queue's rate of allowed
+// workers, must be available for expected room to be left out of account.
 const sufficientRoomFactor = 2
 
-// availableRoom is how many tasks of a step a worker has room for; 0 also when it is held for other steps.
+// availableRoom returns how many tasks of a step a worker has room for now; 0 also when the worker is
+// reserved for other steps.
 func (p *Pool) availableRoom(s *step, w *worker, reserved *reservations) int {
 	if reserved.isReserved(w.info.ID, s.occurrence.job.queue.Priority) {
 		return 0
@@ -140,9 +145,9 @@
 	return roomFor(s, w)
 }
 
-// expectedRoom is how many tasks of a step a worker may be given by the time that a call for advice is
-// answered; 0 also when it is held for other steps. For wide gangs only room counts that is there: what
-// is expected on many workers does not come on all of them at the same time.
+// expectedRoom returns how many tasks of a step a worker may be given by the time an advice call is
+// answered; 0 also when the worker is reserved for other steps. For large gangs only the room available now
+// counts, since the room expected on many workers does not become free at the same time.
 func (p *Pool) expectedRoom(s *step, w *worker, reserved *reservations, now clock.Time) int {
 	if reserved.isReserved(w.info.ID, s.occurrence.job.queue.Priority) {
 		return 0
@@ -154,8 +159,9 @@
 	return roomWithin(s, w, w.freeWithin(s.occurrence.job.queue.Advice.Of(1), now))
 }
 
-// allowedWithoutTickets lists the workers that are known to be allowed and whose tickets have lapsed,
-// those with most room first, and counts the tasks for which the others have room.
+// allowedWithoutTickets lists the workers with room that are known to be allowed and whose tickets expire
+// too soon, those with most room first, and counts the tasks for which the workers with valid tickets have
+// room.
 func (p *Pool) allowedWithoutTickets(s *step, reserved *reservations, calls advice.Prices, now clock.Time) (known []workerRoom, covered int) {
 	usedBy := minTicketExpiry(s, calls, now)
 	for id := range s.advice.allowed {
@@ -178,16 +184,17 @@
 	return known, covered
 }
 
-// targetOffsetStep is by how many workers the place moves at which a call begins to name.
+// targetOffsetStep is by how many workers the start of a selection moves each time.
 const targetOffsetStep = 7
 
-// maxSmallStepTasks is how many waiting tasks make a step small: a few workers will do, whichever.
+// maxSmallStepTasks is up to how many waiting tasks a step counts as small: any few workers suffice for it.
 const maxSmallStepTasks = 3
 
-// workersWithUnknownAdvice lists workers of which is not known whether they are allowed: those with room, and
-// up to advice.MaxWorkersPerCall full ones. Both begin at another place each time, so that steps that ask at the same moment
-// name different ones; with byRoom, those with most room come first. Room that is expected by the time of the answer
-// counts when the room that is there is less than a number of tasks: looking for it goes over all runs.
+// workersWithUnknownAdvice lists the workers of which it is not known whether they may run the step: those
+// with room, and up to advice.MaxWorkersPerCall full ones. Each call starts at another worker, so that steps
+// that ask at the same time get different targets; with byRoom, the workers with most room come first.
+// Expected room is considered only when the room available now is less than enough tasks, since computing it
+// goes over all runs.
 func (p *Pool) workersWithUnknownAdvice(s *step, reserved *reservations, enough float64, byRoom bool, now clock.Time) (others []workerRoom, full []*worker) {
 	p.advice.targetOffset += targetOffsetStep
 	workers, first := p.usableWorkersFrom(s.occurrence.job.queue.Pool, p.advice.targetOffset, now)
@@ -214,7 +221,7 @@
 	return others, full[:min(len(full), advice.MaxWorkersPerCall)]
 }
 
-// addExpectedRoom moves workers that are expected to have room from the full ones to the others.
+// addExpectedRoom moves workers that are expected to have room from full to others.
 func (p *Pool) addExpectedRoom(s *step, others []workerRoom, full []*worker, reserved *reservations, now clock.Time) ([]workerRoom, []*worker) {
 	still := full[:0]
 	for _, w := range full {
@@ -227,8 +234,8 @@
 	return others, still
 }
 
-// minTicketExpiry is until when a ticket must hold to be of use beside those of the calls that are
-// made now. Tasks of a gang start together, so after the answers; others start at once.
+// minTicketExpiry is when a ticket must still be valid to be of use together with the tickets of the calls
+// that are made now. Members of a gang start together, so only after the answers; other tasks start at once.
 func minTicketExpiry(s *step, calls advice.Prices, now clock.Time) clock.Time {
 	by := now.Add(minTicketValidity)
 	if s.spec.Gang {
@@ -237,7 +244,8 @@
 	return by
 }
 
-// selectKnownTargets names workers until the room suffices, most at most, and returns the room that is still needed.
+// selectKnownTargets selects at most most workers, until their room suffices, and returns the room that is
+// still needed.
 func selectKnownTargets(known []workerRoom, need float64, most int) (named []WorkerID, left float64) {
 	for _, k := range known {
 		if need <= 0 || len(named) >= most {
@@ -249,7 +257,7 @@
 	return named, need
 }
 
-// roomPerWorker lists the room of workers, in their order.
+// roomPerWorker returns the room of each worker, in the same order.
 func roomPerWorker(workers []workerRoom) []int {
 	rooms := make([]int, len(workers))
 	for i, w := range workers {
@@ -258,13 +266,14 @@
 	return rooms
 }
 
-// sortByRoom sorts workers by their room; like ones keep their order. Rooms are few different numbers.
+// sortByRoom sorts workers by their room, largest first, and keeps the order of equal ones. It is a counting
+// sort, since few different values occur.
 func sortByRoom(workers []workerRoom) []workerRoom {
 	most := 0
 	for _, w := range workers {
 		most = max(most, w.room)
 	}
-	ends := make([]int, most+1) // of those with as much room
+	ends := make([]int, most+1) // where the workers with a given room end in the result
 	for _, w := range workers {
 		ends[w.room]++
 	}
--- a/pkg/dispatch/commit.go
+++ b/pkg/dispatch/commit.go
@@ -10,32 +10,33 @@
 	"foldarch.dev/foldarch/pkg/outcome"
 )
 
-// JobChange is what the store has to be told of one job.
+// JobChange is a change of one job that has to be written to the store.
 type JobChange struct {
 	Job job.ID
-	// Outcome is set when the job has ended; otherwise Progress is to be kept.
+	// Outcome is set when the job has ended; otherwise Progress is to be stored.
 	Outcome  job.State
 	Progress job.Progress
-	// Customer names whose job it is; empty for nobody's.
+	// Customer is the name of the job's customer; empty for a job without a customer.
 	Customer string
-	// RemainingUse is what may still run of a job that has ended.
+	// RemainingUse are the resources that a job that has ended may still be using.
 	RemainingUse job.Unended
-	// LastLateStart is when the last start of a job that has ended was sent that may come late (job.Record).
+	// LastLateStart is when the last start of a job that has ended was sent that may still be carried out
+	// late (job.Record).
 	LastLateStart time.Time
-	// HasProgress says that the store has progress of the job, to be removed with its end.
+	// HasProgress says that the store has progress of the job, which is to be removed when the job ends.
 	HasProgress bool
 }
 
-// Commit is what has to be written before ends may be forgotten by the workers.
+// Commit is what has to be written to the store before run ends are acknowledged to the workers.
 type Commit struct {
 	Changes            []JobChange
-	lastEnds           map[*worker]int64 // up to which number all ends are in the changes, or in earlier ones
-	startsToOrder      []*run            // that are ordered when the changes are written
+	lastEnds           map[*worker]int64 // up to which number these and earlier changes have all ends
+	startsToOrder      []*run            // to be ordered once the changes are written
 	crashedWorkers     []WorkerID        // workers whose crashes are among the changes
-	hasRecordedWorkers bool              // the changes have names of workers for which starts wait
+	hasRecordedWorkers bool              // the changes record workers for which starts wait
 }
 
-// PrepareCommit returns what changed since the last one; it is empty when nothing did.
+// PrepareCommit returns the changes since the last call; the commit is empty when there are none.
 func (p *Pool) PrepareCommit() Commit {
 	c := Commit{lastEnds: map[*worker]int64{}, startsToOrder: p.startsToStore, hasRecordedWorkers: p.takeUnstoredWorkers(), crashedWorkers: slices.Collect(maps.Keys(p.uncommittedCrashes))}
 	p.startsToStore = nil
@@ -52,12 +53,12 @@
 	return c
 }
 
-// Empty says that there is nothing to write and nothing to note.
+// IsEmpty reports whether there is nothing to write and no end to acknowledge.
 func (c Commit) IsEmpty() bool {
 	return len(c.Changes) == 0 && len(c.lastEnds) == 0 && len(c.crashedWorkers) == 0
 }
 
-// ApplyCommit takes in that the store has all changes of a commit.
+// ApplyCommit records that the store has all changes of a commit.
 func (p *Pool) ApplyCommit(c Commit) {
 	p.startsToOrder = append(p.startsToOrder, c.startsToOrder...)
 	p.markWorkersStored(c.Changes)
@@ -82,12 +83,13 @@
 	}
 }
 
-// HasStarts says whether starts are to be ordered when the commit is written, or may be by the names that it has.
+// HasStarts reports whether starts are to be ordered, or become possible, once the commit is written.
 func (c Commit) HasStarts() bool {
 	return len(c.startsToOrder) > 0 || c.hasRecordedWorkers
 }
 
-// AreEndsCommitted says whether all ends that a worker has reported are committed. Those of jobs that may become known are not.
+// AreEndsCommitted reports whether all ends that a worker has reported are committed. Ends of jobs whose
+// records are still being read are not.
 func (p *Pool) AreEndsCommitted(id WorkerID) bool {
 	w, ok := p.workers[id]
 	return !ok || w.lastCommittedEnd == w.lastReadEnd
@@ -126,7 +128,7 @@
 	return out
 }
 
-// loadProgress takes in what a former owner kept of a job.
+// loadProgress restores a job's progress that a previous owner stored.
 func (p *Pool) loadProgress(j *jobState, progress job.Progress) {
 	j.remainingUse = p.unexpiredUse(progress.Unended)
 	j.loadStoredWorkers(progress)
--- a/pkg/dispatch/cordon.go
+++ b/pkg/dispatch/cordon.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// SetCordoned keeps exactly the named workers from getting new tasks, in all their lives.
+// SetCordoned cordons exactly the named workers: no incarnation of them gets new tasks.
 func (p *Pool) SetCordoned(names map[string]bool) {
 	for name := range names {
 		p.historyOf(name)
@@ -12,8 +12,9 @@
 	}
 }
 
-// Empty says whether a worker may be taken away: nothing runs there any more. With force,
-// what runs there is moved first; a step that lasts loses no more tasks than it allows.
+// VacateWorker reports whether a cordoned worker may be taken down since nothing runs there any more. With
+// force it first has all runs moved to other workers, otherwise only those of long-running tasks. A
+// long-running step never misses more tasks than it allows.
 func (p *Pool) VacateWorker(name string, force bool) bool {
 	l, ok := p.workerHistories[name]
 	if !ok {
@@ -42,10 +43,10 @@
 	return len(w.runs) == 0 && w.orphanRuns == 0 && len(w.deferredEnds) == 0
 }
 
-// servingPercent is the progress of a lasting task that serves.
+// servingPercent is the progress that a long-running task reports while it serves.
 const servingPercent = 100
 
-// toleratesAbsenceOf says whether a step bears that one more of its tasks is away.
+// toleratesAbsenceOf reports whether a step allows one more of its tasks, t, to be absent.
 func (s *step) toleratesAbsenceOf(t *task) bool {
 	if !s.spec.LongRunning || s.spec.MissAllowed == 0 {
 		return true
--- a/pkg/dispatch/crash.go
+++ b/pkg/dispatch/crash.go
@@ -10,14 +10,13 @@
 	"foldarch.dev/foldarch/pkg/job"
 )
 
-// What crashes of workers say against tasks is decided in package crash. Here stands which workers have crashed and which starts may be the cause.
-
-// crashCoincidenceWindow is how far apart workers that crash together may have been heard of last: an idle one is
-// asked every maxIdlePollWait.
+// crashCoincidenceWindow is how far apart the times may be at which workers that crash together were last
+// seen: an idle worker is polled only every maxIdlePollWait.
 const crashCoincidenceWindow = maxIdlePollWait + 500*time.Millisecond
 
-// crashed takes in that a life of a worker has ended: what had begun just before may be the cause,
-// unless it was to leave.
+// handleWorkerCrash processes the end of a worker's incarnation: the starts just before it may be the cause,
+// unless the worker had announced that it would leave. Package crash decides what the crash says about
+// tasks.
 func (p *Pool) handleWorkerCrash(w *worker, now clock.Time) {
 	starts := w.suspectStarts()
 	w.unresolvedStarts = nil
@@ -43,17 +42,18 @@
 	}
 }
 
-// RecordUncountedCrash takes in that a worker crashed under starts of a former owner that nobody may have counted.
+// RecordUncountedCrash records that a worker crashed under starts of a previous owner, and that possibly no
+// owner has counted the crash against them.
 func (p *Pool) RecordUncountedCrash(info WorkerInfo) {
 	p.markRosterChanged(info.ID)
 	if p.takeover.hasUncountedCrash {
-		return // one record of a crash tells a later owner as much as many
+		return // one record tells a later owner as much as several
 	}
 	p.takeover.hasUncountedCrash = true
 	p.uncountedCrash = info
 }
 
-// hasJobOfPreviousOwner says that a job has not ended that a former owner may have started.
+// hasJobOfPreviousOwner reports whether there is an unfinished job that a previous owner may have started.
 func (p *Pool) hasJobOfPreviousOwner() bool {
 	for _, j := range p.jobs {
 		if j.outcome == "" && !p.isUnknownToPreviousOwners(j) {
@@ -63,23 +63,25 @@
 	return false
 }
 
-// hasLeftAsPlanned says that a worker was to leave, or went on serving after it had taken its entry away.
+// hasLeftAsPlanned reports whether a worker had announced that it would leave, or still answered after it
+// had removed its entry.
 func (w *worker) hasLeftAsPlanned() bool {
 	return w.leavesAt != 0 || w.entryRemovedAt != 0 && !w.entryReplaced && w.entryRemovedAt <= w.lastAnsweredPollSentAt
 }
 
-// lastSeenAt is when a worker was heard of last, or when this owner learned of it.
+// lastSeenAt is when a worker last answered, or when this owner discovered it, whichever is later.
 func (w *worker) lastSeenAt() clock.Time {
 	return max(w.clockAt, w.discoveredAt)
 }
 
-// liveness is what is known of a worker from its answers.
+// liveness summarizes when a worker last answered and since when it has not.
 func (w *worker) liveness() crash.WorkerLiveness {
 	return crash.WorkerLiveness{LastSeenAt: w.lastSeenAt(), FirstUnansweredAt: w.unansweredAt}
 }
 
-// suspectStarts lists the starts that may have ended a worker. Stored ones count in any case: each crash that is not counted may be the one
-// that is too many, and they go to workers that live.
+// suspectStarts lists the starts that may have crashed a worker. Starts that were stored before they were
+// ordered are always listed: they go only to workers that are alive, and a crash left uncounted lets a task
+// crash one worker too many.
 func (w *worker) suspectStarts() crash.Starts {
 	out := slices.Clone(w.unresolvedStarts)
 	for _, r := range sortedRuns(w) {
@@ -96,7 +98,7 @@
 	return out
 }
 
-// newCrash is the crash of a worker of which some starts may be the cause.
+// newCrash returns the crash of a worker that the given starts may have caused.
 func (w *worker) newCrash(starts crash.Starts) *crash.Crash {
 	return crash.NewCrash(w.info.ID, w.info.Address, w.lastSeenAt(), starts)
 }
@@ -110,7 +112,8 @@
 	}
 }
 
-// coincidingSilentWorkers lists what would be the crashes of the workers that went silent when one crashed.
+// coincidingSilentWorkers returns, for each worker that went silent at about the time of a crash, the crash
+// that it would be.
 func (p *Pool) coincidingSilentWorkers(crashed *worker, c *crash.Crash, now clock.Time) []*crash.Crash {
 	var out []*crash.Crash
 	for _, w := range p.workers {
@@ -123,7 +126,8 @@
 	return out
 }
 
-// countCrash counts a crash against a task, and gives its job up when it is certainly the cause.
+// countCrash counts a crash against a task, and fails the task's job once the crashes show that the task is
+// the cause.
 func (p *Pool) countCrash(s crash.Start, c job.Crash) {
 	t := p.task(s.Task)
 	p.removeAttempt(t, s.Run)
@@ -142,13 +146,14 @@
 	}
 }
 
-// mayAttemptLast says whether a task may be started as far as crashes are concerned: one that the next crash gives up waits until
-// workers no longer crash for other causes.
+// mayAttemptLast reports whether the crashes counted against a task allow it to start. A task whose job
+// would be given up at the next crash waits until workers no longer crash for other causes.
 func (p *Pool) mayAttemptLast(t *task, now clock.Time) bool {
 	return !t.crash.IsLastAttempt() || p.crashes.IsQuietFor(t.step.occurrence.job.job.ID, now)
 }
 
-// removeCrashesOf takes back the crashes of a worker that had only been cut off for long.
+// removeCrashesOf takes back the crashes counted for a worker that had only been unreachable for a long
+// time.
 func (p *Pool) removeCrashesOf(id WorkerID) {
 	p.crashes.RemoveCrashesOf(id)
 	for _, j := range p.jobs {
@@ -162,7 +167,8 @@
 	}
 }
 
-// checkSurvival takes in that a worker listed a run at a time on its own clock.
+// checkSurvival processes a worker's report of a run, made at workerClock on the worker's own clock: the run
+// has survived its start once the worker has been up for long enough after it.
 func (p *Pool) checkSurvival(r *run, workerClock int64) {
 	if r.survived || workerClock == 0 {
 		return
@@ -175,7 +181,7 @@
 	}
 }
 
-// survived takes in that a worker lives on after the start of a run.
+// recordSurvival records that a worker has survived the start of a run.
 func (p *Pool) recordSurvival(r *run) {
 	r.survived = true
 	s := r.task.step
@@ -192,7 +198,7 @@
 	}
 }
 
-// hasAllSurvived says that all members of a gang run and have been survived.
+// hasAllSurvived reports whether all members of a gang run and have survived their starts.
 func (s *step) hasAllSurvived() bool {
 	for i := range s.tasks {
 		if r := s.tasks[i].current; r == nil || !r.survived {
@@ -202,7 +208,7 @@
 	return true
 }
 
-// markProgressChanged has the progress of a task's job written, unless the job has ended.
+// markProgressChanged schedules the progress of a task's job to be stored, unless the job has ended.
 func (p *Pool) markProgressChanged(t *task) {
 	if j := t.step.occurrence.job; j.outcome == "" {
 		p.dirty[j] = struct{}{}
--- a/pkg/dispatch/customer_limits.go
+++ b/pkg/dispatch/customer_limits.go
@@ -11,8 +11,8 @@
 	"foldarch.dev/foldarch/pkg/worth"
 )
 
-// CustomerLimits lists the customers of whom only so much is to be taken in now, by name. While former owners' runs are looked for, nobody
-// knows what is carried out.
+// CustomerLimits lists, by customer name, the limits on new jobs that apply now. There are none while runs
+// of previous owners are looked for, since the work being done is not known then.
 func (p *Pool) CustomerLimits(now clock.Time) []admission.Limit {
 	if p.config == nil || !p.jobsLoaded || p.takeover.mayRunAnyJob() {
 		return nil
@@ -20,18 +20,19 @@
 	return p.limiter.Limits(p.customerDemands(), now.Sub(p.createdAt), now)
 }
 
-// countArrival takes in a job that a customer has sent.
+// countArrival counts a job that a customer has sent.
 func (p *Pool) countArrival(j *jobState) {
 	if j.account != nil {
 		p.limiter.RecordAccepted(j.customer.Name, j.queue.Name, p.now)
 	}
 }
 
-// queueTotals is what one customer has in one queue. Work is an amount of resources times milliseconds.
+// queueTotals are the totals of one customer's jobs in one queue.
 type queueTotals struct {
-	demand                 admission.QueueDemand
-	jobs                   int
-	totalSlack             time.Duration // of all jobs
+	demand     admission.QueueDemand
+	jobs       int
+	totalSlack time.Duration // of all jobs
+	// waiting and work are resources multiplied by milliseconds; running are resources.
 	waiting, running, work cell.Resources
 }
 
@@ -68,8 +69,8 @@
 	return out
 }
 
-// addJob takes in a job's work, also what is still to come after other steps. It says whether some of it waits. Tasks that last and that fill
-// are never worked off.
+// addJob adds a job's work, including that of steps that wait for other steps, and reports whether some
+// tasks of the job have no run. Long-running and filler tasks are left out, since they never finish.
 func (w *queueTotals) addJob(j *jobState) (waits bool) {
 	for s := range j.steps() {
 		if s.spec.LongRunning || s.spec.Filler {
@@ -88,7 +89,7 @@
 	return waits
 }
 
-// toDemand returns the sums as a demand on a pool of a capacity.
+// toDemand returns the totals as a demand on a pool with the given capacity.
 func (w *queueTotals) toDemand(capacity cell.Resources) admission.QueueDemand {
 	poolTime := func(work cell.Resources) time.Duration {
 		return time.Duration(work.DominantShare(capacity) * float64(time.Millisecond))
--- a/pkg/dispatch/customer_status.go
+++ b/pkg/dispatch/customer_status.go
@@ -12,19 +12,22 @@
 type CustomerStatus struct {
 	Name   string         `json:"name"`
 	Weight float64        `json:"weight"`
-	Quota  cell.Resources `json:"quota"` // 0 of a kind is no limit
+	Quota  cell.Resources `json:"quota"` // 0 means no limit on that resource
 	Used   cell.Resources `json:"used"`
-	// Share is what it has running in parts of all workers, of the resource of which that is most.
+	// Share is the share of the capacity of all workers that its runs use, for the resource of which that
+	// share is largest.
 	Share float64 `json:"share"`
 	Jobs  int     `json:"jobs"` // not ended
-	// Waiting are its tasks that may be started as far as their steps are concerned, and AwaitQuota those of them that wait for its quota.
+	// Waiting are its tasks that could start if it had quota and room, and AwaitQuota those of them that
+	// wait for its quota.
 	Waiting    int `json:"waiting"`
 	AwaitQuota int `json:"await_quota"`
-	// AdviceMs is how long calls for advice for its steps have taken since the owner began, in milliseconds.
+	// AdviceMs is the total duration of the advice calls for its steps since this owner began, in
+	// milliseconds.
 	AdviceMs int64 `json:"advice_ms"`
 }
 
-// Customers lists the customers, those first that have most running.
+// Customers lists the customers, those with the largest share first.
 func (p *Pool) Customers() []CustomerStatus {
 	var capacity cell.Resources
 	for _, w := range p.workers {
--- a/pkg/dispatch/delayed_advice.go
+++ b/pkg/dispatch/delayed_advice.go
@@ -10,18 +10,19 @@
 	"foldarch.dev/foldarch/pkg/worth"
 )
 
-// adviceDelayLimit is how long a step of a job of which nothing runs may wait for a call for advice before
-// it goes before the others. The platform counts a job lost that has waited 3 s while there was room;
-// a call and a start take up to 0.9 s of these.
+// adviceDelayLimit is how long a step of a job without runs may wait for an advice call before it goes
+// before the other steps. The platform counts a job as lost that has waited 3 s while there was room; a call
+// and a start take up to 0.9 s of these.
 const adviceDelayLimit = time.Second
 
-// extraLongCalls is how many long calls more than else may be on their way for steps that starve. With
-// all of nine processes, short calls of the most urgent queue waited for 0.6 s each in a burst.
+// extraLongCalls is how many long calls beyond the usual limit may be pending for steps whose advice is
+// delayed. When long calls could take all of nine advisers, short calls of the most urgent queue waited 0.6
+// s each in a burst.
 const extraLongCalls = 1
 
-// requestDelayedAdvice makes calls for advice for steps that have waited long, whatever their order, so that few
-// processes that make calls don't serve the first steps only. Those go first that have waited longest in
-// proportion to the time that a call takes (highest response ratio next, Brinch Hansen 1971).
+// requestDelayedAdvice makes advice calls for steps that have waited too long, whatever their rank, so that
+// the first steps don't take all advisers when there are few. Those go first that have waited longest in
+// proportion to the duration of a call (highest response ratio next, Brinch Hansen 1971).
 func (p *Pool) requestDelayedAdvice(ordered []waitingStep, reserved *reservations, now clock.Time, out *Actions) {
 	if p.advice.advisers.IdleCount() == 0 || p.isDisabled(DelayedAdviceFirst) {
 		return
@@ -30,7 +31,7 @@
 	for i, e := range ordered {
 		s := e.step
 		if s.promoted {
-			continue // its calls were made in its turn
+			continue // its calls were made when it was placed
 		}
 		if now.Sub(s.awaitsAdviceSince()) > adviceDelayLimit && p.mayRequestAdvice(s, now) && p.isAdviceDelayed(s, now) && !p.isBlockedByTakeover(s.occurrence.job) && !p.awaitsQuota(s) {
 			starving = append(starving, delayedAdviceStep{s, s.responseRatio(now), i})
@@ -43,14 +44,16 @@
 	}
 }
 
-// delayedAdviceStep is a step that starves, with its response ratio and its place among the steps.
+// delayedAdviceStep is a step whose advice is delayed, with its response ratio and its position in the rank
+// order.
 type delayedAdviceStep struct {
 	step     *step
 	ratio    float64
 	position int
 }
 
-// delayedAdviceHeap are a heap: those with the highest ratio first, like ones as they have their turns. Of thousands of them, few get calls in a plan.
+// delayedAdviceHeap is a heap of steps with the highest response ratio first; steps of equal ratio keep
+// their rank order. It is a heap since few of possibly thousands of steps get calls in a plan.
 type delayedAdviceHeap []delayedAdviceStep
 
 func (h delayedAdviceHeap) Len() int { return len(h) }
@@ -61,19 +64,21 @@
 
 func (h delayedAdviceHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push adds a step.
+// Push appends a step, for package heap.
 func (h *delayedAdviceHeap) Push(x any) { *h = append(*h, x.(delayedAdviceStep)) }
 
-// Pop takes the last step off.
+// Pop removes the last step, for package heap.
 func (h *delayedAdviceHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return last
 }
 
-// isAdviceDelayed says that a step has waited too long for a call for advice. In a pool that is well used none does: with the oldest first, each job of a
-// backlog gets its advice too late, and the backlog goes on when the burst is over. After 13 s in which one customer sent eight times its
-// usual, jobs in time were 3% for the next 30 s, and earned 0.26 of the day in place of 0.60 (one play each, processor time not charged).
+// isAdviceDelayed reports whether a step has waited too long for an advice call. Only overdue services count
+// as delayed in a mostly used pool: if the oldest steps went first there, each job of a backlog would get
+// its advice too late, and the backlog would outlast the burst that caused it. After 13 s in which one
+// customer sent eight times its usual rate, the oldest-first order finished 3% of the jobs in time during
+// the next 30 s, and earned 0.26 of the day's value instead of 0.60.
 func (p *Pool) isAdviceDelayed(s *step, now clock.Time) bool {
 	if s.occurrence.job.queue.Advice == nil || now.Sub(s.awaitsAdviceSince()) <= adviceDelayLimit {
 		return false
@@ -84,13 +89,13 @@
 	return !s.occurrence.job.hasRuns() && (!p.poolLoad(s.occurrence.job.queue.Pool).isMostlyUsed() || p.isDisabled(DelayedAdviceInOrder))
 }
 
-// awaitsAdviceSince is since when a step has waited without an answer to a call for advice.
+// awaitsAdviceSince is since when a step has waited without an answer to an advice call.
 func (s *step) awaitsAdviceSince() clock.Time {
 	return max(s.readySince, s.advice.lastAnsweredAt)
 }
 
-// responseRatio is how long a step has waited for a call for advice, in parts of the time of a call. A
-// task that lasts and is overdue comes first.
+// responseRatio is how long a step has waited for an advice call, divided by the duration of a call. Overdue
+// services come first.
 func (s *step) responseRatio(now clock.Time) float64 {
 	if s.valueClass(now) == worth.Overdue {
 		return math.Inf(1)
--- a/pkg/dispatch/delayed_steps.go
+++ b/pkg/dispatch/delayed_steps.go
@@ -9,19 +9,21 @@
 	"foldarch.dev/foldarch/pkg/job"
 )
 
-// DelayedStep is a step that has waited for long though its pool has room.
+// DelayedStep is a step that has waited for a long time although its pool has room.
 type DelayedStep struct {
 	Step     job.StepID
 	Customer string
-	Waited   time.Duration // since this owner knows that its turn has come
-	// TimeLeft is what is left of its job's objective, below 0 once that has passed; 0 for tasks that last, which have none.
+	Waited   time.Duration // since this owner knows that the step may start
+	// TimeLeft is the time until its job's objective, negative once that has passed; 0 for long-running
+	// tasks, which have none.
 	TimeLeft time.Duration
-	// WaitReason is for what (StepView.Waits).
+	// WaitReason says what it waits for (StepView.WaitReason).
 	WaitReason string
 }
 
-// DelayedSteps lists up to most steps of jobs of which nothing runs that have waited for a time at least while their pool is not well used, those first
-// that have waited longest. A job that is lost in a pool with room is one of them until then, so that logs tell its cause.
+// DelayedSteps lists steps of jobs without runs that have waited for some time while their pool is not
+// mostly used, those that have waited longest first. A job that is lost in a pool with room is listed until
+// then, so that the logs show the cause.
 func (p *Pool) DelayedSteps(least time.Duration, most int, now clock.Time) []DelayedStep {
 	var waiting []*step
 	for s := range p.waitingSteps.all() {
@@ -44,7 +46,7 @@
 	return out
 }
 
-// timeLeft is what is left of the objective of a step's job; 0 for tasks that last.
+// timeLeft is the time until the objective of a step's job; 0 for long-running tasks.
 func (s *step) timeLeft(now clock.Time) time.Duration {
 	if s.spec.LongRunning {
 		return 0
--- a/pkg/dispatch/evacuation.go
+++ b/pkg/dispatch/evacuation.go
@@ -6,7 +6,8 @@
 	"foldarch.dev/foldarch/pkg/clock"
 )
 
-// SetEvacuatedHalls takes in which data halls are being evacuated. Their workers get no new task, and what runs there goes on to its end.
+// SetEvacuatedHalls sets the data halls that are being evacuated. Their workers get no new tasks; what runs
+// there continues to its end.
 func (p *Pool) SetEvacuatedHalls(halls []string) {
 	for _, hall := range halls {
 		if !slices.Contains(p.evacuatedHalls, hall) {
@@ -28,18 +29,20 @@
 	return slices.Contains(p.evacuatedHalls, w.info.Zone)
 }
 
-// isLeaving says that a worker gets nothing new, since it drains, has drained, or its hall is being evacuated.
+// isLeaving reports whether a worker gets no new tasks since it drains, is retired, or is in a hall that is
+// being evacuated.
 func (w *worker) isLeaving() bool {
 	return w.info.Draining || w.retired || w.evacuated
 }
 
-// IsStartObsolete says that a start which was decided a little ago must not be sent any more, since its worker is leaving by now.
+// IsStartObsolete reports whether a start that was decided earlier must not be sent any more, since its
+// worker is leaving by now.
 func (p *Pool) IsStartObsolete(o StartOrder) bool {
 	w, ok := p.workers[o.Worker]
 	return ok && w.isLeaving()
 }
 
-// CancelUnsentStart takes in that a start was not sent, and that its worker has no part in that.
+// CancelUnsentStart cancels a start that was not sent, through no fault of its worker.
 func (p *Pool) CancelUnsentStart(o StartOrder, now clock.Time) {
 	w, ok := p.workers[o.Worker]
 	if !ok {
@@ -51,7 +54,7 @@
 	}
 }
 
-// evacuatedWorkerCount counts the workers of a pool that wait for their hall to be taken back.
+// evacuatedWorkerCount counts the workers of a pool that get no tasks since their hall is evacuated.
 func (p *Pool) evacuatedWorkerCount(pool string) int {
 	n := 0
 	for _, w := range p.workers {
--- a/pkg/dispatch/expected_ends.go
+++ b/pkg/dispatch/expected_ends.go
@@ -8,13 +8,13 @@
 	"foldarch.dev/foldarch/pkg/runend"
 )
 
-// timeLeft is how long a run is expected to go on, by its progress or, before there is any, by the
-// estimate that came with its job. A run that should have ended is expected to end at once.
+// timeLeft is how long a run is expected to continue, by its progress or, before there is any, by the
+// estimate that came with its job. It is 0 for a run that is overdue.
 func (r *run) timeLeft(now clock.Time) time.Duration {
 	return max(r.expectedTimeLeft(now), 0)
 }
 
-// expectedTimeLeft is left for a run that should not have ended yet, and below 0 for one that should have.
+// expectedTimeLeft is like timeLeft, but negative for an overdue run.
 func (r *run) expectedTimeLeft(now clock.Time) time.Duration {
 	s := r.task.step
 	switch {
@@ -28,7 +28,7 @@
 	return r.progress.TimeLeft(s.spec.Estimate, r.runningSince, now)
 }
 
-// freeWithin is what a worker is expected to have free after a time.
+// freeWithin returns the resources that a worker is expected to have free after a time.
 func (w *worker) freeWithin(within time.Duration, now clock.Time) cell.Resources {
 	free := w.free()
 	for _, r := range w.runs {
@@ -40,7 +40,7 @@
 }
 
 // timeUntilRoom is how long it is expected to take until a worker has room for one more task of a step;
-// runend.Never when it never has.
+// runend.Never when it never will.
 func (w *worker) timeUntilRoom(s *step, now clock.Time) time.Duration {
 	need, free := s.spec.Need(), w.free()
 	if need.Fits(free) {
--- a/pkg/dispatch/explain.go
+++ b/pkg/dispatch/explain.go
@@ -9,28 +9,29 @@
 	"foldarch.dev/foldarch/pkg/job"
 )
 
-// Explanation tells what the owner knows of a job and why its tasks wait.
+// Explanation is what the owner knows of a job, and why its tasks wait.
 type Explanation struct {
 	Job   job.ID    `json:"job"`
 	State job.State `json:"state"`
 	Queue string    `json:"queue,omitempty"`
-	// Customer names whose job it is.
+	// Customer is the name of the job's customer.
 	Customer string     `json:"customer,omitempty"`
 	Blocked  string     `json:"blocked,omitempty"`
 	Steps    []StepView `json:"steps,omitempty"`
 }
 
-// StepView is one step of one time of a job.
+// StepView is one step of one occurrence of a job.
 type StepView struct {
 	Step  string `json:"step"`
 	Done  int    `json:"done"`
 	Count int    `json:"count"`
-	// LeftMs is what is left of the objective, below 0 once that has passed; 0 for tasks that last, which have none.
+	// LeftMs is the time until the job's objective, negative once that has passed; 0 for long-running tasks,
+	// which have none.
 	LeftMs     int64     `json:"left_ms"`
 	WaitReason string    `json:"waits,omitempty"`
 	Runs       []RunView `json:"runs,omitempty"`
 	Failures   int       `json:"failures,omitempty"`
-	// Crashes are those of workers in a row that are counted against tasks.
+	// Crashes counts the consecutive worker crashes that are held against its tasks.
 	Crashes int `json:"crashes,omitempty"`
 }
 
@@ -43,12 +44,12 @@
 	State   string `json:"state"`
 }
 
-// blockedJobReason is what a job waits for that a former owner may have started.
+// blockedJobReason is shown for a job that a previous owner may have started.
 const blockedJobReason = "runs of a former owner are still looked for"
 
 var runStateNames = [...]string{"starting", "unsettled", "running", "being stored"}
 
-// Explain tells what is known of a job; ok is false when nothing is.
+// Explain returns what is known of a job; ok is false when nothing is.
 func (p *Pool) Explain(id job.ID, now clock.Time) (e Explanation, ok bool) {
 	state, holder, ok := p.JobState(id)
 	e = Explanation{Job: id, State: state, Customer: holder}
@@ -81,7 +82,7 @@
 	return v
 }
 
-// waitReason tells what the waiting tasks of a step wait for; empty when none waits.
+// waitReason says what the waiting tasks of a step wait for; it is empty when none waits.
 func (p *Pool) waitReason(s *step, now clock.Time) string {
 	switch {
 	case s.finished():
@@ -118,7 +119,7 @@
 	return waits
 }
 
-// quotaWaitReason tells what the quota of a step's customer lacks, and what else than runs counts against it.
+// quotaWaitReason says what the quota of a step's customer lacks, and what counts against it besides runs.
 func (p *Pool) quotaWaitReason(s *step) string {
 	a := s.occurrence.job.account
 	waits := fmt.Sprintf("its customer's quota: %s runs, and %s may", a.Used(), a.Customer().Quota)
@@ -143,8 +144,8 @@
 	return waits
 }
 
-// gangRoomText tells how many members of a gang have room and tickets at this moment; empty for other steps, and while
-// nothing is known.
+// gangRoomText says how many members of a gang have room and tickets at present. It is empty for other
+// steps, and while no worker is known to be allowed.
 func (p *Pool) gangRoomText(s *step, now clock.Time) string {
 	if !s.spec.Gang || len(s.advice.allowed) == 0 {
 		return ""
@@ -155,7 +156,7 @@
 		len(s.tasks), allowed, len(s.advice.allowed), withTickets)
 }
 
-// totalFit is how many more tasks of a step some workers have room for.
+// totalFit returns how many more tasks of a step some workers have room for.
 func totalFit(s *step, workers []*worker) int {
 	room := 0
 	for _, w := range workers {
--- a/pkg/dispatch/gang.go
+++ b/pkg/dispatch/gang.go
@@ -6,20 +6,20 @@
 	"foldarch.dev/foldarch/pkg/clock"
 )
 
-// gang is the state of a step whose tasks work only together. All members of a run have the
-// same number.
+// gang is the state of a step whose tasks only work together. All members of one run of the gang have the
+// same run number.
 type gang struct {
 	runNumber int        // of the last run
-	broken    bool       // the last run can't go on; its members are being stopped
+	broken    bool       // the last run can't continue; its members are being stopped
 	startedAt clock.Time // of the last run
 }
 
-// gangCompletionTimeout is how long after the start of a run a member that was not started may be
-// sent again. The others wait for it, for as long as the platform lets them.
+// gangCompletionTimeout is how long after the start of a gang's run its missing members may still be
+// started. The members that run wait for the others, for as long as the platform lets them.
 const gangCompletionTimeout = 1200 * time.Millisecond
 
-// breakGang gives up the present run of a gang: what runs is stopped, and the next run
-// starts when nothing of this one is left.
+// breakGang gives up the current run of a gang: its members are stopped, and the next run starts when none
+// of them is left.
 func (p *Pool) breakGang(s *step) {
 	s.gang.broken = true
 	for i := range s.tasks {
@@ -27,7 +27,7 @@
 	}
 }
 
-// stopRunOrGang stops a run; with a gang, all its members.
+// stopRunOrGang stops a run; if it belongs to a gang, it stops all members.
 func (p *Pool) stopRunOrGang(r *run) {
 	if s := r.task.step; s.spec.Gang {
 		p.breakGang(s)
@@ -36,7 +36,7 @@
 	p.stopRun(r)
 }
 
-// stopPartialGangs stops the gangs of a job of which former owners have started some members only.
+// stopPartialGangs stops the gangs of a job of which previous owners have started only some members.
 func (p *Pool) stopPartialGangs(j *jobState) {
 	for s := range j.steps() {
 		if s.spec.Gang && s.isPartialGang() {
@@ -45,18 +45,19 @@
 	}
 }
 
-// partial says that some members of a gang run and others do not.
+// isPartialGang reports whether only some members of a gang run.
 func (s *step) isPartialGang() bool {
 	return s.runningTasks > 0 && s.runningTasks < len(s.tasks) && !s.finished()
 }
 
-// missing says that a run goes on of which some members have to be sent again.
+// hasMissingMembers reports whether the current run of a gang continues and some of its members have to be
+// started again.
 func (s *step) hasMissingMembers() bool {
 	return s.spec.Gang && !s.gang.broken && s.isPartialGang()
 }
 
-// startMissingMembers sends the members again that were not started, under the run's number, or
-// gives the run up when that takes too long.
+// startMissingMembers starts the members that do not run, under the run number of the others, or gives the
+// gang's run up when that takes too long.
 func (p *Pool) startMissingMembers(s *step, candidates []*worker, now clock.Time, out *Actions) {
 	if now.Sub(s.gang.startedAt) > gangCompletionTimeout {
 		p.breakGang(s)
@@ -76,7 +77,7 @@
 	}
 }
 
-// gangCheckpoint is a checkpoint from which all members may go on.
+// gangCheckpoint returns a checkpoint from which all members may continue; empty when there is none.
 func (s *step) gangCheckpoint() string {
 	for i := range s.tasks {
 		if c := s.tasks[i].checkpoint; c != "" {
--- a/pkg/dispatch/gang_promotion.go
+++ b/pkg/dispatch/gang_promotion.go
@@ -10,39 +10,41 @@
 	"foldarch.dev/foldarch/pkg/clock"
 )
 
-// A gang takes its customer's quota as a whole, and other steps take it task by task, so that a gang which holds
-// nothing waits as long as smaller steps come, with however little in use. That is why the gang that has waited longest
-// of each customer has its turn before all other steps of a plan: what it lacks of the quota is kept for it until it
-// starts, whatever its end is still worth, and calls for advice are made for it meanwhile, so that it starts as soon as
-// there is enough. In a pool that is well used gangs take their turns like others: room is scarce there.
-
-// gangPromotions are the gangs that go first.
+// gangPromotions are the gangs that are promoted, that is, placed before all other steps of a plan.
+//
+// A gang takes its share of its customer's quota all at once, and other steps take theirs task by task. So a
+// gang without runs would wait for as long as smaller steps of its customer keep arriving, however little of
+// the quota is in use. That is why the gang of each customer that has waited longest is promoted: what it
+// lacks of the quota is reserved for it until it starts, whatever its end is still worth, and advice calls
+// are made for it meanwhile, so that it starts as soon as the quota suffices. In a mostly used pool gangs
+// keep their rank, since room is scarce there.
 type gangPromotions struct {
 	promotions []gangPromotion // by when the gangs' jobs were accepted
 	updatedAt  clock.Time
 }
 
-// gangPromotion is the time in which a gang goes first.
+// gangPromotion is one promoted gang, and since when it has been promoted.
 type gangPromotion struct {
 	gang  *step
 	since clock.Time
 }
 
 const (
-	// promotionInterval is the least time between two choices of the gangs that go first: one goes over all steps that
-	// wait.
+	// promotionInterval is the least time between two selections of the promoted gangs: a selection goes
+	// over all waiting steps.
 	promotionInterval = 100 * time.Millisecond
-	// maxGangWait is how long a gang may starve while smaller steps of its customer use the quota.
+	// maxGangWait is how long a gang may wait while smaller steps of its customer use the quota.
 	maxGangWait = 6 * time.Second
-	// A gang goes first for maxPromotionTime at most, and then not for as long: one for which no workers have room must not
-	// keep its customer's quota unused.
+	// maxPromotionTime is how long a gang stays promoted at most, and for how long it is not promoted after
+	// that: a gang for which no workers have room must not keep its customer's quota unused.
 	maxPromotionTime = 10 * time.Second
-	// maxReservedLowQuotaTime is how long a quota may be little used while a gang is kept room in it that lacks workers or tickets, too: the
-	// platform allows 3 s, of which a call for advice and a start take up to 0.9 s.
+	// maxReservedLowQuotaTime is how long little of a quota may be in use while it is reserved for a gang
+	// that lacks workers or tickets, too. The platform allows 3 s, of which an advice call and a start take
+	// up to 0.9 s.
 	maxReservedLowQuotaTime = 2 * time.Second
 )
 
-// placePromotedGangs has those gangs have their turns that go first.
+// placePromotedGangs places the promoted gangs, which go before all other steps.
 func (p *Pool) placePromotedGangs(reserved *reservations, now clock.Time, out *Actions) {
 	if p.waitingSteps.gangCount == 0 && len(p.promotedGangs.promotions) == 0 || p.isDisabled(GangPromotion) {
 		return
@@ -61,14 +63,14 @@
 	}
 }
 
-// placePromotedGang starts a gang that goes first, or keeps what it lacks of its customer's quota.
+// placePromotedGang starts a promoted gang, or reserves for it what it lacks of its customer's quota.
 func (p *Pool) placePromotedGang(s *step, reserved *reservations, now clock.Time, out *Actions) {
 	if s.awaitsProbe(now) {
 		return
 	}
 	longAtOnce := p.maxLongCalls() + extraLongCalls
 	if p.awaitsQuota(s) {
-		longAtOnce = p.advice.advisers.Count() / 2 // these calls bring no start at once, so others go beside them
+		longAtOnce = p.advice.advisers.Count() / 2 // no start follows at once, so others get advisers too
 		p.preemptForQuota(s, reserved, now)
 	} else {
 		s.awaitsLowQuotaSince = 0
@@ -86,8 +88,8 @@
 	}
 }
 
-// mayReserveQuota says whether a gang that goes first is kept room in its customer's quota. One that lacks workers or tickets is not kept any when little of the quota
-// has been used for too long.
+// mayReserveQuota reports whether quota is reserved for a promoted gang. A gang that lacks workers or
+// tickets gets none once little of the quota has been in use for too long.
 func (p *Pool) mayReserveQuota(s *step, reserved *reservations, now clock.Time) bool {
 	a := s.occurrence.job.account
 	if a.Used().DominantShare(a.Customer().Quota) >= lowQuotaShare {
@@ -100,8 +102,8 @@
 	return now.Sub(s.lowQuotaSince) < maxReservedLowQuotaTime || p.gangWorkers(s, p.gangCandidates(s, reserved, now)) != nil
 }
 
-// updatePromotions chooses the gangs that go first: of each customer the one whose job was accepted first, of those that
-// starve.
+// updatePromotions selects the gangs to promote: for each customer, of the gangs that have waited too long,
+// the one whose job was accepted first.
 func (p *Pool) updatePromotions(now clock.Time) {
 	since := p.clearPromotions(now)
 	oldest := map[*account.Account]*step{}
@@ -125,7 +127,7 @@
 	slices.SortFunc(p.promotedGangs.promotions, func(a, b gangPromotion) int { return compareAccepted(a.gang, b.gang) })
 }
 
-// clearPromotions ends all turns, and returns since when the gangs have gone first that may do so again at once.
+// clearPromotions ends all promotions, and returns the start of each one that may continue at once.
 func (p *Pool) clearPromotions(now clock.Time) map[*step]clock.Time {
 	since := make(map[*step]clock.Time, len(p.promotedGangs.promotions))
 	for _, t := range p.promotedGangs.promotions {
@@ -140,8 +142,8 @@
 	return since
 }
 
-// mayPromote says that a step is a gang that starves in a pool that is not well used, and that its customer has a quota
-// that is not well used either, or it has starved for long.
+// mayPromote reports whether a step is a gang that has waited too long in a pool that is not mostly used. If
+// its customer's quota is mostly used, it must have waited longer (maxGangWait).
 func (p *Pool) mayPromote(s *step, now clock.Time) bool {
 	if !s.spec.Gang || s.hasMissingMembers() || now < s.promotionNotBefore || p.poolLoad(s.occurrence.job.queue.Pool).isMostlyUsed() {
 		return false
--- a/pkg/dispatch/incarnations.go
+++ b/pkg/dispatch/incarnations.go
@@ -8,46 +8,52 @@
 	"foldarch.dev/foldarch/pkg/clock"
 )
 
-// A worker may start again under its name. What is kept of the life before is void then, since the two have
-// different IDs (WorkerID). What follows is what that does not settle:
-//
-//   - Which life is there now? A list tells: lives don't overlap, so all that were known when its hold was sent, and of which
-//     there was a sign before, have ended. Entries may be old, so they end none.
-//   - An order names the worker only, so the next life may have taken one that was meant for the life before. A
-//     start that no list of the life before has shown goes over to the next one, where it counts until a hold with a higher
-//     token has been answered.
-//   - Numbers of ends mean nothing to the next life, which would forget ends that nobody has read (mayAcknowledge).
-
 const (
-	// ackWithin is how long ago a worker may have answered to be told which ends are noted while starts are on their way to it. A
-	// process takes longer to end, to start again, to take a start and to end it.
+	// ackWithin is how recently a worker must have answered for ends to be acknowledged to it while starts
+	// are on their way to it. A process takes longer to end, restart, receive a start and finish it.
 	ackWithin = 500 * time.Millisecond
-	// maxEndedIncarnations is how many lives that have ended are remembered of a worker: one a second for as long as an
-	// entry may be late (30 s, the longest wait of a watch).
+	// maxEndedIncarnations is how many ended incarnations of a worker are remembered: one a second for as
+	// long as an entry may be late (30 s, the longest wait of a store watch).
 	maxEndedIncarnations = 30
 )
 
-// workerHistory is what is kept of a worker over all its lives.
+// workerHistory is what is kept of a worker's name over all its incarnations.
+//
+// A worker may restart under its name. State of the earlier incarnation does not apply to the later one,
+// since the two have different IDs (WorkerID). That alone leaves these questions open:
+//
+//   - Which incarnation is there now? Reports tell: incarnations don't overlap, so when one of them reports,
+//     all others that were known when its poll was sent have ended. Entries may be out of date, so they end
+//     no incarnation.
+//   - An order names only the worker, so the next incarnation may have received one that was meant for the
+//     incarnation before. A start that no report of the earlier incarnation has shown is transferred to the
+//     next one, where it counts until a poll with a higher token has been answered.
+//   - The numbers of run ends mean nothing to the next incarnation: an acknowledgement meant for the earlier
+//     one would make it forget ends that nobody has read (mayAcknowledge).
 type workerHistory struct {
 	name string
-	// token is the highest fencing token that any of them was given. They share it, since an order for one may reach the next.
+	// token is the highest fencing token that any incarnation was given. All share it, since an order for
+	// one may reach the next.
 	token int64
-	// lives are those that are known, also ended ones until they are forgotten.
+	// incarnations are the known ones, including ended ones until they are forgotten.
 	incarnations []*worker
-	// listed is the life whose entry stands in the store; empty for none.
+	// currentEntry is the incarnation whose entry is in the store; empty for none.
 	currentEntry WorkerID
-	// lastEntry is the life whose entry was read last, at lastEntryAt, whether it still stands or not.
+	// lastEntry is the incarnation whose entry was read last, at lastEntryAt, whether the entry still exists
+	// or not.
 	lastEntry   WorkerID
 	lastEntryAt clock.Time
-	// endedIncarnations are lives after which another one was heard of, the latest last, and forgotten those that were taken for
-	// gone without that: one that was only cut off for long comes back.
+	// endedIncarnations are those that were replaced by another one, the latest last. forgottenIncarnations
+	// are those that were taken for terminated without that: one that was only unreachable for a long time
+	// comes back.
 	endedIncarnations, forgottenIncarnations []WorkerID
-	// lateStartsExpireAt is until when a next life may carry out a start that is void on the one before; 0 for none.
+	// lateStartsExpireAt is until when a next incarnation may carry out a start that is invalidated for the
+	// one before; 0 for none.
 	lateStartsExpireAt clock.Time
-	cordoned           bool // the machine is being emptied
+	cordoned           bool // the worker gets no new tasks, since its host is to be taken down
 }
 
-// historyOf returns what is kept of a worker by name.
+// historyOf returns the history of a worker's name, and creates it if needed.
 func (p *Pool) historyOf(name string) *workerHistory {
 	l, ok := p.workerHistories[name]
 	if !ok {
@@ -57,11 +63,11 @@
 	return l
 }
 
-// addWorker takes in a life of a worker that was not known.
+// addWorker adds an incarnation of a worker that was not known.
 func (p *Pool) addWorker(info WorkerInfo, now clock.Time) *worker {
 	l := p.historyOf(info.ID.Name())
 	if len(l.incarnations)+len(l.endedIncarnations)+len(l.forgottenIncarnations) > 0 {
-		l.raiseToken(p.cfg.Token) // orders for another life may still be on their way
+		l.raiseToken(p.cfg.Token) // orders for another incarnation may still be on their way
 	}
 	if slices.Contains(l.forgottenIncarnations, info.ID) {
 		l.forgottenIncarnations = slices.DeleteFunc(l.forgottenIncarnations, func(id WorkerID) bool { return id == info.ID })
@@ -77,15 +83,16 @@
 	return w
 }
 
-// raiseToken makes the token higher than that of all orders that were given, so that those do nothing any more where the next one was taken.
-// An owner's own tokens begin at first.
+// raiseToken raises the token above that of all earlier orders, so that these are rejected wherever an order
+// with the new token has arrived. first is the lowest of this owner's tokens.
 func (l *workerHistory) raiseToken(first int64) {
 	if l.token < first+MaxTokenIncrements {
 		l.token++
 	}
 }
 
-// removeOtherEntries takes in that only one life has an entry.
+// removeOtherEntries marks the entries of all other incarnations as removed, since a worker has only one
+// entry.
 func (l *workerHistory) removeOtherEntries(now clock.Time) {
 	for _, w := range l.incarnations {
 		if w.info.ID != l.currentEntry {
@@ -95,7 +102,7 @@
 	}
 }
 
-// lastAnsweredPollSentAt is when the last hold was sent to the worker that a life of it has answered.
+// lastAnsweredPollSentAt is when the latest poll that an incarnation of the worker has answered was sent.
 func (l *workerHistory) lastAnsweredPollSentAt() clock.Time {
 	var at clock.Time
 	for _, w := range l.incarnations {
@@ -104,7 +111,7 @@
 	return at
 }
 
-// usable says whether a life of the worker may be given a task now.
+// isUsable reports whether an incarnation of the worker may be given a task now.
 func (l *workerHistory) isUsable(now clock.Time) bool {
 	return slices.ContainsFunc(l.incarnations, func(w *worker) bool { return w.isUsable(now) })
 }
@@ -120,8 +127,8 @@
 	}
 }
 
-// forget drops a life that has gone. One that comes back would take the first token of this owner for that of a former one,
-// so the token stays.
+// forget drops a terminated incarnation. The history keeps the token: for an incarnation that comes back,
+// the first token of this owner would be that of a previous owner.
 func (l *workerHistory) forget(w *worker) {
 	l.incarnations = slices.DeleteFunc(l.incarnations, func(o *worker) bool { return o == w })
 	if !l.hasEnded(w.info.ID) {
@@ -129,15 +136,16 @@
 	}
 }
 
-// mayBeReplaced says that the entry of another life was read, and that this one has not answered a hold that was sent after that. It may
-// have ended.
+// mayBeReplaced reports whether this incarnation may have ended: the entry of another incarnation has been
+// read, and this one has answered no poll that was sent after that.
 func (w *worker) mayBeReplaced() bool {
 	l := w.history
 	return l.lastEntry != "" && l.lastEntry != w.info.ID && !l.hasEnded(l.lastEntry) && w.lastAnsweredPollSentAt <= l.lastEntryAt
 }
 
-// recordAnsweringIncarnation takes in which life has answered a hold with its lists, and ends those that were there before it: all that were known
-// when the hold was sent. It says whether the answer is of the life that was asked.
+// recordAnsweringIncarnation records which incarnation, by its start time, answered a poll with its report,
+// and ends all others that were known when the poll was sent. It reports whether the incarnation that was
+// polled has answered.
 func (p *Pool) recordAnsweringIncarnation(w *worker, h PollOrder, born int64, now clock.Time) bool {
 	x := w
 	if born != 0 && born != w.info.ID.StartedAt() {
@@ -154,28 +162,30 @@
 	return x == w
 }
 
-// otherIncarnation returns the life that has answered in place of the one that was asked; nil when it was taken for gone.
+// otherIncarnation returns the incarnation that answered instead of the one that was polled; nil when that
+// is known as terminated.
 func (p *Pool) otherIncarnation(w *worker, born int64, now clock.Time) *worker {
 	id := NewWorkerID(w.info.ID.Name(), born)
 	if x, known := p.workers[id]; known {
 		if x.terminated {
-			return nil // it is forgotten before it is taken in again
+			return nil // it is forgotten before it can be added again
 		}
 		return x
 	}
-	// Nobody has read its entry, so it gets no tasks: it may hold less than the life before.
+	// Its entry has not been read, so it gets no tasks: it may have less capacity than the incarnation
+	// before.
 	x := p.addWorker(WorkerInfo{ID: id, Pool: w.info.Pool, Address: w.info.Address, Zone: w.info.Zone, Rack: w.info.Rack}, now)
 	p.newWorkers = append(p.newWorkers, x)
 	p.needsPlan = true
 	return x
 }
 
-// replaceIncarnation takes in that a life has ended and the next one is there.
+// replaceIncarnation ends an incarnation that was replaced by the next one.
 func (p *Pool) replaceIncarnation(former, next *worker, now clock.Time) {
 	former.terminated = true
 	p.markRosterChanged(former.info.ID)
 	former.clearOrphans()
-	former.history.raiseToken(p.cfg.Token) // a hold for the former life that comes late would have the next one forget its ends
+	former.history.raiseToken(p.cfg.Token) // a late poll for the previous one must not ack ends of the next
 	former.history.markEnded(former)
 	former.markEntryRemoved(now)
 	carried := former.transferableRuns()
@@ -190,7 +200,7 @@
 	next.inheritedLeasesUntil = max(next.inheritedLeasesUntil, now.Add(leaseExpiryTime(p.cfg.WorkerMaxLease)))
 }
 
-// transferableRuns lists the runs whose starts may have been taken by the next life.
+// transferableRuns lists the runs whose starts the next incarnation may have received.
 func (w *worker) transferableRuns() []*run {
 	var out []*run
 	for _, r := range sortedRuns(w) {
@@ -201,14 +211,17 @@
 	return out
 }
 
-// isTransferable says that the next life of its worker may have taken a run's start: no list has shown the run, or one that may tell of an earlier start. An answer
-// to a start does not tell whose it is.
+// isTransferable reports whether the next incarnation of its worker may have received a run's start: no
+// report has shown the run, or the report may have shown an earlier run of the same number. The answer to a
+// start does not tell which incarnation gave it.
 func (r *run) isTransferable() bool {
 	return (!r.reported || r.startCall.ReusesNumber) && !r.adopted && r.state != runStoring
 }
 
-// transferredRunExpiresAt is until when the next life of a worker may run what was meant for the one before: it may take the order late, and the
-// deadline in it is by another clock. It is 0 for a run that can't have gone over, and for one that was answered and whose worker is not thought to have ended.
+// transferredRunExpiresAt is until when the next incarnation of a worker may run what was meant for this
+// one: it may receive the order late, and the deadline in the order is by another clock. It is 0 for a run
+// that can't have been transferred, and for one whose worker is not known to be replaced, unless its start
+// may be carried out later (mayStartLater).
 func (p *Pool) transferredRunExpiresAt(w *worker, r *run) clock.Time {
 	kept := r.mayStartLater()
 	if !r.isTransferable() || !w.mayBeReplaced() && !kept {
@@ -221,12 +234,14 @@
 	return sentBy.Add(maxOrderDelay + leaseExpiryTime(p.cfg.WorkerMaxLease))
 }
 
-// mayStartLater says that a worker may hold back the start of a run for its next life, though none is known of. A task that lasts does not wait for that.
+// mayStartLater reports whether the unanswered start of a run may be delayed and reach the next incarnation
+// of its worker, though none is known. It is false for long-running tasks, which do not wait for that.
 func (r *run) mayStartLater() bool {
 	return r.startCall.Stored && r.mayStartLate() && !r.task.step.spec.LongRunning
 }
 
-// transferRun counts a run on the next life of its worker, until that has told whether it is there.
+// transferRun counts a run on the next incarnation of its worker, until that has reported whether it has the
+// run.
 func (p *Pool) transferRun(r *run, next *worker) {
 	p.removeRun(r)
 	r.worker, r.state, r.stopSentAt = next, runUnconfirmed, 0
@@ -234,8 +249,9 @@
 	p.storeUnansweredStart(r, p.now)
 }
 
-// mayAcknowledge says whether a worker may be told which of its ends are noted. The next life, if it is there by now, would forget as many of its own:
-// ends of starts that were meant for this one, those that are void included.
+// mayAcknowledge reports whether ends may be acknowledged to a worker. If the next incarnation is there by
+// now, it would forget its own ends of the same numbers: the ends of starts that were meant for this
+// incarnation, including invalidated ones.
 func (w *worker) mayAcknowledge(now clock.Time) bool {
 	return now.Sub(w.lastAnsweredAt) < ackWithin || len(w.transferableRuns()) == 0 && now >= w.history.lateStartsExpireAt
 }
--- a/pkg/dispatch/jobs.go
+++ b/pkg/dispatch/jobs.go
@@ -18,46 +18,48 @@
 	"foldarch.dev/foldarch/pkg/worth"
 )
 
-// jobState is what the owner knows of a job that has not ended, or whose end is not
-// committed, or of which something may still run.
+// jobState is what the owner knows of a job that has not ended, or whose end is not committed, or of which
+// something may still run.
 type jobState struct {
 	job                   job.Job
 	queue                 queue.Queue
-	customer              customer.Customer // as the record has it; without a name for nobody's job
-	occurrences           []*occurrence     // index is the number of the time; nil before it is due
+	customer              customer.Customer // as in the record; without a name for no customer
+	occurrences           []*occurrence     // by their number; nil before an occurrence is due
 	nextOccurrence        int
-	term                  int64                    // of the owner for which it was accepted
+	term                  int64                    // of the owner for which the job was accepted
 	recordedWorkers       takeover.RecordedWorkers // workers to which its starts may go
-	acceptedInCurrentTerm bool                     // no former owner can have started it
-	blockedByTakeover     bool                     // former owners may have runs of it that are not known (takeover.go)
-	// runsPresumedEnded says that what it may have run unknown was presumed to have ended by time.
+	acceptedInCurrentTerm bool                     // no previous owner can have started it
+	blockedByTakeover     bool                     // previous owners may have unknown runs of it (takeover.go)
+	// runsPresumedEnded says that unknown runs of previous owners were presumed to have ended since enough
+	// time has passed.
 	runsPresumedEnded bool
 	began             bool
 	outcome           job.State        // final, not necessarily committed; empty before
 	committed         bool             // the outcome is in the store
 	hasStoredProgress bool             // the store has progress of the job
-	overShare         bool             // its customer sends more than its weight (updateOverShare)
-	suspected         bool             // there was a crash against one of its tasks
+	overShare         bool             // its customer sends more than its weight allows (updateOverShare)
+	suspected         bool             // a crash was counted against one of its tasks
 	runningTasks      int              // how many of its tasks have a run
-	account           *account.Account // of its customer; nil for nobody's job
-	// remainingUse is what may run for its done tasks on workers that a new owner has not heard of, as the store tells.
+	account           *account.Account // of its customer; nil without a customer
+	// remainingUse are the resources that, by the store, may be in use for its done tasks on workers that
+	// have not reported to this owner.
 	remainingUse   cell.Resources
 	accepted       clock.Time
-	chainEstimates []time.Duration // for each step, the estimated time from its start to the end
+	chainEstimates []time.Duration // for each step, the estimated time from its start to the job's end
 }
 
-// occurrence is one time of a job's steps.
+// occurrence is one occurrence of a job: all its steps, once.
 type occurrence struct {
 	job   *jobState
 	index int
 	steps []*step
-	// objective is when all tasks should have ended, and latest the last moment at which
-	// that is still worth something.
+	// objective is when all tasks should have ended, and latestUsefulEnd the last moment at which their end
+	// is still worth something.
 	objective       clock.Time
 	latestUsefulEnd clock.Time
 }
 
-// steps goes through the steps of all times that are open.
+// steps iterates over the steps of all occurrences that have been created.
 func (j *jobState) steps() iter.Seq[*step] {
 	return func(yield func(*step) bool) {
 		for _, t := range j.occurrences {
@@ -82,41 +84,44 @@
 	return true
 }
 
-// step is one step of one time.
+// step is one step of one occurrence.
 type step struct {
 	seq          int64 // in the order of creation
-	waitingSeq   int64 // among the waiting steps; 0 when it is not one of them
+	waitingSeq   int64 // position in the waiting queue; 0 when the step is not in it
 	occurrence   *occurrence
 	index        int
 	spec         *job.Step
 	tasks        []task
-	doneTasks    int // how many of them are done
-	idleTasks    int // how many are not done and have no run
-	runningTasks int // how many have a run
+	doneTasks    int // how many tasks are done
+	idleTasks    int // how many tasks are not done and have no run
+	runningTasks int // how many tasks have a run
 	// countedRuns is how many runs of its tasks count against workers and quotas.
 	countedRuns   int
 	advice        stepAdvice
 	gang          gang
-	runsPerWorker map[WorkerID]int // runs of the step on a worker; only with MaxPerWorker
-	chainEstimate time.Duration    // estimate of the work from this step to the end of the job
-	// readySince is when tasks of it began to wait for a worker.
+	runsPerWorker map[WorkerID]int // runs of the step on each worker; only with MaxPerWorker
+	chainEstimate time.Duration    // estimated time from the start of this step to the end of the job
+	// readySince is since when its tasks have been waiting for workers.
 	readySince clock.Time
-	// survived says that a worker has survived a start of one of its tasks, and claimed is the worker that was claimed last
-	// for those that are to be started alone.
+	// hasSurvivedStart says that a worker has survived a start of one of its tasks, and claimedWorker is the
+	// worker that was last claimed for tasks that have to be started alone.
 	hasSurvivedStart bool
 	claimedWorker    *worker
-	// preemptNotBefore is when runs may be stopped again to make room for it.
+	// preemptNotBefore is the earliest time at which runs may be stopped again to make room for it.
 	preemptNotBefore clock.Time
 	reservation      stepReservation
-	// gangReservation are the workers of which a gang holds the first ones, with those that other steps hold.
+	// gangReservation are the workers that may run a gang, those with room soonest first; the first ones
+	// that are not reserved for other steps are reserved for the gang.
 	gangReservation stepReservation
-	// promoted says that it is a gang that has its turn before all other steps; it has none before promotionNotBefore.
+	// promoted says that the step is a gang that goes before all other steps; it is not promoted before
+	// promotionNotBefore.
 	promoted           bool
 	promotionNotBefore clock.Time
-	// awaitsLowQuotaSince is since when its customer's quota has been little used while it goes first and waits for it; 0 for
-	// never.
+	// lowQuotaWaitSince is since when little of its customer's quota has been in use while the step is
+	// promoted and waits for the quota; 0 for not at all.
 	awaitsLowQuotaSince clock.Time
-	// lowQuotaSince is since when the quota has been little used while it goes first, whatever it waits for; 0 for never.
+	// lowQuotaSince is since when little of the quota has been in use while the step is promoted, whatever
+	// it waits for; 0 for not at all.
 	lowQuotaSince clock.Time
 }
 
@@ -126,53 +131,54 @@
 	index         int
 	done          bool
 	current       *run
-	failures      []int // numbers of the runs that failed; of a gang, at its task 0
-	lastRunNumber int   // highest number given or seen
-	lastEndedRun  int   // highest number whose end was taken in
+	failures      []int // numbers of the runs that failed; for a gang kept at its task 0
+	lastRunNumber int   // highest number assigned or reported
+	lastEndedRun  int   // highest number whose end was processed
 	checkpoint    string
-	crash         crash.TaskRecord     // what speaks against it
-	avoidedWorker WorkerID             // where it failed last
-	lateStarts    latestart.TaskStarts // starts of it that may be carried out by the next lives of their workers
+	crash         crash.TaskRecord     // crashes counted against it
+	avoidedWorker WorkerID             // where it last failed
+	lateStarts    latestart.TaskStarts // its starts that the next incarnations of their workers may carry out
 	notBefore     clock.Time
-	// presumedLost says that its last run is held for lost since its worker was silent.
+	// presumedLost says that its last run was presumed lost since its worker was silent.
 	presumedLost bool
 }
 
-// run is one start of a task.
+// run is one run of a task.
 type run struct {
 	task              *task
 	number            int
 	worker            *worker
 	token             int64
 	state             runState
-	startCall         latestart.StartCall // of its start
+	startCall         latestart.StartCall // the call that starts it
 	storedBeforeStart bool                // its start was in the store before it was ordered
-	checkpoint        string              // to begin from, while its start is being stored
+	checkpoint        string              // to resume from, while the start is being stored
 	runningSince      clock.Time
-	// startedAtWorkerClock is the worker's clock when it began, at the latest; 0 when that is not known.
+	// startedAtWorkerClock is the worker's clock when the run began, at the latest; 0 when that is not
+	// known.
 	startedAtWorkerClock int64
-	// adopted says that a report listed it first, some time after it began.
+	// adopted says that a report was the first to show it, some time after it began.
 	adopted bool
-	// survived says that the worker lived on after the start (crash.SurvivalTime).
+	// survived says that the worker stayed up for long enough after the start (crash.SurvivalTime).
 	survived      bool
 	progress      runend.Progress
 	reported      bool
-	reportedAt    clock.Time // by the last report
-	missedReports int        // reports in a row that did not list it
+	reportedAt    clock.Time // when the last report listed it
+	missedReports int        // consecutive reports that did not list it
 	stopRequested bool
 	stopSentAt    clock.Time
-	load          int  // as reported last
-	pace          int  // of a filler, in percent
-	paceOrdered   bool // an order for a pace was given
+	load          int  // as last reported
+	pace          int  // of a filler task, in percent
+	paceOrdered   bool // a pace was ordered
 }
 
 type runState int
 
 const (
 	runStarting    runState = iota // the order is on its way
-	runUnconfirmed                 // its answer was lost
+	runUnconfirmed                 // the answer to the order was lost
 	runActive
-	runStoring // it is ordered when the store has its start
+	runStoring // it is ordered once its start is in the store
 )
 
 func (t *task) id() job.TaskID {
@@ -183,14 +189,14 @@
 	return !t.done && t.current == nil
 }
 
-// setCurrent gives a task its run, or takes it away.
+// setCurrent sets the current run of a task; nil for none.
 func (t *task) setCurrent(r *run) {
 	t.removeFromCounts()
 	t.current = r
 	t.addToCounts()
 }
 
-// setDone takes in that a task is done.
+// setDone marks a task as done.
 func (t *task) setDone() {
 	if t.done {
 		return
@@ -201,7 +207,8 @@
 	t.addToCounts()
 }
 
-// count counts a task in the sums of its step and its job as it stands; uncount takes that back before a change.
+// addToCounts adds a task to the counts of its step and its job by its present state; removeFromCounts has
+// to be called before that state changes.
 func (t *task) addToCounts() {
 	t.adjustCounts(1)
 }
@@ -228,16 +235,17 @@
 	return s.doneTasks == len(s.tasks)
 }
 
-// typicalAdviceWorkers is how many workers a call for advice names in a job's objective.
+// typicalAdviceWorkers is how many workers an advice call is assumed to ask about when a job's objective is
+// calculated.
 const typicalAdviceWorkers = 30
 
-// setObjective gives a time its objective, counted from when it began to wait.
+// setObjective sets the objective of an occurrence, counted from when it began to wait.
 func (t *occurrence) setObjective(from clock.Time) {
 	q := &t.job.queue
 	t.objective, t.latestUsefulEnd = worth.Deadlines(from, slices.Max(t.job.chainEstimates), q.Extension, q.TargetLatency)
 }
 
-// occurrenceDueAt is when a time begins to wait, by the steady clock.
+// occurrenceDueAt is when an occurrence begins to wait, by the monotonic clock.
 func (p *Pool) occurrenceDueAt(j *jobState, k int, now clock.Time) clock.Time {
 	if j.job.Schedule.Repeat == 0 {
 		return j.accepted
@@ -245,7 +253,7 @@
 	return max(now.Add(j.job.Schedule.Due(k).Sub(p.cfg.WallClock())), j.accepted)
 }
 
-// chainEstimates returns for each step the estimated time from its start to the end of the job.
+// chainEstimates returns, for each step, the estimated time from its start to the end of the job.
 func chainEstimates(j *jobState) []time.Duration {
 	var call time.Duration
 	if j.queue.Advice != nil {
--- a/pkg/dispatch/late_starts.go
+++ b/pkg/dispatch/late_starts.go
@@ -8,13 +8,13 @@
 	"foldarch.dev/foldarch/pkg/latestart"
 )
 
-// Starts that the next life of their worker may carry out are kept in package latestart. Here stands which starts are of that kind, and what the store is told.
-
-// maxOrderDelay is how long after it was sent an order without an answer may be carried out.
+// maxOrderDelay is how long after it was sent an unanswered order may still be carried out.
 const maxOrderDelay = latestart.MaxDelay
 
-// addLateStart takes in that a start does nothing any more on the life that it was sent to. Its task is bound to a worker by name, or to none.
-// One that was answered was carried out, by whichever life, and so does not come again. One that was only listed was, too, unless it is a repeated one.
+// addLateStart records that a start is invalidated for the incarnation that it was sent to, so that only the
+// next one may still carry it out. Its task is bound to the worker named boundTo; empty for none. A start
+// that was answered has been carried out, by whichever incarnation, and is not carried out again. So has one
+// that was only reported, unless it reuses a number.
 func (p *Pool) addLateStart(r *run, boundTo string) {
 	if !r.mayStartLate() {
 		return
@@ -25,7 +25,7 @@
 	p.storeInvalidatedStart(r, sentBy)
 }
 
-// runNumbers are those of the runs of a task, or of its gang.
+// runNumbers returns the numbers of the runs of a task, or of its gang.
 func (t *task) runNumbers() latestart.RunNumbers {
 	n := latestart.RunNumbers{LastAssigned: t.lastRunNumber}
 	if t.step.spec.Gang {
@@ -38,7 +38,7 @@
 	return n
 }
 
-// nextRunNumberOn is the number of a task's next run, if that is on a worker.
+// nextRunNumberOn returns the number that a task's next run gets on a worker.
 func (p *Pool) nextRunNumberOn(t *task, w *worker) int {
 	if t.lateStarts.HasStarts() && t.lateStarts.ReusesNumberOn(w.history.name, t.runNumbers()) {
 		return t.lastRunNumber
@@ -46,7 +46,7 @@
 	return p.nextRunNumber(t.step.occurrence.job, t.lastRunNumber)
 }
 
-// nextGangRunNumber is the number of a gang's next run.
+// nextGangRunNumber returns the number of a gang's next run.
 func (p *Pool) nextGangRunNumber(s *step) int {
 	n := s.tasks[0].runNumbers()
 	for i := range s.tasks {
@@ -57,12 +57,13 @@
 	return p.nextRunNumber(s.occurrence.job, n.LastAssigned)
 }
 
-// isBlockedByLateStart says that a task does not start before a late start is over.
+// isBlockedByLateStart reports whether a task must not start before a late start has expired.
 func (t *task) isBlockedByLateStart() bool {
 	return t.lateStarts.HasStarts() && t.lateStarts.IsBlocked(t.runNumbers())
 }
 
-// logBlockingStarts tells, once for each late start, that a task that waits, or one of its gang, does not start before that is over.
+// logBlockingStarts logs, once for each late start, that a waiting task, or one of its gang, does not start
+// before that start has expired.
 func (p *Pool) logBlockingStarts(t *task) {
 	if t.step.occurrence.job.outcome != "" {
 		return
@@ -79,7 +80,8 @@
 	}
 }
 
-// blockedUntil is until when a step's waiting tasks all wait for late starts to be over, at the earliest; 0 when one of them doesn't.
+// blockedUntil is the earliest time until which late starts block all waiting tasks of a step; 0 when one of
+// the tasks is not blocked.
 func (s *step) blockedUntil() clock.Time {
 	if !s.tracksLateStarts() {
 		return 0
@@ -101,7 +103,7 @@
 	return until
 }
 
-// recordStartResult takes in how the call of a run's start ended.
+// recordStartResult records how the call of a run's start ended.
 func (p *Pool) recordStartResult(r *run, err error, now clock.Time) {
 	unanswered := err != nil && !isNotSent(err)
 	r.startCall.RecordResult(unanswered, now)
@@ -110,17 +112,20 @@
 	}
 }
 
-// mayStartLate says that the next life of its worker may carry out the start of a run late, beside or after another one.
+// mayStartLate reports whether the next incarnation of its worker may carry out the start of a run late, at
+// the same time as another run of the task or after it.
 func (r *run) mayStartLate() bool {
 	return r.worker.info.ID.StartedAt() != 0 && r.isTransferable() && (r.runningSince == 0 || r.startCall.ReusesNumber) && r.task.step.tracksLateStarts()
 }
 
-// tracksLateStarts says that late starts of a step's tasks do harm: they need no ticket, and the tasks may not run twice.
+// tracksLateStarts reports whether late starts of a step's tasks do harm: its starts need no ticket, which
+// the next incarnation would reject, and its tasks must not run twice.
 func (s *step) tracksLateStarts() bool {
 	return s.occurrence.job.queue.Advice == nil && !s.spec.Speculative
 }
 
-// expireLateStarts forgets the late starts of a task that are over, and lets a task that lasts go elsewhere when its worker can't be given it.
+// expireLateStarts forgets the expired late starts of a task. A long-running task may start elsewhere when
+// the worker that it is bound to is not usable.
 func (p *Pool) expireLateStarts(t *task, now clock.Time) {
 	if !t.lateStarts.HasStarts() {
 		return
@@ -132,17 +137,17 @@
 	}
 }
 
-// extendLateStarts takes in that a start may be carried out by the next life until a time.
+// extendLateStarts records that the next incarnation may carry out a start until a time.
 func (l *workerHistory) extendLateStarts(until clock.Time) {
 	l.lateStartsExpireAt = max(l.lateStartsExpireAt, until)
 }
 
-// lateStartsAllow says whether a task may be started on a worker as far as its late starts are concerned.
+// lateStartsAllow reports whether the late starts of a task allow it to start on a worker.
 func (t *task) lateStartsAllow(w *worker) bool {
 	return !t.lateStarts.HasStarts() || t.lateStarts.MayRunOn(w.history.name)
 }
 
-// hasBoundTasks says that tasks of a step are bound to workers.
+// hasBoundTasks reports whether tasks of a step are bound to workers.
 func (s *step) hasBoundTasks() bool {
 	for i := range s.tasks {
 		if s.tasks[i].lateStarts.IsBound() {
@@ -152,7 +157,9 @@
 	return false
 }
 
-// ackAllowedFrom is from when on ends of a task may be noted; 0 for any time. Of a job that is forgotten, or that a former owner has ended, the tasks are not known.
+// ackAllowedFrom is from when on ends of a task may be acknowledged; 0 for any time. For a job that is
+// forgotten, or that a previous owner has ended, the tasks are not known, so the time is that of the whole
+// job.
 func (p *Pool) ackAllowedFrom(id job.TaskID) clock.Time {
 	t := p.task(id)
 	if t == nil {
@@ -167,7 +174,8 @@
 	return from
 }
 
-// completionGroup lists the tasks that are done with a task: all of its gang, else itself.
+// completionGroup returns the tasks that are done at the same time as a task: its whole gang, otherwise the
+// task alone.
 func (t *task) completionGroup() []task {
 	if t.step.spec.Gang {
 		return t.step.tasks
@@ -186,7 +194,8 @@
 	return until
 }
 
-// delayAck keeps an end from being noted while a late start of its task, or of its gang, may be carried out.
+// delayAck delays the acknowledgement of an end while a late start of its task, or of its gang, may be
+// carried out.
 func (p *Pool) delayAck(w *worker, f FinishedRun, now clock.Time) {
 	if f.Reason != EndDone && f.Reason != EndFailed {
 		return
@@ -197,7 +206,8 @@
 	}
 }
 
-// otherStartExpiresAt is until when another start of an ended run's task, or of its gang, may be carried out late that is not known to be void; 0 without any.
+// otherStartExpiresAt is until when another start of an ended run's task, or of its gang, that is not known
+// to be invalidated may be carried out late; 0 without any.
 func (p *Pool) otherStartExpiresAt(f FinishedRun, now clock.Time) clock.Time {
 	t := p.task(f.Task)
 	if t == nil {
@@ -213,7 +223,8 @@
 	return until
 }
 
-// assignBoundMembers gives each member of a gang a worker where some are bound to theirs; nil when there is no room for all.
+// assignBoundMembers assigns a worker to each member of a gang of which some are bound to theirs; it returns
+// nil when there is no room for all.
 func assignBoundMembers(s *step, workers []*worker) []*worker {
 	names, room := make([]string, len(workers)), make([]int, len(workers))
 	for i, w := range workers {
@@ -230,7 +241,7 @@
 	return chosen
 }
 
-// storeUnansweredStart has the store be told of a start without an answer.
+// storeUnansweredStart schedules an unanswered start to be stored.
 func (p *Pool) storeUnansweredStart(r *run, sentBy clock.Time) {
 	if r.startCall.Stored || !r.mayStartLate() {
 		return
@@ -241,7 +252,8 @@
 	p.markProgressChanged(r.task)
 }
 
-// storeInvalidatedStart has the store be told of a start that does nothing any more on the life that it was sent to.
+// storeInvalidatedStart schedules a start to be stored as invalidated for the incarnation that it was sent
+// to.
 func (p *Pool) storeInvalidatedStart(r *run, sentBy clock.Time) {
 	p.storeUnansweredStart(r, sentBy)
 	if r.task.lateStarts.MarkInvalidated(r.number) {
@@ -249,21 +261,22 @@
 	}
 }
 
-// removeExecutedStart takes in that a worker has answered a start or lists its run. Members of a gang may have been sent again under the same number.
+// removeExecutedStart records that a worker has answered a start or reports its run. Late starts of gang
+// members are kept, since the members may have been started again under the same number.
 func (t *task) removeExecutedStart(number int) {
 	if !t.step.spec.Gang {
 		t.lateStarts.RemoveExecuted(number)
 	}
 }
 
-// unansweredStarts is what the store is told of the starts of a task that may be carried out yet.
+// unansweredStarts returns what the store has to keep of a task's starts that may still be carried out.
 func (p *Pool) unansweredStarts(t *task) []job.Unanswered {
 	t.lateStarts.RemoveUnanswered(func(sentBy time.Time) bool { return p.lateStartExpiry(sentBy, p.now) == 0 })
 	return t.lateStarts.Unanswered()
 }
 
-// lastUnansweredAt is when the last start of a job was sent that may come late, at the latest; zero without any. One whose call is not over counts: the store is
-// not told any more of what becomes of it.
+// lastUnansweredAt is when the last start of a job that may be carried out late was sent, at the latest;
+// zero without any. A start whose call is still pending counts, since its result is not stored any more.
 func (p *Pool) lastUnansweredAt(j *jobState) time.Time {
 	var last time.Time
 	for s := range j.steps() {
@@ -281,7 +294,7 @@
 	return last
 }
 
-// loadUnanswered takes in the starts of a task that former owners got no answer to.
+// loadUnanswered restores the starts of a task that previous owners got no answer to.
 func (p *Pool) loadUnanswered(t *task, starts []job.Unanswered) {
 	if !t.step.tracksLateStarts() {
 		return
@@ -296,7 +309,8 @@
 	p.logBlockingStarts(t)
 }
 
-// lateStartExpiry is until when a start may be carried out that was sent by a time of day, at this owner or a former one; 0 when that is over.
+// lateStartExpiry is until when a start may be carried out that this or a previous owner sent no later than
+// sentBy, a time of day; 0 when it has expired.
 func (p *Pool) lateStartExpiry(sentBy time.Time, now clock.Time) clock.Time {
 	return latestart.ExpiryOf(sentBy, p.cfg.WallClock(), maxWallClockSkew, now)
 }
--- a/pkg/dispatch/mechanism.go
+++ b/pkg/dispatch/mechanism.go
@@ -1,62 +1,64 @@
 package dispatch
 
-// Mechanism names a part of the policy that can be left out on its own, so that a test or a build for
-// trials can measure what it is worth (docs/design/policy.md). None keeps a task from running twice or a worker
-// from being given more than it holds; some keep jobs from waiting for too long.
+// Mechanism names a part of the scheduling policy that can be disabled on its own, so that a test or an
+// experimental build can measure what it is worth (docs/design/policy.md). No mechanism is needed to keep a
+// task from running twice or a worker from getting more than its capacity; some keep jobs from waiting too
+// long.
 type Mechanism string
 
-// The mechanisms.
+// The mechanisms that can be disabled.
 const (
-	// PriorityReservations hold workers for waiting steps from steps of lower priorities.
+	// PriorityReservations reserves workers for waiting steps against steps of lower priorities.
 	PriorityReservations Mechanism = "priority_reservations"
-	// GangReservations hold workers for gangs that wait for room on many of them.
+	// GangReservations reserves workers for gangs that wait for room on many of them.
 	GangReservations Mechanism = "gang_reservations"
-	// OverloadCheck has gangs hold nothing while more waits than the pool gets through soon.
+	// OverloadCheck lets gangs reserve no workers while more tasks wait than the pool can soon run.
 	OverloadCheck Mechanism = "overload_check"
 	// Preemption stops runs of lower priorities.
 	Preemption Mechanism = "preemption"
-	// CostBasedAdviceSize names as many workers in a call for advice as make the expected time of calls least.
-	// Without it a call names workers with room for what is needed at the queue's rate.
+	// CostBasedAdviceSize lets an advice call ask about as many workers as make the expected time of calls
+	// shortest. Without it, a call asks about workers with enough room for the need at the queue's rate of
+	// allowed workers.
 	CostBasedAdviceSize Mechanism = "naming_by_cost"
-	// AdviceOnFullWorkers also names workers without room in calls for advice.
+	// AdviceOnFullWorkers lets advice calls ask about workers without room, too.
 	AdviceOnFullWorkers Mechanism = "learning_full_workers"
-	// ExpectedRoom counts room that is expected by the time that a call for advice is answered.
+	// ExpectedRoom counts the room that is expected by the time an advice call is answered.
 	ExpectedRoom Mechanism = "expected_room"
-	// ReservedAdvisers keeps some processes free for short calls for advice.
+	// ReservedAdvisers keeps some advisers free for short calls.
 	ReservedAdvisers Mechanism = "spare_advisers"
-	// DelayedAdviceFirst makes calls for advice first for steps that have waited too long for one.
+	// DelayedAdviceFirst makes advice calls first for steps that have waited too long for one.
 	DelayedAdviceFirst Mechanism = "starving_first"
-	// DelayedAdviceInOrder has them wait for their turn in a pool that is well used.
+	// DelayedAdviceInOrder lets such steps wait for their turn in a mostly used pool.
 	DelayedAdviceInOrder Mechanism = "starving_take_turns"
-	// GangPromotion keeps a customer's quota for its gang that has starved longest.
+	// GangPromotion reserves a customer's quota for the gang of the customer that has waited longest.
 	GangPromotion Mechanism = "starving_gangs_first"
-	// ParallelAdvice makes several calls for advice for a step at once.
+	// ParallelAdvice makes several advice calls for a step at once.
 	ParallelAdvice Mechanism = "advice_in_parts"
-	// Suspension leaves out workers that fail in a row, or on which a run stands still.
+	// Suspension gives no tasks for a time to workers with consecutive failures or with a stuck run.
 	Suspension Mechanism = "suspension"
 	// Avoidance places a task away from the worker where it failed.
 	Avoidance Mechanism = "avoidance"
-	// StuckRunRestarts stops runs that stand still, so that their tasks start elsewhere.
+	// StuckRunRestarts stops stuck runs, so that their tasks start elsewhere.
 	StuckRunRestarts Mechanism = "stuck_moves"
-	// Pacing slows down tasks that fill what others leave when they disturb those that serve.
+	// Pacing slows down filler tasks that disturb tasks which serve.
 	Pacing Mechanism = "pacing"
-	// ParallelCommits writes commits of ends in several series at once.
+	// ParallelCommits writes several commits of run ends at once.
 	ParallelCommits Mechanism = "commit_lanes"
-	// PlanThrottling has plans follow each other more slowly the longer they take.
+	// PlanThrottling makes plans less frequent the longer they take.
 	PlanThrottling Mechanism = "plan_rests"
-	// CallLimit bounds the calls to workers that are begun and not over.
+	// CallLimit limits the number of pending calls to workers.
 	CallLimit Mechanism = "call_gate"
 )
 
-// Without says whether a mechanism is left out; nil leaves out none.
+// DisabledMechanisms reports whether a mechanism is disabled; nil disables none.
 type DisabledMechanisms func(Mechanism) bool
 
-// Contains says that a mechanism is left out.
+// Contains reports whether a mechanism is disabled.
 func (w DisabledMechanisms) Contains(m Mechanism) bool {
 	return w != nil && w(m)
 }
 
-// isDisabled says whether a mechanism is left out of the pool's policy.
+// isDisabled reports whether a mechanism is disabled in the pool's policy.
 func (p *Pool) isDisabled(m Mechanism) bool {
 	return p.cfg.Disabled.Contains(m)
 }
--- a/pkg/dispatch/model.go
+++ b/pkg/dispatch/model.go
@@ -14,15 +14,16 @@
 // ErrNotSent marks the failure of an order that certainly did not reach the worker.
 var ErrNotSent = errors.New("the order was not sent")
 
-// WorkerID names one life of a worker.
+// WorkerID identifies one incarnation of a worker.
 type WorkerID = workerid.ID
 
-// NewWorkerID returns the ID of the life of a worker that began at a time, in Unix ms; 0 when that is not told.
+// NewWorkerID returns the ID of a worker's incarnation that started at the given time in Unix ms; 0 when
+// that is not known.
 func NewWorkerID(name string, born int64) WorkerID {
 	return workerid.New(name, born)
 }
 
-// WorkerInfo is what a worker says of itself.
+// WorkerInfo is what a worker publishes about itself.
 type WorkerInfo struct {
 	ID       WorkerID
 	Pool     string
@@ -32,29 +33,30 @@
 	Labels   []string `json:",omitempty"`
 	Capacity cell.Resources
 	Draining bool `json:",omitempty"`
-	// Remaining is the least time that a draining worker has left; 0 when not told.
+	// Remaining is the least time that a draining worker has left; 0 when not known.
 	Remaining time.Duration `json:",omitempty"`
-	// Crashed says that the worker has gone, and that a later owner may not know under which starts.
+	// Crashed says that the worker has crashed, and that a later owner may not know under which starts.
 	Crashed bool `json:",omitempty"`
-	// Retired says that the worker gets no start any more, and that Jobs has every job that may have a run there. Only the roster tells it.
+	// Retired says that the worker gets no starts any more, and that Jobs lists every job that may have a
+	// run there. Only the roster has these two.
 	Retired bool     `json:",omitempty"`
 	Jobs    []job.ID `json:",omitempty"`
 }
 
-// Verdict is how a worker answered an order.
+// Verdict is the result of an order at a worker.
 type Verdict int
 
-// The verdicts.
+// The results of orders.
 const (
-	VerdictUnknown        Verdict = iota // the outcome is not known
+	VerdictUnknown        Verdict = iota // the result is not known
 	VerdictDone                          // carried out
 	VerdictFenced                        // the worker has seen a higher fencing token
-	VerdictOldRun                        // the run's number is not above an ended one
+	VerdictOldRun                        // the run's number is not above that of an ended run
 	VerdictDeadlinePassed                // the deadline has passed
 	VerdictNoRoom                        // the worker has no room
-	VerdictNoTicket                      // the ticket does not hold
+	VerdictNoTicket                      // the ticket is not valid
 	VerdictWrongWorker                   // a worker of another name answers at the address
-	VerdictUnhealthy                     // the worker does nothing at present
+	VerdictUnhealthy                     // the worker carries out no orders at present
 	VerdictOther                         // rejected for another reason
 )
 
@@ -70,13 +72,13 @@
 // Answer is a worker's answer to an order.
 type Answer struct {
 	Verdict Verdict
-	Clock   int64 // of the worker, in milliseconds; 0 when not told
+	Clock   int64 // of the worker, in milliseconds; 0 when not known
 }
 
-// EndReason is how a run ended.
+// EndReason says how a run ended.
 type EndReason int
 
-// The ends of runs.
+// The reasons for which runs end.
 const (
 	EndUnknown EndReason = iota
 	EndDone
@@ -84,46 +86,46 @@
 	EndStopped
 	EndLeaseExpired
 	EndGangBroken     // another member of the gang ended
-	EndGangIncomplete // the other members of the gang did not come
-	EndLost           // the life of the worker has ended, or its leases have lapsed unseen
+	EndGangIncomplete // other members of the gang were not started in time
+	EndLost           // the worker's incarnation has ended, or the lease expired unseen
 )
 
 var endReasonNames = [...]string{"unknown", "done", "failed", "stopped", "lapsed", "broken", "alone", "lost"}
 
-// String returns the end's name for logs.
+// String returns the reason's name for logs.
 func (e EndReason) String() string {
 	return endReasonNames[e]
 }
 
-// ActiveRun is a run that a worker lists as running.
+// ActiveRun is a run that a worker reports as running.
 type ActiveRun struct {
 	Task       job.TaskID
 	Run        int
 	Checkpoint string
 	Percent    int
-	// Load is the tail of the answer times in milliseconds for a task that serves, otherwise
-	// the processors in use in thousandths; 0 when not told.
+	// Load is, for a task that serves, the tail of its answer times in milliseconds, otherwise the
+	// processors in use in thousandths; 0 when not known.
 	Load int
 }
 
-// FinishedRun is an end that a worker lists.
+// FinishedRun is the end of a run as reported by a worker.
 type FinishedRun struct {
-	Number     int64 // rises within a life of the worker
+	Number     int64 // increases within an incarnation of the worker
 	Task       job.TaskID
 	Run        int
 	Reason     EndReason
 	Checkpoint string
 }
 
-// Report is what a worker lists in answer to a hold.
+// Report is what a worker lists in its answer to a poll.
 type Report struct {
-	// IncarnationStart is when the life began that reports (WorkerID.Born); 0 when that is not told.
+	// IncarnationStart is when the reporting incarnation started (WorkerID.StartedAt); 0 when not known.
 	IncarnationStart int64
 	Active           []ActiveRun
 	Finished         []FinishedRun
 	// Truncated says that the worker may have more ends than it lists at once.
 	Truncated bool
-	// UnparsableRuns counts the runs that are listed under names that can't be read.
+	// UnparsableRuns counts the listed runs whose names can't be parsed.
 	UnparsableRuns int
 }
 
@@ -155,23 +157,23 @@
 	Token   int64
 }
 
-// PaceOrder is an order to set a run to work at a share of its speed.
+// PaceOrder is an order to let a run work at a percentage of its speed.
 type PaceOrder struct {
 	StopOrder
 	Percent int
 }
 
-// Hold is an order to extend what runs on a worker and to report it.
+// PollOrder is an order to extend the leases of what runs on a worker and to report it.
 type PollOrder struct {
 	Worker   WorkerID
 	Address  netip.AddrPort
 	Token    int64
 	AckedEnd int64
-	Deadline int64      // on the worker's clock; 0 when it is not known yet
+	Deadline int64      // on the worker's clock; 0 when that is not known yet
 	SentAt   clock.Time // set by the caller of NewPoll
 }
 
-// AdviceCall is a call for advice on which workers may run a step.
+// AdviceCall is a call that asks which of some workers may run a step.
 type AdviceCall struct {
 	Number  int64
 	Step    job.StepID
@@ -186,20 +188,20 @@
 	Stops       []StopOrder
 	Paces       []PaceOrder
 	AdviceCalls []AdviceCall
-	// NewWorkers are workers that have to be asked from now on.
+	// NewWorkers are workers that have to be polled from now on.
 	NewWorkers []WorkerInfo
-	// FenceWorkers name workers that need a hold with a higher token at once.
+	// FenceWorkers are workers that need a poll with a higher token at once.
 	FenceWorkers []WorkerID
-	// ConfirmOwnership asks for a new confirmation of the ownership (Pool.Confirmed).
+	// ConfirmOwnership asks for a new confirmation of the ownership (Pool.RecordOwnershipConfirmed).
 	ConfirmOwnership bool
 }
 
-// Empty says that there is nothing to do.
+// IsEmpty reports whether there is nothing to do.
 func (a Actions) IsEmpty() bool {
 	return len(a.Starts)+len(a.Stops)+len(a.Paces)+len(a.AdviceCalls)+len(a.NewWorkers)+len(a.FenceWorkers) == 0 && !a.ConfirmOwnership
 }
 
-// Event is a line for the log: something that was decided or learned.
+// Event is a log line about something that was decided or learned.
 type Event struct {
 	Name   string
 	Task   job.TaskID
@@ -207,6 +209,6 @@
 	Run    int
 	Worker WorkerID
 	Detail string
-	// Customer names whose job it is about.
+	// Customer is the name of the customer whose job the event is about.
 	Customer string
 }
