--- a/pkg/dispatch/advice.go
+++ b/pkg/dispatch/advice.go
@@ -107,37 +107,37 @@
 }
 
 // requestAdvice makes advice calls for a step if the step needs them and advisers are free. A long call is
-// made only while fewer than longAtOnce long calls are pending.
-func (p *Pool) requestAdvice(s *step, longAtOnce int, reserved *reservations, now clock.Time, out *Actions) {
+// made only while fewer than maxLong long calls are pending.
+func (p *Pool) requestAdvice(s *step, maxLong int, reserved *reservations, now clock.Time, out *Actions) {
 	if !p.mayRequestAdvice(s, now) {
 		return
 	}
-	calls := p.callPrices(s.occurrence.job.queue.Advice, longAtOnce)
-	if calls.MaxCalls <= 0 {
+	prices := p.callPrices(s.occurrence.job.queue.Advice, maxLong)
+	if prices.MaxCalls <= 0 {
 		return
 	}
 	p.advice.selectionsInPlan++
-	names := p.selectAdviceTargets(s, reserved, calls, now)
-	if len(names.workers) == 0 {
-		s.advice.notBefore = now.Add(time.Duration(noTargetBackoff * float64(calls.Cost.Of(1))))
+	targets := p.selectAdviceTargets(s, reserved, prices, now)
+	if len(targets.workers) == 0 {
+		s.advice.notBefore = now.Add(time.Duration(noTargetBackoff * float64(prices.Cost.Of(1))))
 		return
 	}
-	for _, part := range names.split(calls.WorkersPerCall(len(names.workers))) {
-		p.sendAdviceCall(s, part, longAtOnce, now, out)
+	for _, part := range targets.split(prices.WorkersPerCall(len(targets.workers))) {
+		p.sendAdviceCall(s, part, maxLong, now, out)
 	}
 }
 
-// callPrices returns the present prices of advice calls for a queue, given that at most longAtOnce long
+// callPrices returns the present prices of advice calls for a queue, given that at most maxLong long
 // calls may be pending.
-func (p *Pool) callPrices(cost *queue.AdviceCost, longAtOnce int) advice.Prices {
-	most := p.advice.advisers.IdleCount()
+func (p *Pool) callPrices(cost *queue.AdviceCost, maxLong int) advice.Prices {
+	maxCalls := p.advice.advisers.IdleCount()
 	if cost.Of(1) >= longCallThreshold {
-		most = min(most, longAtOnce-p.advice.longCalls)
+		maxCalls = min(maxCalls, maxLong-p.advice.longCalls)
 	}
 	if p.isDisabled(ParallelAdvice) {
-		most = min(most, 1)
+		maxCalls = min(maxCalls, 1)
 	}
-	return advice.Prices{Cost: *cost, FreeAdvisers: max(p.advice.advisers.IdleCount(), 1), MaxCalls: most}
+	return advice.Prices{Cost: *cost, FreeAdvisers: max(p.advice.advisers.IdleCount(), 1), MaxCalls: maxCalls}
 }
 
 // mayRequestAdvice reports whether this plan may make advice calls for a step.
@@ -147,16 +147,16 @@
 }
 
 // sendAdviceCall makes one call that asks about some workers, if an adviser is free for it.
-func (p *Pool) sendAdviceCall(s *step, names adviceTargets, longAtOnce int, now clock.Time, out *Actions) {
+func (p *Pool) sendAdviceCall(s *step, targets adviceTargets, maxLong int, now clock.Time, out *Actions) {
 	q := s.occurrence.job.queue
-	cost := q.Advice.Of(len(names.workers))
-	if p.advice.advisers.IdleCount() == 0 || cost >= longCallThreshold && p.advice.longCalls >= longAtOnce {
+	cost := q.Advice.Of(len(targets.workers))
+	if p.advice.advisers.IdleCount() == 0 || cost >= longCallThreshold && p.advice.longCalls >= maxLong {
 		return
 	}
 	adviser := p.advice.advisers.Acquire()
 	p.advice.last++
-	a := &pendingAdviceCall{step: s, knownTargets: names.known, targetsWithRoom: names.withRoom, sentAt: now, expectedTime: cost, queue: q.Name, call: AdviceCall{
-		Number: p.advice.last, Step: s.id(), Workers: names.workers, Adviser: adviser, Timeout: cost + cost/2 + adviceTimeoutMargin,
+	a := &pendingAdviceCall{step: s, knownTargets: targets.known, targetsWithRoom: targets.withRoom, sentAt: now, expectedTime: cost, queue: q.Name, call: AdviceCall{
+		Number: p.advice.last, Step: s.id(), Workers: targets.workers, Adviser: adviser, Timeout: cost + cost/2 + adviceTimeoutMargin,
 	}}
 	a.result = advice.CallResult{Customer: s.occurrence.job.customer.Name, ValueClass: s.valueClass(now), Delayed: p.isAdviceDelayed(s, now)}
 	if cost >= longCallThreshold {
@@ -164,12 +164,12 @@
 	}
 	p.advice.pendingCalls[a.call.Number] = a
 	s.advice.pendingCalls = append(s.advice.pendingCalls, a)
-	for _, id := range names.workers {
+	for _, id := range targets.workers {
 		p.recordWorker(s.occurrence.job, id)
 	}
 	out.AdviceCalls = append(out.AdviceCalls, a.call)
 	p.cfg.Log(Event{Name: "advice_asked", Task: job.TaskID{StepID: s.id()}, Detail: fmt.Sprintf(
-		"workers=%d known=%d waiting=%d by=%s cost_ms=%d", len(names.workers), names.known, s.waitingTasks(), adviser, cost.Milliseconds())})
+		"workers=%d known=%d waiting=%d by=%s cost_ms=%d", len(targets.workers), targets.known, s.waitingTasks(), adviser, cost.Milliseconds())})
 }
 
 // HandleAdviceAnswer processes the answer to an advice call, or its failure.
@@ -207,35 +207,35 @@
 // updateAllowedRate updates a queue's rate of allowed workers from the targets that were asked about for the
 // first time.
 func (p *Pool) updateAllowedRate(a *pendingAdviceCall, tickets []Ticket) {
-	fresh := a.call.Workers[a.knownTargets:]
-	if len(fresh) == 0 {
+	newTargets := a.call.Workers[a.knownTargets:]
+	if len(newTargets) == 0 {
 		return
 	}
 	allowed := 0
 	for _, t := range tickets {
-		if slices.Contains(fresh, t.Worker) {
+		if slices.Contains(newTargets, t.Worker) {
 			allowed++
 		}
 	}
-	p.advice.rates.Learn(a.queue, allowed, len(fresh))
+	p.advice.rates.Learn(a.queue, allowed, len(newTargets))
 }
 
 // recordAdvice records the answer to a call for the step, and returns the tickets that it issued.
 func (s *step) recordAdvice(a *pendingAdviceCall, tickets []Ticket) *ticketIssue {
-	i := &ticketIssue{step: s, expireAt: a.sentAt.Add(a.expectedTime + s.occurrence.job.queue.Advice.Validity)}
+	issue := &ticketIssue{step: s, expireAt: a.sentAt.Add(a.expectedTime + s.occurrence.job.queue.Advice.Validity)}
 	uses := make(map[WorkerID]*ticketUse, len(tickets))
 	for _, t := range tickets {
 		u := &ticketUse{worker: t.Worker, selectedForRoom: slices.Index(a.call.Workers, t.Worker) < a.targetsWithRoom}
 		uses[t.Worker] = u
-		i.tickets = append(i.tickets, u)
+		issue.tickets = append(issue.tickets, u)
 	}
-	s.advice.recordAnswer(a, tickets, i.expireAt, uses)
-	return i
+	s.advice.recordAnswer(a, tickets, issue.expireAt, uses)
+	return issue
 }
 
 // recordAnswer records which workers a call allowed and denied. Tickets are valid from when the advice
 // service issued them, which was not before the expected duration of the call had passed.
-func (s *stepAdvice) recordAnswer(a *pendingAdviceCall, tickets []Ticket, until clock.Time, uses map[WorkerID]*ticketUse) {
+func (s *stepAdvice) recordAnswer(a *pendingAdviceCall, tickets []Ticket, expireAt clock.Time, uses map[WorkerID]*ticketUse) {
 	if s.allowed == nil {
 		s.allowed, s.denied, s.tickets = map[WorkerID]bool{}, map[WorkerID]bool{}, map[WorkerID]ticket{}
 	}
@@ -245,8 +245,8 @@
 	for _, t := range tickets {
 		delete(s.denied, t.Worker)
 		s.allowed[t.Worker] = true
-		s.tickets[t.Worker] = ticket{t.Text, until, uses[t.Worker]}
-		s.ticketsExpireAt = max(s.ticketsExpireAt, until)
+		s.tickets[t.Worker] = ticket{t.Text, expireAt, uses[t.Worker]}
+		s.ticketsExpireAt = max(s.ticketsExpireAt, expireAt)
 	}
 }
 
--- a/pkg/dispatch/advice_targets.go
+++ b/pkg/dispatch/advice_targets.go
@@ -28,11 +28,11 @@
 }
 
 // split divides the targets into parts of at most size workers, one for each call.
-func (n adviceTargets) split(size int) []adviceTargets {
+func (t adviceTargets) split(size int) []adviceTargets {
 	var out []adviceTargets
-	for part := range slices.Chunk(n.workers, size) {
-		out = append(out, adviceTargets{part, min(n.known, len(part)), min(n.withRoom, len(part))})
-		n.known, n.withRoom = max(n.known-len(part), 0), max(n.withRoom-len(part), 0)
+	for part := range slices.Chunk(t.workers, size) {
+		out = append(out, adviceTargets{part, min(t.known, len(part)), min(t.withRoom, len(part))})
+		t.known, t.withRoom = max(t.known-len(part), 0), max(t.withRoom-len(part), 0)
 	}
 	return out
 }
@@ -40,40 +40,40 @@
 // selectAdviceTargets selects the workers to ask about in calls that are made at the same time: those known
 // to be allowed whose tickets have expired, as many others as make the total time of the calls for the step
 // shortest (advice.Prices), and some without room, so that no later call has to ask about them.
-func (p *Pool) selectAdviceTargets(s *step, reserved *reservations, calls advice.Prices, now clock.Time) adviceTargets {
+func (p *Pool) selectAdviceTargets(s *step, reserved *reservations, prices advice.Prices, now clock.Time) adviceTargets {
 	waiting := p.startableTasks(s)
 	if s.promoted {
 		waiting = s.waitingTasks() // it needs tickets by the time its customer's quota has room
 	}
-	known, covered := p.allowedWithoutTickets(s, reserved, calls, now)
+	known, covered := p.allowedWithoutTickets(s, reserved, prices, now)
 	need := float64(waiting - covered)
 	if need <= 0 {
 		return adviceTargets{}
 	}
-	enough := sufficientRoomFactor * need / p.advice.rates.Of(s.occurrence.job.queue.Name)
-	others, full := p.workersWithUnknownAdvice(s, reserved, enough, s.spec.Gang || waiting > maxSmallStepTasks, now)
+	enoughRoom := sufficientRoomFactor * need / p.advice.rates.Of(s.occurrence.job.queue.Name)
+	others, full := p.workersWithUnknownAdvice(s, reserved, enoughRoom, s.spec.Gang || waiting > maxSmallStepTasks, now)
 	if s.spec.Gang && totalRoom(known)+totalRoom(others) < need {
 		known, others = nil, nil // there is no room for all members, whichever workers are allowed
 	}
-	workers, need := selectKnownTargets(known, need*targetRoomMargin, calls.MaxWorkers())
+	workers, need := selectKnownTargets(known, need*targetRoomMargin, prices.MaxWorkers())
 	nKnown := len(workers)
-	n, suffices := p.otherTargetCount(s, others, need, calls, nKnown)
+	n, suffices := p.otherTargetCount(s, others, need, prices, nKnown)
 	for _, o := range others[:n] {
 		workers = append(workers, o.worker.info.ID)
 	}
-	roomy := len(workers)
+	withRoom := len(workers)
 	workers = append(workers, p.selectFullTargets(s, full, suffices, advice.MaxWorkersPerCall-len(workers), now)...)
-	return adviceTargets{workers, nKnown, roomy}
+	return adviceTargets{workers, nKnown, withRoom}
 }
 
 // otherTargetCount returns how many of the other workers, taken in their order, the calls should ask about
 // beside the known ones, and the probability that they suffice.
-func (p *Pool) otherTargetCount(s *step, others []workerRoom, need float64, calls advice.Prices, known int) (n int, suffices float64) {
+func (p *Pool) otherTargetCount(s *step, others []workerRoom, need float64, prices advice.Prices, known int) (n int, suffices float64) {
 	rate := p.advice.rates.Of(s.occurrence.job.queue.Name)
 	if p.isDisabled(CostBasedAdviceSize) {
-		return advice.SufficientCount(roomPerWorker(others), need/rate, calls.MaxWorkers()-known), 1
+		return advice.SufficientCount(roomPerWorker(others), need/rate, prices.MaxWorkers()-known), 1
 	}
-	return calls.CheapestCount(roomPerWorker(others), need, rate, known)
+	return prices.CheapestCount(roomPerWorker(others), need, rate, known)
 }
 
 // selectFullTargets selects workers without room, those first that are expected to have room soonest.
@@ -81,7 +81,7 @@
 // one is needed. That is why the time added for these workers is limited to the fixed cost times the
 // probability that this call does not suffice. It selects none when the workers known to be allowed have
 // enough room when empty.
-func (p *Pool) selectFullTargets(s *step, full []*worker, suffices float64, most int, now clock.Time) []WorkerID {
+func (p *Pool) selectFullTargets(s *step, full []*worker, suffices float64, maxTargets int, now clock.Time) []WorkerID {
 	if p.isDisabled(AdviceOnFullWorkers) {
 		return nil
 	}
@@ -98,7 +98,7 @@
 	}
 	var out []WorkerID
 	for _, w := range sortByTimeUntilRoom(s, full, now) {
-		if missing <= 0 || len(out) >= most || budget < q.Advice.PerWorker {
+		if missing <= 0 || len(out) >= maxTargets || budget < q.Advice.PerWorker {
 			break
 		}
 		out = append(out, w.info.ID)
@@ -162,8 +162,8 @@
 // allowedWithoutTickets lists the workers with room that are known to be allowed and whose tickets expire
 // too soon, those with most room first, and counts the tasks for which the workers with valid tickets have
 // room.
-func (p *Pool) allowedWithoutTickets(s *step, reserved *reservations, calls advice.Prices, now clock.Time) (known []workerRoom, covered int) {
-	usedBy := minTicketExpiry(s, calls, now)
+func (p *Pool) allowedWithoutTickets(s *step, reserved *reservations, prices advice.Prices, now clock.Time) (known []workerRoom, covered int) {
+	minExpiry := minTicketExpiry(s, prices, now)
 	for id := range s.advice.allowed {
 		w, ok := p.workers[id]
 		if !ok || !p.isEligible(s, w, now) {
@@ -172,7 +172,7 @@
 		room := p.expectedRoom(s, w, reserved, now)
 		switch {
 		case room == 0:
-		case usedBy < s.advice.tickets[id].expiresAt:
+		case minExpiry < s.advice.tickets[id].expiresAt:
 			covered += room
 		default:
 			known = append(known, workerRoom{w, room})
@@ -193,9 +193,9 @@
 // workersWithUnknownAdvice lists the workers of which it is not known whether they may run the step: those
 // with room, and up to advice.MaxWorkersPerCall full ones. Each call starts at another worker, so that steps
 // that ask at the same time get different targets; with byRoom, the workers with most room come first.
-// Expected room is considered only when the room available now is less than enough tasks, since computing it
+// Expected room is considered only when the room available now is less than enoughRoom tasks, since computing it
 // goes over all runs.
-func (p *Pool) workersWithUnknownAdvice(s *step, reserved *reservations, enough float64, byRoom bool, now clock.Time) (others []workerRoom, full []*worker) {
+func (p *Pool) workersWithUnknownAdvice(s *step, reserved *reservations, enoughRoom float64, byRoom bool, now clock.Time) (others []workerRoom, full []*worker) {
 	p.advice.targetOffset += targetOffsetStep
 	workers, first := p.usableWorkersFrom(s.occurrence.job.queue.Pool, p.advice.targetOffset, now)
 	for i := range workers {
@@ -212,7 +212,7 @@
 			break
 		}
 	}
-	if totalRoom(others) < enough {
+	if totalRoom(others) < enoughRoom {
 		others, full = p.addExpectedRoom(s, others, full, reserved, now)
 	}
 	if byRoom {
@@ -223,38 +223,38 @@
 
 // addExpectedRoom moves workers that are expected to have room from full to others.
 func (p *Pool) addExpectedRoom(s *step, others []workerRoom, full []*worker, reserved *reservations, now clock.Time) ([]workerRoom, []*worker) {
-	still := full[:0]
+	remaining := full[:0]
 	for _, w := range full {
 		if room := p.expectedRoom(s, w, reserved, now); room > 0 {
 			others = append(others, workerRoom{w, room})
 		} else {
-			still = append(still, w)
+			remaining = append(remaining, w)
 		}
 	}
-	return others, still
+	return others, remaining
 }
 
 // minTicketExpiry is when a ticket must still be valid to be of use together with the tickets of the calls
 // that are made now. Members of a gang start together, so only after the answers; other tasks start at once.
-func minTicketExpiry(s *step, calls advice.Prices, now clock.Time) clock.Time {
-	by := now.Add(minTicketValidity)
+func minTicketExpiry(s *step, prices advice.Prices, now clock.Time) clock.Time {
+	expiry := now.Add(minTicketValidity)
 	if s.spec.Gang {
-		by = by.Add(calls.CallTime(max(typicalAdviceWorkers, len(s.tasks))))
+		expiry = expiry.Add(prices.CallTime(max(typicalAdviceWorkers, len(s.tasks))))
 	}
-	return by
+	return expiry
 }
 
-// selectKnownTargets selects at most most workers, until their room suffices, and returns the room that is
+// selectKnownTargets selects at most maxTargets workers, until their room suffices, and returns the room that is
 // still needed.
-func selectKnownTargets(known []workerRoom, need float64, most int) (named []WorkerID, left float64) {
+func selectKnownTargets(known []workerRoom, need float64, maxTargets int) (targets []WorkerID, remaining float64) {
 	for _, k := range known {
-		if need <= 0 || len(named) >= most {
+		if need <= 0 || len(targets) >= maxTargets {
 			break
 		}
-		named = append(named, k.worker.info.ID)
+		targets = append(targets, k.worker.info.ID)
 		need -= float64(k.room)
 	}
-	return named, need
+	return targets, need
 }
 
 // roomPerWorker returns the room of each worker, in the same order.
@@ -269,15 +269,15 @@
 // sortByRoom sorts workers by their room, largest first, and keeps the order of equal ones. It is a counting
 // sort, since few different values occur.
 func sortByRoom(workers []workerRoom) []workerRoom {
-	most := 0
+	maxRoom := 0
 	for _, w := range workers {
-		most = max(most, w.room)
+		maxRoom = max(maxRoom, w.room)
 	}
-	ends := make([]int, most+1) // where the workers with a given room end in the result
+	ends := make([]int, maxRoom+1) // where the workers with a given room end in the result
 	for _, w := range workers {
 		ends[w.room]++
 	}
-	for room := most - 1; room >= 0; room-- {
+	for room := maxRoom - 1; room >= 0; room-- {
 		ends[room] += ends[room+1]
 	}
 	out := make([]workerRoom, len(workers))
--- a/pkg/dispatch/cordon.go
+++ b/pkg/dispatch/cordon.go
@@ -37,7 +37,7 @@
 	for _, r := range sortedRuns(w) {
 		lasting := r.task.step.spec.LongRunning
 		if (force || lasting) && r.state == runActive && !r.stopRequested && r.task.step.toleratesAbsenceOf(r.task) {
-			p.restartElsewhere(r, "its machine goes into upkeep")
+			p.restartElsewhere(r, "its worker is being vacated for host maintenance")
 		}
 	}
 	return len(w.runs) == 0 && w.orphanRuns == 0 && len(w.deferredEnds) == 0
--- a/pkg/dispatch/crash.go
+++ b/pkg/dispatch/crash.go
@@ -92,8 +92,8 @@
 		if r.state != runActive && !r.storedBeforeStart && w.liveness().MayPrecede(r.startCall.OrderedAt) {
 			continue
 		}
-		soon := r.state == runActive && !r.adopted && crash.IsInCrashWindow(r.startedAtWorkerClock, w.clock)
-		out = append(out, crash.Start{Task: id, Run: r.number, InCrashWindow: soon})
+		inCrashWindow := r.state == runActive && !r.adopted && crash.IsInCrashWindow(r.startedAtWorkerClock, w.clock)
+		out = append(out, crash.Start{Task: id, Run: r.number, InCrashWindow: inCrashWindow})
 	}
 	return out
 }
--- a/pkg/dispatch/customer_limits.go
+++ b/pkg/dispatch/customer_limits.go
@@ -38,30 +38,30 @@
 
 // customerDemands sums up what each customer has waiting and running.
 func (p *Pool) customerDemands() []admission.Demand {
-	sums := map[string]map[string]*queueTotals{} // by customer and queue
-	beyond := map[string]bool{}
+	totals := map[string]map[string]*queueTotals{} // by customer and queue
+	customersOverShare := map[string]bool{}
 	for _, j := range p.jobs {
 		if j.account == nil || j.outcome != "" {
 			continue
 		}
 		name, q := j.customer.Name, &j.queue
-		if sums[name] == nil {
-			sums[name] = map[string]*queueTotals{}
+		if totals[name] == nil {
+			totals[name] = map[string]*queueTotals{}
 		}
-		w := sums[name][q.Name]
+		w := totals[name][q.Name]
 		if w == nil {
 			w = &queueTotals{demand: admission.QueueDemand{Queue: q.Name, Pool: q.Pool, Priority: q.Priority}}
-			sums[name][q.Name] = w
+			totals[name][q.Name] = w
 		}
 		if w.addJob(j) && j.overShare {
-			beyond[name] = true
+			customersOverShare[name] = true
 		}
 	}
 	var out []admission.Demand
-	for _, name := range slices.Sorted(maps.Keys(sums)) {
-		d := admission.Demand{Customer: name, Weight: p.accounts[name].Customer().Weight, OverShare: beyond[name]}
-		for _, queueName := range slices.Sorted(maps.Keys(sums[name])) {
-			w := sums[name][queueName]
+	for _, name := range slices.Sorted(maps.Keys(totals)) {
+		d := admission.Demand{Customer: name, Weight: p.accounts[name].Customer().Weight, OverShare: customersOverShare[name]}
+		for _, queueName := range slices.Sorted(maps.Keys(totals[name])) {
+			w := totals[name][queueName]
 			d.Queues = append(d.Queues, w.toDemand(p.poolLoad(w.demand.Pool).capacity))
 		}
 		out = append(out, d)
--- a/pkg/dispatch/delayed_advice.go
+++ b/pkg/dispatch/delayed_advice.go
@@ -27,19 +27,19 @@
 	if p.advice.advisers.IdleCount() == 0 || p.isDisabled(DelayedAdviceFirst) {
 		return
 	}
-	var starving delayedAdviceHeap
+	var delayed delayedAdviceHeap
 	for i, e := range ordered {
 		s := e.step
 		if s.promoted {
 			continue // its calls were made when it was placed
 		}
 		if now.Sub(s.awaitsAdviceSince()) > adviceDelayLimit && p.mayRequestAdvice(s, now) && p.isAdviceDelayed(s, now) && !p.isBlockedByTakeover(s.occurrence.job) && !p.awaitsQuota(s) {
-			starving = append(starving, delayedAdviceStep{s, s.responseRatio(now), i})
+			delayed = append(delayed, delayedAdviceStep{s, s.responseRatio(now), i})
 		}
 	}
-	heap.Init(&starving)
-	for len(starving) > 0 && p.advice.advisers.IdleCount() > 0 {
-		s := heap.Pop(&starving).(delayedAdviceStep).step
+	heap.Init(&delayed)
+	for len(delayed) > 0 && p.advice.advisers.IdleCount() > 0 {
+		s := heap.Pop(&delayed).(delayedAdviceStep).step
 		p.requestAdvice(s, p.maxLongCalls()+extraLongCalls, reserved, now, out)
 	}
 }
--- a/pkg/dispatch/delayed_steps.go
+++ b/pkg/dispatch/delayed_steps.go
@@ -21,14 +21,14 @@
 	WaitReason string
 }
 
-// DelayedSteps lists steps of jobs without runs that have waited for some time while their pool is not
+// DelayedSteps lists up to maxSteps steps of jobs without runs that have waited for minWait while their pool is not
 // mostly used, those that have waited longest first. A job that is lost in a pool with room is listed until
 // then, so that the logs show the cause.
-func (p *Pool) DelayedSteps(least time.Duration, most int, now clock.Time) []DelayedStep {
+func (p *Pool) DelayedSteps(minWait time.Duration, maxSteps int, now clock.Time) []DelayedStep {
 	var waiting []*step
 	for s := range p.waitingSteps.all() {
 		j := s.occurrence.job
-		if now.Sub(s.readySince) >= least && !j.hasRuns() && !p.poolLoad(j.queue.Pool).isMostlyUsed() {
+		if now.Sub(s.readySince) >= minWait && !j.hasRuns() && !p.poolLoad(j.queue.Pool).isMostlyUsed() {
 			waiting = append(waiting, s)
 		}
 	}
@@ -36,12 +36,12 @@
 		return cmp.Or(cmp.Compare(a.readySince, b.readySince), cmp.Compare(a.seq, b.seq))
 	})
 	var out []DelayedStep
-	for _, s := range waiting[:min(len(waiting), most)] {
-		waits := p.waitReason(s, now)
+	for _, s := range waiting[:min(len(waiting), maxSteps)] {
+		reason := p.waitReason(s, now)
 		if p.isBlockedByTakeover(s.occurrence.job) {
-			waits = blockedJobReason
+			reason = blockedJobReason
 		}
-		out = append(out, DelayedStep{s.id(), s.occurrence.job.customer.Name, now.Sub(s.readySince), s.timeLeft(now), waits})
+		out = append(out, DelayedStep{s.id(), s.occurrence.job.customer.Name, now.Sub(s.readySince), s.timeLeft(now), reason})
 	}
 	return out
 }
--- a/pkg/dispatch/explain.go
+++ b/pkg/dispatch/explain.go
@@ -51,10 +51,10 @@
 
 // Explain returns what is known of a job; ok is false when nothing is.
 func (p *Pool) Explain(id job.ID, now clock.Time) (e Explanation, ok bool) {
-	state, holder, ok := p.JobState(id)
-	e = Explanation{Job: id, State: state, Customer: holder}
-	j, open := p.jobs[id]
-	if !open {
+	state, customerName, ok := p.JobState(id)
+	e = Explanation{Job: id, State: state, Customer: customerName}
+	j, known := p.jobs[id]
+	if !known {
 		return e, ok
 	}
 	e.Queue = j.queue.Name
@@ -112,36 +112,36 @@
 			eligible++
 		}
 	}
-	waits := fmt.Sprintf("room for %s on one of %d workers that may run it", s.spec.Need(), eligible)
+	reason := fmt.Sprintf("room for %s on one of %d workers that may run it", s.spec.Need(), eligible)
 	if n := p.evacuatedWorkerCount(s.occurrence.job.queue.Pool); n > 0 {
-		waits += fmt.Sprintf("; %d workers get nothing while halls are evacuated: %s", n, strings.Join(p.evacuatedHalls, ", "))
+		reason += fmt.Sprintf("; %d workers get nothing while halls are evacuated: %s", n, strings.Join(p.evacuatedHalls, ", "))
 	}
-	return waits
+	return reason
 }
 
 // quotaWaitReason says what the quota of a step's customer lacks, and what counts against it besides runs.
 func (p *Pool) quotaWaitReason(s *step) string {
 	a := s.occurrence.job.account
-	waits := fmt.Sprintf("its customer's quota: %s runs, and %s may", a.Used(), a.Customer().Quota)
+	reason := fmt.Sprintf("its customer's quota: %s runs, and %s may", a.Used(), a.Customer().Quota)
 	if s.spec.Gang {
-		waits += fmt.Sprintf("; %d members need %s at once", len(s.tasks), s.spec.AtOnce())
+		reason += fmt.Sprintf("; %d members need %s at once", len(s.tasks), s.spec.AtOnce())
 	}
 	if n := a.Unreported(); n != (cell.Resources{}) {
-		waits += fmt.Sprintf("; %s may run on workers that have not told", n)
+		reason += fmt.Sprintf("; %s may run on workers that have not told", n)
 	}
 	if n := a.ReservedFor(s.claimant()); n != (cell.Resources{}) {
-		waits += fmt.Sprintf("; %s is kept for it", n)
+		reason += fmt.Sprintf("; %s is kept for it", n)
 	}
 	if n := a.ReservedForOthers(s.claimant()); n != (cell.Resources{}) {
-		waits += fmt.Sprintf("; %s is kept for steps that go first", n)
+		reason += fmt.Sprintf("; %s is kept for steps that go first", n)
 	}
 	if n := a.Orphans(); n > 0 {
-		waits += fmt.Sprintf("; %d runs of its ended jobs are being stopped", n)
+		reason += fmt.Sprintf("; %d runs of its ended jobs are being stopped", n)
 	}
 	if p.HasUnknownJobs() {
-		waits += "; records of jobs that workers list are being read"
+		reason += "; records of jobs that workers list are being read"
 	}
-	return waits
+	return reason
 }
 
 // gangRoomText says how many members of a gang have room and tickets at present. It is empty for other
--- a/pkg/dispatch/gang_promotion.go
+++ b/pkg/dispatch/gang_promotion.go
@@ -52,13 +52,13 @@
 	if now.Sub(p.promotedGangs.updatedAt) >= promotionInterval {
 		p.updatePromotions(now)
 	}
-	p.promotedGangs.promotions = slices.DeleteFunc(p.promotedGangs.promotions, func(t gangPromotion) bool {
-		t.gang.promoted = t.gang.isQueued()
-		return !t.gang.promoted
+	p.promotedGangs.promotions = slices.DeleteFunc(p.promotedGangs.promotions, func(promotion gangPromotion) bool {
+		promotion.gang.promoted = promotion.gang.isQueued()
+		return !promotion.gang.promoted
 	})
-	for _, t := range p.promotedGangs.promotions {
-		if !p.isBlockedByTakeover(t.gang.occurrence.job) {
-			p.placePromotedGang(t.gang, reserved, now, out)
+	for _, promotion := range p.promotedGangs.promotions {
+		if !p.isBlockedByTakeover(promotion.gang.occurrence.job) {
+			p.placePromotedGang(promotion.gang, reserved, now, out)
 		}
 	}
 }
@@ -68,9 +68,9 @@
 	if s.awaitsProbe(now) {
 		return
 	}
-	longAtOnce := p.maxLongCalls() + extraLongCalls
+	maxLong := p.maxLongCalls() + extraLongCalls
 	if p.awaitsQuota(s) {
-		longAtOnce = p.advice.advisers.Count() / 2 // no start follows at once, so others get advisers too
+		maxLong = p.advice.advisers.Count() / 2 // no start follows at once, so others get advisers too
 		p.preemptForQuota(s, reserved, now)
 	} else {
 		s.awaitsLowQuotaSince = 0
@@ -81,7 +81,7 @@
 		p.waitingSteps.remove(s)
 		return
 	}
-	p.requestAdvice(s, longAtOnce, reserved, now, out)
+	p.requestAdvice(s, maxLong, reserved, now, out)
 	p.reserveWorkers(s, reserved, now)
 	if p.mayReserveQuota(s, reserved, now) {
 		s.reserveQuota()
@@ -112,7 +112,7 @@
 		if a == nil || !p.mayPromote(s, now) {
 			continue
 		}
-		if o := oldest[a]; o == nil || compareAccepted(s, o) < 0 {
+		if first := oldest[a]; first == nil || compareAccepted(s, first) < 0 {
 			oldest[a] = s
 		}
 	}
@@ -130,12 +130,12 @@
 // clearPromotions ends all promotions, and returns the start of each one that may continue at once.
 func (p *Pool) clearPromotions(now clock.Time) map[*step]clock.Time {
 	since := make(map[*step]clock.Time, len(p.promotedGangs.promotions))
-	for _, t := range p.promotedGangs.promotions {
-		t.gang.promoted = false
-		if now.Sub(t.since) >= maxPromotionTime {
-			t.gang.promotionNotBefore = now.Add(maxPromotionTime)
+	for _, promotion := range p.promotedGangs.promotions {
+		promotion.gang.promoted = false
+		if now.Sub(promotion.since) >= maxPromotionTime {
+			promotion.gang.promotionNotBefore = now.Add(maxPromotionTime)
 		} else {
-			since[t.gang] = t.since
+			since[promotion.gang] = promotion.since
 		}
 	}
 	p.promotedGangs.promotions = p.promotedGangs.promotions[:0]
--- a/pkg/dispatch/incarnations.go
+++ b/pkg/dispatch/incarnations.go
@@ -146,26 +146,26 @@
 // recordAnsweringIncarnation records which incarnation, by its start time, answered a poll with its report,
 // and ends all others that were known when the poll was sent. It reports whether the incarnation that was
 // polled has answered.
-func (p *Pool) recordAnsweringIncarnation(w *worker, h PollOrder, born int64, now clock.Time) bool {
-	x := w
-	if born != 0 && born != w.info.ID.StartedAt() {
-		x = p.otherIncarnation(w, born, now)
+func (p *Pool) recordAnsweringIncarnation(w *worker, poll PollOrder, startedAt int64, now clock.Time) bool {
+	answering := w
+	if startedAt != 0 && startedAt != w.info.ID.StartedAt() {
+		answering = p.otherIncarnation(w, startedAt, now)
 	}
-	if x == nil {
+	if answering == nil {
 		return false
 	}
-	for _, o := range slices.Clone(w.history.incarnations) {
-		if o != x && !o.terminated && o.discoveredAt <= h.SentAt {
-			p.replaceIncarnation(o, x, now)
+	for _, other := range slices.Clone(w.history.incarnations) {
+		if other != answering && !other.terminated && other.discoveredAt <= poll.SentAt {
+			p.replaceIncarnation(other, answering, now)
 		}
 	}
-	return x == w
+	return answering == w
 }
 
 // otherIncarnation returns the incarnation that answered instead of the one that was polled; nil when that
 // is known as terminated.
-func (p *Pool) otherIncarnation(w *worker, born int64, now clock.Time) *worker {
-	id := NewWorkerID(w.info.ID.Name(), born)
+func (p *Pool) otherIncarnation(w *worker, startedAt int64, now clock.Time) *worker {
+	id := NewWorkerID(w.info.ID.Name(), startedAt)
 	if x, known := p.workers[id]; known {
 		if x.terminated {
 			return nil // it is forgotten before it can be added again
@@ -181,21 +181,21 @@
 }
 
 // replaceIncarnation ends an incarnation that was replaced by the next one.
-func (p *Pool) replaceIncarnation(former, next *worker, now clock.Time) {
-	former.terminated = true
-	p.markRosterChanged(former.info.ID)
-	former.clearOrphans()
-	former.history.raiseToken(p.cfg.Token) // a late poll for the previous one must not ack ends of the next
-	former.history.markEnded(former)
-	former.markEntryRemoved(now)
-	carried := former.transferableRuns()
+func (p *Pool) replaceIncarnation(previous, next *worker, now clock.Time) {
+	previous.terminated = true
+	p.markRosterChanged(previous.info.ID)
+	previous.clearOrphans()
+	previous.history.raiseToken(p.cfg.Token) // a late poll for the previous one must not ack ends of the next
+	previous.history.markEnded(previous)
+	previous.markEntryRemoved(now)
+	transferable := previous.transferableRuns()
 	p.cfg.Log(Event{Name: "worker_started_again", Worker: next.info.ID, Detail: fmt.Sprintf(
-		"before=%s runs=%d may_have_gone_over=%d", former.info.ID, len(former.runs), len(carried))})
-	p.handleWorkerCrash(former, now)
-	for _, r := range carried {
+		"before=%s runs=%d may_have_gone_over=%d", previous.info.ID, len(previous.runs), len(transferable))})
+	p.handleWorkerCrash(previous, now)
+	for _, r := range transferable {
 		p.transferRun(r, next)
 	}
-	p.loseRuns(former, now)
+	p.loseRuns(previous, now)
 	next.hasPredecessor = true
 	next.inheritedLeasesUntil = max(next.inheritedLeasesUntil, now.Add(leaseExpiryTime(p.cfg.WorkerMaxLease)))
 }
--- a/pkg/dispatch/jobs.go
+++ b/pkg/dispatch/jobs.go
@@ -246,11 +246,11 @@
 }
 
 // occurrenceDueAt is when an occurrence begins to wait, by the monotonic clock.
-func (p *Pool) occurrenceDueAt(j *jobState, k int, now clock.Time) clock.Time {
+func (p *Pool) occurrenceDueAt(j *jobState, index int, now clock.Time) clock.Time {
 	if j.job.Schedule.Repeat == 0 {
 		return j.accepted
 	}
-	return max(now.Add(j.job.Schedule.Due(k).Sub(p.cfg.WallClock())), j.accepted)
+	return max(now.Add(j.job.Schedule.Due(index).Sub(p.cfg.WallClock())), j.accepted)
 }
 
 // chainEstimates returns, for each step, the estimated time from its start to the end of the job.
--- a/pkg/dispatch/late_starts.go
+++ b/pkg/dispatch/late_starts.go
@@ -74,8 +74,8 @@
 		if !x.waiting() || !x.lateStarts.HasStarts() {
 			continue
 		}
-		for _, l := range x.lateStarts.TakeNewBlocking(x.runNumbers()) {
-			p.cfg.Log(Event{Name: "start_delayed", Task: x.id(), Run: l.Number, Detail: "late_start_for=" + l.ExpiresAt.Sub(p.now).String()})
+		for _, start := range x.lateStarts.TakeNewBlocking(x.runNumbers()) {
+			p.cfg.Log(Event{Name: "start_delayed", Task: x.id(), Run: start.Number, Detail: "late_start_for=" + start.ExpiresAt.Sub(p.now).String()})
 		}
 	}
 }
@@ -130,8 +130,8 @@
 	if !t.lateStarts.HasStarts() {
 		return
 	}
-	heardAt := func(name string) clock.Time { return p.historyOf(name).lastAnsweredPollSentAt() }
-	t.lateStarts.RemoveExpired(latestart.ExpiryConditions{LastAnsweredPollSentAt: heardAt, LeaseTime: leaseExpiryTime(p.cfg.WorkerMaxLease), IsOwnershipConfirmedSince: p.isOwnershipConfirmedSince}, now)
+	answeredPollSentAt := func(name string) clock.Time { return p.historyOf(name).lastAnsweredPollSentAt() }
+	t.lateStarts.RemoveExpired(latestart.ExpiryConditions{LastAnsweredPollSentAt: answeredPollSentAt, LeaseTime: leaseExpiryTime(p.cfg.WorkerMaxLease), IsOwnershipConfirmedSince: p.isOwnershipConfirmedSince}, now)
 	if t.step.spec.LongRunning {
 		t.lateStarts.UnbindUnusable(func(name string) bool { return p.historyOf(name).isUsable(now) })
 	}
@@ -301,9 +301,9 @@
 	}
 	for _, u := range starts {
 		if until := p.lateStartExpiry(u.At, p.now); until != 0 {
-			line := p.historyOf(WorkerID(u.Worker).Name())
-			t.lateStarts.LoadUnanswered(u, line.name, until)
-			line.extendLateStarts(until)
+			history := p.historyOf(WorkerID(u.Worker).Name())
+			t.lateStarts.LoadUnanswered(u, history.name, until)
+			history.extendLateStarts(until)
 		}
 	}
 	p.logBlockingStarts(t)
--- a/pkg/dispatch/model.go
+++ b/pkg/dispatch/model.go
@@ -19,8 +19,8 @@
 
 // NewWorkerID returns the ID of a worker's incarnation that started at the given time in Unix ms; 0 when
 // that is not known.
-func NewWorkerID(name string, born int64) WorkerID {
-	return workerid.New(name, born)
+func NewWorkerID(name string, startedAt int64) WorkerID {
+	return workerid.New(name, startedAt)
 }
 
 // WorkerInfo is what a worker publishes about itself.
