--- a/pkg/dispatch/cordon.go
+++ b/pkg/dispatch/cordon.go
@@ -7,8 +7,8 @@
 	for name := range names {
 		p.historyOf(name)
 	}
-	for name, l := range p.workerHistories {
-		l.cordoned = names[name]
+	for name, h := range p.workerHistories {
+		h.cordoned = names[name]
 	}
 }
 
@@ -16,12 +16,12 @@
 // force it first has all runs moved to other workers, otherwise only those of long-running tasks. A
 // long-running step never misses more tasks than it allows.
 func (p *Pool) VacateWorker(name string, force bool) bool {
-	l, ok := p.workerHistories[name]
+	h, ok := p.workerHistories[name]
 	if !ok {
 		return true
 	}
 	empty := true
-	for _, w := range slices.Clone(l.incarnations) {
+	for _, w := range slices.Clone(h.incarnations) {
 		empty = p.vacate(w, force) && empty
 	}
 	return empty
--- a/pkg/dispatch/crash.go
+++ b/pkg/dispatch/crash.go
@@ -146,7 +146,7 @@
 	}
 }
 
-// mayAttemptLast reports whether the crashes counted against a task allow it to start. A task whose job
+// crashesAllowStart reports whether the crashes counted against a task allow it to start. A task whose job
 // would be given up at the next crash waits until workers no longer crash for other causes.
 func (p *Pool) mayAttemptLast(t *task, now clock.Time) bool {
 	return !t.crash.IsLastAttempt() || p.crashes.IsQuietFor(t.step.occurrence.job.job.ID, now)
--- a/pkg/dispatch/customer_limits.go
+++ b/pkg/dispatch/customer_limits.go
@@ -20,7 +20,7 @@
 	return p.limiter.Limits(p.customerDemands(), now.Sub(p.createdAt), now)
 }
 
-// countArrival counts a job that a customer has sent.
+// countAcceptedJob counts a job that a customer has sent.
 func (p *Pool) countArrival(j *jobState) {
 	if j.account != nil {
 		p.limiter.RecordAccepted(j.customer.Name, j.queue.Name, p.now)
--- a/pkg/dispatch/explain.go
+++ b/pkg/dispatch/explain.go
@@ -156,7 +156,7 @@
 		len(s.tasks), allowed, len(s.advice.allowed), withTickets)
 }
 
-// totalFit returns how many more tasks of a step some workers have room for.
+// totalRoomFor returns how many more tasks of a step some workers have room for.
 func totalFit(s *step, workers []*worker) int {
 	room := 0
 	for _, w := range workers {
--- a/pkg/dispatch/gang_promotion.go
+++ b/pkg/dispatch/gang_promotion.go
@@ -142,8 +142,8 @@
 	return since
 }
 
-// mayPromote reports whether a step is a gang that has waited too long in a pool that is not mostly used. If
-// its customer's quota is mostly used, it must have waited longer (maxGangWait).
+// mayPromote reports whether a step is a gang of a customer with a quota that has waited too long in a pool
+// that is not mostly used. If the quota is mostly used, it must have waited longer (maxGangWait).
 func (p *Pool) mayPromote(s *step, now clock.Time) bool {
 	if !s.spec.Gang || s.hasMissingMembers() || now < s.promotionNotBefore || p.poolLoad(s.occurrence.job.queue.Pool).isMostlyUsed() {
 		return false
--- a/pkg/dispatch/incarnations.go
+++ b/pkg/dispatch/incarnations.go
@@ -9,8 +9,9 @@
 )
 
 const (
-	// ackWithin is how recently a worker must have answered for ends to be acknowledged to it while starts
-	// are on their way to it. A process takes longer to end, restart, receive a start and finish it.
+	// minRestartTime is less than the time that a worker's process takes to end, restart, receive a start and
+	// finish it. Ends may be acknowledged to a worker that has answered within this time, even while starts are
+	// on their way to it (mayAcknowledge).
 	ackWithin = 500 * time.Millisecond
 	// maxEndedIncarnations is how many ended incarnations of a worker are remembered: one a second for as
 	// long as an entry may be late (30 s, the longest wait of a store watch).
@@ -55,28 +56,28 @@
 
 // historyOf returns the history of a worker's name, and creates it if needed.
 func (p *Pool) historyOf(name string) *workerHistory {
-	l, ok := p.workerHistories[name]
+	h, ok := p.workerHistories[name]
 	if !ok {
-		l = &workerHistory{name: name, token: p.cfg.Token}
-		p.workerHistories[name] = l
+		h = &workerHistory{name: name, token: p.cfg.Token}
+		p.workerHistories[name] = h
 	}
-	return l
+	return h
 }
 
 // addWorker adds an incarnation of a worker that was not known.
 func (p *Pool) addWorker(info WorkerInfo, now clock.Time) *worker {
-	l := p.historyOf(info.ID.Name())
-	if len(l.incarnations)+len(l.endedIncarnations)+len(l.forgottenIncarnations) > 0 {
-		l.raiseToken(p.cfg.Token) // orders for another incarnation may still be on their way
+	h := p.historyOf(info.ID.Name())
+	if len(h.incarnations)+len(h.endedIncarnations)+len(h.forgottenIncarnations) > 0 {
+		h.raiseToken(p.cfg.Token) // orders for another incarnation may still be on their way
 	}
-	if slices.Contains(l.forgottenIncarnations, info.ID) {
-		l.forgottenIncarnations = slices.DeleteFunc(l.forgottenIncarnations, func(id WorkerID) bool { return id == info.ID })
+	if slices.Contains(h.forgottenIncarnations, info.ID) {
+		h.forgottenIncarnations = slices.DeleteFunc(h.forgottenIncarnations, func(id WorkerID) bool { return id == info.ID })
 		p.removeCrashesOf(info.ID)
 	}
 	p.incarnationCount++
-	w := &worker{info: info, incarnationSeq: p.incarnationCount, history: l, runs: map[runKey]*run{}, discoveredAt: now}
+	w := &worker{info: info, incarnationSeq: p.incarnationCount, history: h, runs: map[runKey]*run{}, discoveredAt: now}
 	w.evacuated = p.isInEvacuatedHall(w)
-	l.incarnations = append(l.incarnations, w)
+	h.incarnations = append(h.incarnations, w)
 	p.workers[info.ID] = w
 	p.sortedWorkers = nil
 	p.markRosterChanged(info.ID)
@@ -85,17 +86,17 @@
 
 // raiseToken raises the token above that of all earlier orders, so that these are rejected wherever an order
 // with the new token has arrived. first is the lowest of this owner's tokens.
-func (l *workerHistory) raiseToken(first int64) {
-	if l.token < first+MaxTokenIncrements {
-		l.token++
+func (h *workerHistory) raiseToken(first int64) {
+	if h.token < first+MaxTokenIncrements {
+		h.token++
 	}
 }
 
 // removeOtherEntries marks the entries of all other incarnations as removed, since a worker has only one
 // entry.
-func (l *workerHistory) removeOtherEntries(now clock.Time) {
-	for _, w := range l.incarnations {
-		if w.info.ID != l.currentEntry {
+func (h *workerHistory) removeOtherEntries(now clock.Time) {
+	for _, w := range h.incarnations {
+		if w.info.ID != h.currentEntry {
 			w.entryReplaced = w.entryReplaced || w.hasEntry
 			w.markEntryRemoved(now)
 		}
@@ -103,44 +104,44 @@
 }
 
 // lastAnsweredPollSentAt is when the latest poll that an incarnation of the worker has answered was sent.
-func (l *workerHistory) lastAnsweredPollSentAt() clock.Time {
+func (h *workerHistory) lastAnsweredPollSentAt() clock.Time {
 	var at clock.Time
-	for _, w := range l.incarnations {
+	for _, w := range h.incarnations {
 		at = max(at, w.lastAnsweredPollSentAt)
 	}
 	return at
 }
 
 // isUsable reports whether an incarnation of the worker may be given a task now.
-func (l *workerHistory) isUsable(now clock.Time) bool {
-	return slices.ContainsFunc(l.incarnations, func(w *worker) bool { return w.isUsable(now) })
+func (h *workerHistory) isUsable(now clock.Time) bool {
+	return slices.ContainsFunc(h.incarnations, func(w *worker) bool { return w.isUsable(now) })
 }
 
-func (l *workerHistory) hasEnded(id WorkerID) bool {
-	return slices.Contains(l.endedIncarnations, id)
+func (h *workerHistory) hasEnded(id WorkerID) bool {
+	return slices.Contains(h.endedIncarnations, id)
 }
 
-func (l *workerHistory) markEnded(w *worker) {
-	l.endedIncarnations = append(l.endedIncarnations, w.info.ID)
-	if len(l.endedIncarnations) > maxEndedIncarnations {
-		l.endedIncarnations = l.endedIncarnations[1:]
+func (h *workerHistory) markEnded(w *worker) {
+	h.endedIncarnations = append(h.endedIncarnations, w.info.ID)
+	if len(h.endedIncarnations) > maxEndedIncarnations {
+		h.endedIncarnations = h.endedIncarnations[1:]
 	}
 }
 
-// forget drops a terminated incarnation. The history keeps the token: for an incarnation that comes back,
-// the first token of this owner would be that of a previous owner.
-func (l *workerHistory) forget(w *worker) {
-	l.incarnations = slices.DeleteFunc(l.incarnations, func(o *worker) bool { return o == w })
-	if !l.hasEnded(w.info.ID) {
-		l.forgottenIncarnations = append(l.forgottenIncarnations, w.info.ID)
+// forget drops a terminated incarnation. The history keeps the token: an incarnation that comes back has seen
+// it, and would reject orders with a lower token as those of a previous owner.
+func (h *workerHistory) forget(w *worker) {
+	h.incarnations = slices.DeleteFunc(h.incarnations, func(o *worker) bool { return o == w })
+	if !h.hasEnded(w.info.ID) {
+		h.forgottenIncarnations = append(h.forgottenIncarnations, w.info.ID)
 	}
 }
 
 // mayBeReplaced reports whether this incarnation may have ended: the entry of another incarnation has been
 // read, and this one has answered no poll that was sent after that.
 func (w *worker) mayBeReplaced() bool {
-	l := w.history
-	return l.lastEntry != "" && l.lastEntry != w.info.ID && !l.hasEnded(l.lastEntry) && w.lastAnsweredPollSentAt <= l.lastEntryAt
+	h := w.history
+	return h.lastEntry != "" && h.lastEntry != w.info.ID && !h.hasEnded(h.lastEntry) && w.lastAnsweredPollSentAt <= h.lastEntryAt
 }
 
 // recordAnsweringIncarnation records which incarnation, by its start time, answered a poll with its report,
--- a/pkg/dispatch/jobs.go
+++ b/pkg/dispatch/jobs.go
@@ -48,7 +48,7 @@
 	chainEstimates []time.Duration // for each step, the estimated time from its start to the job's end
 }
 
-// occurrence is one occurrence of a job: all its steps, once.
+// occurrence is one time at which a job is due, with the steps that are then run.
 type occurrence struct {
 	job   *jobState
 	index int
@@ -87,7 +87,7 @@
 // step is one step of one occurrence.
 type step struct {
 	seq          int64 // in the order of creation
-	waitingSeq   int64 // position in the waiting queue; 0 when the step is not in it
+	waitingSeq   int64 // number in the waiting queue; 0 when the step is not in it
 	occurrence   *occurrence
 	index        int
 	spec         *job.Step
--- a/pkg/dispatch/late_starts.go
+++ b/pkg/dispatch/late_starts.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// blockedUntil is the earliest time until which late starts block all waiting tasks of a step; 0 when one of
-// the tasks is not blocked.
+// blockedUntil is until when late starts block all waiting tasks of a step; 0 when one of them is not blocked.
+// A gang is blocked as a whole while one of its members is.
 func (s *step) blockedUntil() clock.Time {
 	if !s.tracksLateStarts() {
 		return 0
@@ -138,8 +138,8 @@
 }
 
 // extendLateStarts records that the next incarnation may carry out a start until a time.
-func (l *workerHistory) extendLateStarts(until clock.Time) {
-	l.lateStartsExpireAt = max(l.lateStartsExpireAt, until)
+func (h *workerHistory) extendLateStarts(until clock.Time) {
+	h.lateStartsExpireAt = max(h.lateStartsExpireAt, until)
 }
 
 // lateStartsAllow reports whether the late starts of a task allow it to start on a worker.
