--- a/pkg/dispatch/advice_targets.go
+++ b/pkg/dispatch/advice_targets.go
@@ -191,10 +191,10 @@
 const maxSmallStepTasks = 3
 
 // workersWithUnknownAdvice lists the workers of which it is not known whether they may run the step: those
-// with room, and up to advice.MaxWorkersPerCall full ones. Each call starts at another worker, so that steps
-// that ask at the same time get different targets; with byRoom, the workers with most room come first.
-// Expected room is considered only when the room available now is less than enoughRoom tasks, since computing it
-// goes over all runs.
+// with room, and up to advice.MaxWorkersPerCall full ones. Each call starts at another worker, so that
+// steps that ask at the same time get different targets; with byRoom, the workers with most room come
+// first. Expected room is considered only when the room available now is less than enoughRoom tasks, since
+// computing it goes over all runs.
 func (p *Pool) workersWithUnknownAdvice(s *step, reserved *reservations, enoughRoom float64, byRoom bool, now clock.Time) (others []workerRoom, full []*worker) {
 	p.advice.targetOffset += targetOffsetStep
 	workers, first := p.usableWorkersFrom(s.occurrence.job.queue.Pool, p.advice.targetOffset, now)
@@ -244,8 +244,8 @@
 	return expiry
 }
 
-// selectKnownTargets selects at most maxTargets workers, until their room suffices, and returns the room that is
-// still needed.
+// selectKnownTargets selects at most maxTargets workers, until their room suffices, and returns the room
+// that is still needed.
 func selectKnownTargets(known []workerRoom, need float64, maxTargets int) (targets []WorkerID, remaining float64) {
 	for _, k := range known {
 		if need <= 0 || len(targets) >= maxTargets {
--- a/pkg/dispatch/delayed_steps.go
+++ b/pkg/dispatch/delayed_steps.go
@@ -21,9 +21,9 @@
 	WaitReason string
 }
 
-// DelayedSteps lists up to maxSteps steps of jobs without runs that have waited for minWait while their pool is not
-// mostly used, those that have waited longest first. A job that is lost in a pool with room is listed until
-// then, so that the logs show the cause.
+// DelayedSteps lists up to maxSteps steps of jobs without runs that have waited for minWait while their
+// pool is not mostly used, those that have waited longest first. A job that is lost in a pool with room is
+// listed until then, so that the logs show the cause.
 func (p *Pool) DelayedSteps(minWait time.Duration, maxSteps int, now clock.Time) []DelayedStep {
 	var waiting []*step
 	for s := range p.waitingSteps.all() {
