--- a/pkg/dispatch/outcomes.go
+++ b/pkg/dispatch/outcomes.go
@@ -7,13 +7,13 @@
 	"foldarch.dev/foldarch/pkg/job"
 )
 
-// ExpiredOutcomes lists up to most jobs whose outcomes have been kept for a time. They are
-// forgotten by ForgetOutcomes, once the store has none of them.
+// ExpiredOutcomes lists up to limit jobs whose outcomes have been kept for at least the given time. The
+// caller deletes them from the store and then calls ForgetOutcomes.
 func (p *Pool) ExpiredOutcomes(keep time.Duration, most int, now clock.Time) []job.ID {
 	return p.outcomes.Expired(keep, most, now)
 }
 
-// ForgetOutcomes forgets outcomes that ExpiredOutcomes listed.
+// ForgetOutcomes drops outcomes that ExpiredOutcomes listed and that the store no longer has.
 func (p *Pool) ForgetOutcomes(ids []job.ID) {
 	p.outcomes.Forget(ids)
 }
--- a/pkg/dispatch/over_share.go
+++ b/pkg/dispatch/over_share.go
@@ -5,14 +5,16 @@
 	"slices"
 )
 
-// updateOverShare takes in how many jobs a second a job's customer sends.
+// updateOverShare records the arrival of a job in its customer's account and marks the job if the
+// customer sends more jobs per second than its weight allows.
 func (p *Pool) updateOverShare(j *jobState) {
 	if a := j.account; a != nil {
 		j.overShare = a.RecordArrival(j.accepted)
 	}
 }
 
-// updateOverShareOfLoaded does so for the jobs that were read from the store, in the order in which they were accepted.
+// updateOverShareOfLoaded does the same for the jobs that were read from the store, in the order in
+// which they were accepted.
 func (p *Pool) updateOverShareOfLoaded() {
 	loaded := make([]*jobState, 0, len(p.jobs))
 	for _, j := range p.jobs {
--- a/pkg/dispatch/ownership_confirmation.go
+++ b/pkg/dispatch/ownership_confirmation.go
@@ -6,26 +6,25 @@
 	"foldarch.dev/foldarch/pkg/clock"
 )
 
-// Leases of a silent worker have lapsed at a known time, if nobody has extended them since. A later
-// owner may have: it reaches workers that this one does not, and for a while both may give orders. So
-// a lapse is believed only when the store has named this owner after it. What runs on the worker
-// then ended before any later owner could extend it.
-//
-// A later owner may still learn from the worker that a task was done before the lapse, and show its
-// job as completed. So tasks that are presumed lost start again only shortly after a confirmation.
-
-// ownershipConfirmationValidity is how long after a confirmation a task that is presumed lost may start. The
-// platform counts a start more than a second after the job was shown as completed; a start takes
-// up to 0.16 s to arrive.
+// ownershipConfirmationValidity is how long after a confirmation of the ownership a task that is
+// presumed lost may be restarted. A later owner may learn from the worker that the task finished before
+// its lease expired, and may show the job as completed. The platform counts a start as a fault when it
+// comes more than a second after that; a start takes up to 0.16 s to arrive.
 const ownershipConfirmationValidity = 800 * time.Millisecond
 
-// RecordOwnershipConfirmed takes in that the store named this owner, in answer to a call made at a time.
+// RecordOwnershipConfirmed records that the store named this process as the owner in answer to a call
+// made at the given time.
 func (p *Pool) RecordOwnershipConfirmed(at clock.Time) {
 	p.ownershipConfirmedAt = max(p.ownershipConfirmedAt, at)
 }
 
-// isOwnershipConfirmedSince says whether the ownership was confirmed at or after a time, and otherwise asks
-// for it.
+// isOwnershipConfirmedSince reports whether the ownership was confirmed at or after the given time. If
+// not, it requests a confirmation.
+//
+// The leases of a silent worker expire at a known time only if no later owner has extended them. A
+// later owner may reach workers that this one does not, and for a while both may give orders. So an
+// expired lease counts only once the store has named this owner after the expiry: what ran on the
+// worker then ended before any later owner could extend the lease.
 func (p *Pool) isOwnershipConfirmedSince(t clock.Time) bool {
 	if p.ownershipConfirmedAt >= t {
 		return true
@@ -34,8 +33,9 @@
 	return false
 }
 
-// mayRestartPresumedLost says whether a task may be started as far as an earlier run is concerned that is
-// presumed lost.
+// mayRestartPresumedLost reports whether a task may be started with regard to an earlier run of it that
+// is presumed lost: the ownership must have been confirmed a short time ago
+// (ownershipConfirmationValidity).
 func (p *Pool) mayRestartPresumedLost(t *task, now clock.Time) bool {
 	if !t.presumedLost && !t.step.occurrence.job.runsPresumedEnded {
 		return true
--- a/pkg/dispatch/pace.go
+++ b/pkg/dispatch/pace.go
@@ -5,9 +5,9 @@
 	"foldarch.dev/foldarch/pkg/pace"
 )
 
-// Tasks that fill what others leave unused disturb those that serve. How fast they go is decided in package pace.
-
-// paceFillers decides how fast the fillers on a worker go.
+// paceFillers sets the pace of the filler tasks on a worker. Fillers use what other tasks leave idle,
+// and slow down the services on the same worker. Package pace decides the pace from the tail latency of
+// these services.
 func (p *Pool) paceFillers(w *worker, now clock.Time) {
 	highest, serves := highestTailShare(w)
 	if !serves || p.isDisabled(Pacing) {
@@ -17,7 +17,8 @@
 	p.setPaces(w, w.pacing.Decide(highest, now))
 }
 
-// highestTailShare is the highest tail on a worker as a share of its target.
+// highestTailShare returns the highest tail latency of the services on a worker as a share of its
+// target; serves is false when no service with a target runs there.
 func highestTailShare(w *worker) (share float64, serves bool) {
 	for _, r := range w.runs {
 		target := r.task.step.spec.TargetTail
@@ -30,7 +31,8 @@
 	return share, serves
 }
 
-// setPaces sets the pace of each filler by its present one, or its first one.
+// setPaces applies a change to the pace of each filler on a worker. A filler that has had no pace order
+// yet gets the initial pace of the change.
 func (p *Pool) setPaces(w *worker, change pace.Change) {
 	for _, r := range sortedRuns(w) {
 		if !r.task.step.spec.Filler || r.state != runActive || r.stopSentAt != 0 {
@@ -48,6 +50,7 @@
 	}
 }
 
+// addPaceOrders adds the pending pace orders to the actions, apart from those for runs that have ended.
 func (p *Pool) addPaceOrders(out *Actions) {
 	for _, r := range p.pendingPaces {
 		w := r.worker
@@ -59,7 +62,7 @@
 	p.pendingPaces = p.pendingPaces[:0]
 }
 
-// HandlePaceFailure takes in that an order for a pace was not carried out, so that it is sent again.
+// HandlePaceFailure records that a pace order was not carried out, so that it is sent again.
 func (p *Pool) HandlePaceFailure(o PaceOrder) {
 	w, ok := p.workers[o.Worker]
 	if !ok {
--- a/pkg/dispatch/placement.go
+++ b/pkg/dispatch/placement.go
@@ -10,8 +10,9 @@
 	"foldarch.dev/foldarch/pkg/fit"
 )
 
-// gangWorkers chooses a worker for each member, on as few workers and if possible in one
-// rack; nil when there is no room for all.
+// gangWorkers selects a worker for each member of a gang. It uses as few workers as possible, in one
+// rack if there is one with enough room. It returns nil when there is no room for all members; for a
+// step with SameRack it falls back to several racks.
 func (p *Pool) gangWorkers(s *step, candidates []*worker) []*worker {
 	if s.hasBoundTasks() {
 		return assignBoundMembers(s, candidates)
@@ -26,7 +27,7 @@
 	return assignMembers(s, candidates)
 }
 
-// racks groups workers by their rack, in the order of the racks' names.
+// racks groups workers by their rack, sorted by the names of the racks.
 func racks(workers []*worker) [][]*worker {
 	byRack := map[string][]*worker{}
 	var names []string
@@ -44,7 +45,8 @@
 	return out
 }
 
-// assignMembers gives each member a worker, those with most room first; nil when they don't suffice.
+// assignMembers assigns a worker to each member of a gang, filling those with most room first. It
+// returns nil when the workers don't have room for all members.
 func assignMembers(s *step, workers []*worker) []*worker {
 	sorted := slices.Clone(workers)
 	slices.SortFunc(sorted, func(a, b *worker) int {
@@ -61,12 +63,13 @@
 	return nil
 }
 
-// roomFor is how many more tasks of a step a worker has room for.
+// roomFor returns how many more tasks of a step a worker has room for.
 func roomFor(s *step, w *worker) int {
 	return roomWithin(s, w, w.free())
 }
 
-// roomWithin is how many more tasks of a step a worker has room for with an amount free.
+// roomWithin returns how many more tasks of a step a worker would have room for if the given resources
+// were free on it.
 func roomWithin(s *step, w *worker, free cell.Resources) int {
 	n := maxTasksWithin(s, free)
 	if s.runsPerWorker != nil {
@@ -75,21 +78,23 @@
 	return max(n, 0)
 }
 
-// maxTasksWithin is how many tasks of a step resources suffice for, at most all.
+// maxTasksWithin returns how many tasks of a step fit into the given resources, at most the number of
+// tasks of the step.
 func maxTasksWithin(s *step, free cell.Resources) int {
 	return fit.MaxTasks(s.spec.Need(), free, len(s.tasks))
 }
 
-// isEligible says whether a worker may run tasks of a step at all, advice apart.
+// isEligible reports whether a worker may run tasks of a step. Advice is not considered.
 func (p *Pool) isEligible(s *step, w *worker, now clock.Time) bool {
 	return w.info.Pool == s.occurrence.job.queue.Pool && w.isUsable(now) && !w.isClaimedByOther(s, now) && p.mayUseWorker(s.occurrence.job, w, now) &&
 		(s.spec.Requirement == "" || slices.Contains(w.info.Labels, s.spec.Requirement))
 }
 
-// minTicketValidity is how long a ticket must hold on for a start to be sent with it.
+// minTicketValidity is the minimum time for which a ticket must still be valid when a start is sent
+// with it.
 const minTicketValidity = 80 * time.Millisecond
 
-// candidates lists the workers that may be given a task of the step now, by id.
+// candidates lists the workers that may be given a task of the step now, sorted by ID.
 func (p *Pool) candidates(s *step, reserved *reservations, now clock.Time) []*worker {
 	priority := s.occurrence.job.queue.Priority
 	j := s.occurrence.job
@@ -107,14 +112,14 @@
 		return true
 	}
 	if j.queue.Advice != nil {
-		return p.filterWorkers(s.advice.workersWithTickets(now), may) // named when the call was made
+		return p.filterWorkers(s.advice.workersWithTickets(now), may) // these were recorded when the advice call was made
 	}
 	candidates := p.filterUsable(j.queue.Pool, now, may)
 	p.recordMoreWorkers(s, unnamed, room)
 	return candidates
 }
 
-// filterUsable lists all usable workers of a pool that satisfy a condition, by id.
+// filterUsable lists the usable workers of a pool that satisfy a condition, sorted by ID.
 func (p *Pool) filterUsable(pool string, now clock.Time, may func(*worker) bool) []*worker {
 	var out []*worker
 	for _, w := range p.usableWorkersIn(pool, now) {
@@ -125,7 +130,7 @@
 	return out
 }
 
-// filterWorkers lists those of some workers that satisfy a condition, by id.
+// filterWorkers lists those of the given workers that satisfy a condition, sorted by ID.
 func (p *Pool) filterWorkers(ids []WorkerID, may func(*worker) bool) []*worker {
 	var out []*worker
 	for _, id := range ids {
@@ -137,7 +142,8 @@
 	return out
 }
 
-// workersWithTickets lists the workers whose tickets hold for long enough to be used now.
+// workersWithTickets lists the workers for which the step has a ticket that is valid for long enough to
+// be used now.
 func (s *stepAdvice) workersWithTickets(now clock.Time) []WorkerID {
 	out := make([]WorkerID, 0, len(s.tickets))
 	for id, t := range s.tickets {
@@ -148,15 +154,16 @@
 	return out
 }
 
-// avoid has a task placed away from a worker if there is another one.
+// avoid makes a task prefer other workers than the given one.
 func (p *Pool) avoid(t *task, w *worker) {
 	if !p.isDisabled(Avoidance) {
 		t.avoidedWorker = w.info.ID
 	}
 }
 
-// bestFit chooses the worker that a task uses up most, near its data and away from where it
-// failed; nil when none has room.
+// bestFit selects the worker on which the task leaves the least capacity unused. It prefers workers
+// near the task's data, and workers other than the one on which the task failed. It returns nil when no
+// candidate has room.
 func bestFit(t *task, candidates []*worker) *worker {
 	var best *worker
 	var bestCost float64
--- a/pkg/dispatch/plan.go
+++ b/pkg/dispatch/plan.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// stopResendInterval is how long the end of a stopped run may take before the stop is sent
+	// stopResendInterval is how long the end of a stopped run may take before the stop order is sent
 	// again.
 	stopResendInterval = 800 * time.Millisecond
-	// A run whose progress stands still for minStuckTime and stuckShare of its estimated time
-	// is stopped and started elsewhere.
+	// A run counts as stuck when its progress has not changed for minStuckTime plus stuckShare of its
+	// estimated duration. It is then stopped and started on another worker.
 	minStuckTime = 1500 * time.Millisecond
 	stuckShare   = 0.15
-	// leaveSlack is how much longer than told a leaving worker is trusted to stay.
+	// leaveSlack is how much longer a leaving worker is assumed to stay than it announced.
 	leaveSlack = 200 * time.Millisecond
-	// almostDone is the progress in percent from which a run is left alone.
+	// almostDone is the progress, in percent, from which a stuck run is no longer restarted.
 	almostDone = 98
 )
 
-// Plan decides what is to be done now. Without authority nothing is started or asked for.
+// Plan decides what is to be done now. Without authority it gives no starts and requests no advice.
 func (p *Pool) Plan(now clock.Time, authority bool) Actions {
 	p.now = now
 	p.updateLoads(now)
@@ -54,8 +54,9 @@
 	return out
 }
 
-// InspectRuns looks at all runs: it stops those that stand still and sends stops again. It is to
-// be called a few times a second.
+// InspectRuns examines all runs on answering workers. It restarts stuck runs, and runs that would end
+// after their worker leaves, on other workers, sends unanswered stop orders again, and sets the pace of
+// fillers. The caller invokes it a few times per second.
 func (p *Pool) InspectRuns(now clock.Time) {
 	for _, w := range p.workersByID() {
 		if w.terminated || now.Sub(w.lastAnsweredAt) >= answerTimeout {
@@ -96,31 +97,33 @@
 	p.restartElsewhere(r, "it stands still")
 }
 
-// isStuck says that a run's progress has not changed for too long. A report must have shown
-// so: a worker that was not asked tells nothing.
+// isStuck reports whether a run's progress has not changed for too long. Reports must have shown this
+// for at least half of that time: without them nothing is known of the progress.
 func (r *run) isStuck(now clock.Time) bool {
 	limit := minStuckTime + time.Duration(stuckShare*float64(r.task.step.spec.Estimate))
 	return now.Sub(r.progress.ChangedAt) >= limit && r.reportedAt.Sub(r.progress.ChangedAt) >= limit/2
 }
 
-// restartElsewhere stops a run so that its task starts elsewhere; with a gang, all its members.
+// restartElsewhere stops a run so that its task starts on another worker. In a gang it stops all
+// members.
 func (p *Pool) restartElsewhere(r *run, why string) {
 	p.cfg.Log(Event{Name: "run_moved", Task: r.task.id(), Run: r.number, Worker: r.worker.info.ID, Detail: why})
 	p.avoid(r.task, r.worker)
 	p.stopRunOrGang(r)
 }
 
-// endsAfterWorkerLeaves says whether a run won't be done before its worker may leave.
+// endsAfterWorkerLeaves reports whether a run is expected to end after its worker may have left.
 func (p *Pool) endsAfterWorkerLeaves(w *worker, r *run, now clock.Time) bool {
 	return now.Add(r.timeLeft(now)) > w.leavesAt.Add(leaveSlack)
 }
 
-// stopOrder is the order that stops a run.
+// stopOrder returns the order that stops a run.
 func (r *run) stopOrder() StopOrder {
 	w := r.worker
 	return StopOrder{Task: r.task.id(), Run: r.number, Worker: w.info.ID, Address: w.info.Address, Token: w.history.token}
 }
 
+// addStopOrders adds the pending stop orders to the actions, apart from those for runs that have ended.
 func (p *Pool) addStopOrders(now clock.Time, out *Actions) {
 	for _, r := range p.pendingStops {
 		w := r.worker
@@ -133,11 +136,11 @@
 	p.pendingStops = p.pendingStops[:0]
 }
 
-// place starts tasks and asks for advice, in the order in which steps go.
+// placeSteps starts tasks and requests advice for the waiting steps, in the order of their ranks.
 func (p *Pool) placeSteps(now clock.Time, out *Actions) {
 	p.clearQuotaReservations()
 	if p.waitingSteps.gangCount > 0 {
-		p.sumBacklog() // which decides whether gangs hold workers
+		p.sumBacklog() // determines whether gangs may reserve workers
 	}
 	p.usableWorkers = usableWorkersByPool{}
 	defer func() { p.usableWorkers = nil }()
@@ -178,7 +181,7 @@
 	}
 }
 
-// createRun counts a run of a task against a worker.
+// createRun creates a run of a task and counts it against the worker's room.
 func (p *Pool) createRun(t *task, w *worker, number int, state runState, now clock.Time) *run {
 	r := &run{task: t, number: number, worker: w, state: state}
 	r.startCall = latestart.StartCall{OrderedAt: now, ReusesNumber: t.lateStarts.HasNumber(number)}
@@ -206,8 +209,9 @@
 	return o
 }
 
-// logStart tells what decided a start: how long the job waited and what it had left, how old
-// the news of the worker are, how long the ticket still holds, and what stays free there.
+// logStart logs what a start was based on: the time left until the job's objective, the age of the last
+// report from the worker, the time for which the ticket is still valid, and what stays free on the
+// worker.
 func (p *Pool) logStart(o StartOrder, w *worker, ticket ticket, now clock.Time) {
 	t := p.jobs[o.Task.Job].occurrences[o.Task.Time]
 	detail := fmt.Sprintf("left_ms=%d worker_age_ms=%d free=%s", t.objective.Sub(now).Milliseconds(),
@@ -218,8 +222,9 @@
 	p.cfg.Log(Event{Name: "run_ordered", Task: o.Task, Run: o.Run, Worker: o.Worker, Detail: detail})
 }
 
-// nextRunNumber is the number of a task's next run. A former owner may have given numbers that
-// we don't know of.
+// nextRunNumber returns the number of a task's next run. A previous owner may have assigned numbers
+// that this one does not know of, so the numbers of a job that it may have started begin above
+// RunNumberBase.
 func (p *Pool) nextRunNumber(j *jobState, last int) int {
 	if !p.isUnknownToPreviousOwners(j) {
 		return max(last, p.cfg.RunNumberBase) + 1
@@ -232,7 +237,7 @@
 	if s.hasSuspects() {
 		p.placeSuspectTasks(s, reserved, now, out)
 		if !s.hasSurvivedStart {
-			return // all its tasks may be alike
+			return // the other tasks of the step may crash workers as well
 		}
 	}
 	var candidates []*worker
@@ -251,7 +256,7 @@
 		}
 		w := bestFit(t, candidates)
 		if w == nil && t.lateStarts.IsBound() {
-			continue // others of the step may have room elsewhere
+			continue // other tasks of the step may have room on other workers
 		}
 		if w == nil {
 			return
@@ -260,13 +265,14 @@
 	}
 }
 
-// mayStart says whether a task may be started now, as far as it is concerned.
+// mayStart reports whether the state of a task allows a start now. Workers and quotas are not
+// considered.
 func (p *Pool) mayStart(t *task, now clock.Time) bool {
 	p.expireLateStarts(t, now)
 	return t.waiting() && now >= t.notBefore && !t.isBlockedByLateStart() && p.mayRestartPresumedLost(t, now) && p.mayAttemptLast(t, now)
 }
 
-// gangCandidates lists the workers that members of a gang may be started on.
+// gangCandidates lists the workers on which members of a gang may be started.
 func (p *Pool) gangCandidates(s *step, reserved *reservations, now clock.Time) []*worker {
 	candidates := p.candidates(s, reserved, now)
 	if s.hasSuspects() {
@@ -275,7 +281,8 @@
 	return candidates
 }
 
-// placeGang starts all members of a gang, or none.
+// placeGang starts all members of a gang, or none. If some members of a gang run already, it starts
+// those that are missing.
 func (p *Pool) placeGang(s *step, reserved *reservations, now clock.Time, out *Actions) {
 	if s.hasMissingMembers() {
 		p.startMissingMembers(s, p.gangCandidates(s, reserved, now), now, out)
--- a/pkg/dispatch/poll.go
+++ b/pkg/dispatch/poll.go
@@ -6,20 +6,21 @@
 	"foldarch.dev/foldarch/pkg/clock"
 )
 
-// The waits of holds: how long a worker lets a hold wait for an end. They grow with the pool,
-// so that the calls to workers don't grow as it does, and stay below answerTimeout and the
-// term of an owner's authority.
+// The waits of polls: how long a worker delays its answer to a poll while nothing has ended. They grow
+// with the pool, so that the rate of calls does not grow with it, and they stay below answerTimeout and
+// the term of an owner's authority.
 const (
 	pollWait          = 600 * time.Millisecond  // in pools of up to referencePoolSize workers
-	maxPollWait       = time.Second             // at most, while something runs there
-	maxIdlePollWait   = 1500 * time.Millisecond // at most, while nothing does
+	maxPollWait       = time.Second             // maximum while the worker has runs
+	maxIdlePollWait   = 1500 * time.Millisecond // maximum while the worker has no runs
 	referencePoolSize = 400
-	// probeWait is the wait while a task that was started alone is not proven: other tasks wait for the worker. With it and a
-	// crash.SurvivalTime of 0.3 s in place of 0.5 s jobs earn 0.024 more in a pool of 48 workers of which two crash each second (12 plays each).
+	// probeWait is the wait while a task that was started alone has not survived yet, since other tasks
+	// wait for the worker. With it and a crash.SurvivalTime of 0.3 s in place of 0.5 s jobs earn 0.024
+	// more in a pool of 48 workers of which two crash each second (12 plays each).
 	probeWait = 100 * time.Millisecond
 )
 
-// PollWait is how long a worker is to let its next hold wait for an end.
+// PollWait returns how long a worker may delay its answer to the next poll while nothing has ended.
 func (p *Pool) PollWait(id WorkerID) time.Duration {
 	most := maxIdlePollWait
 	w, known := p.workers[id]
@@ -33,8 +34,9 @@
 	return min(max(scaled, pollWait), most)
 }
 
-// NewPoll returns the next hold for a worker; ok is false when there is none to be sent any
-// more. raise asks for a higher token, which settles lost answers.
+// NewPoll returns the next poll for a worker; ok is false when the worker is to be polled no more.
+// raise raises the token of the worker, so that starts whose answers were lost are resolved by the next
+// report. extend allows the poll to extend the worker's leases.
 func (p *Pool) NewPoll(id WorkerID, raise, extend bool, now clock.Time) (h PollOrder, ok bool) {
 	w, known := p.workers[id]
 	if !known || w.terminated {
@@ -46,7 +48,7 @@
 	w.recordPollSent(now)
 	h = PollOrder{Worker: id, Address: w.info.Address, Token: w.history.token, SentAt: now}
 	if w.mayBeReplaced() {
-		return h, true // the life that takes it may be another one, also seconds later: it is only asked
+		return h, true // another incarnation may receive the poll, even seconds later, so it extends and acknowledges nothing
 	}
 	if w.mayAcknowledge(now) {
 		h.AckedEnd = w.lastCommittedEnd
--- a/pkg/dispatch/pool.go
+++ b/pkg/dispatch/pool.go
@@ -15,63 +15,67 @@
 	"foldarch.dev/foldarch/pkg/queue"
 )
 
-// Config are the terms that decisions depend on.
+// Config holds the settings that scheduling decisions depend on.
 type Config struct {
-	// Hold is how long what runs on a worker is leased with each hold.
+	// LeaseDuration is the length of the leases that each poll gives to the runs on a worker.
 	LeaseDuration time.Duration
-	// MaxLeaseDuration is the longest lease that a former owner may have given.
+	// MaxLeaseDuration is the longest lease that a previous owner may have given.
 	MaxLeaseDuration time.Duration
-	// WorkerMaxLease is the longest lease that a worker gives, whatever it is told.
+	// WorkerMaxLease is the longest lease that a worker accepts, whatever an order says.
 	WorkerMaxLease time.Duration
-	// MinDrainTime is the least time that a draining worker stays.
+	// MinDrainTime is the minimum time for which a draining worker stays.
 	MinDrainTime time.Duration
 	// StopGrace is how long a stopped run may take to end.
 	StopGrace time.Duration
-	// RestoreTime is how long a run takes to go on from a checkpoint.
+	// RestoreTime is how long a run takes to resume from a checkpoint.
 	RestoreTime time.Duration
-	// Token is the owner's fencing token; tokens up to Token + MaxTokenIncrements are the owner's own.
+	// Token is the owner's fencing token. Tokens up to Token + MaxTokenIncrements belong to this owner.
 	Token int64
-	// Term counts the owners. No former owner has started a job accepted under it.
+	// Term is the number of this owner's term; each owner has a higher one than the owners before it.
+	// No previous owner has started a job that was accepted in this term.
 	Term int64
-	// RunNumberBase is below the numbers that this owner gives to runs of tasks about which it
-	// may not know all; it is above those of former owners.
+	// RunNumberBase is lower than the run numbers that this owner assigns to tasks of which a previous
+	// owner may have started runs, and higher than all numbers assigned by previous owners.
 	RunNumberBase int
-	// RecordWorkersFromTerm is the first term from which on all owners name a job's workers in the store before they start it; 0 when this one does not.
+	// RecordWorkersFromTerm is the first term from which on all owners record a job's workers in the
+	// store before they start the job on them; 0 when this owner does not.
 	RecordWorkersFromTerm int64
-	// Takeover says that there was a former owner, whose runs have to be found.
+	// HasPreviousOwner says that there was a previous owner, whose runs have to be found.
 	HasPreviousOwner bool
-	// AuthorityTerm is how long a former owner may go on after it was fenced.
+	// AuthorityTerm is how long a previous owner may go on giving orders after it was fenced.
 	AuthorityTerm time.Duration
-	// WallClock reads the time of day, for schedules.
+	// WallClock returns the time of day, for schedules.
 	WallClock func() time.Time
-	// Log takes events; it must not block.
+	// Log receives events; it must not block.
 	Log func(Event)
-	// Without leaves mechanisms out, in tests and builds for trials.
+	// Disabled lists mechanisms that are switched off, in tests and experiments.
 	Disabled DisabledMechanisms
 }
 
-// MaxTokenIncrements is how often an owner may raise the token of a worker.
+// MaxTokenIncrements is how many times an owner may raise the token of a worker.
 const MaxTokenIncrements = 1<<20 - 1
 
-// Pool is the owner's view of a pool of workers and of the jobs for it.
+// Pool is the owner's view of its workers and of the jobs that run on them.
 type Pool struct {
 	cfg      Config
 	takeover takeoverState
 	config   *queue.Config
-	// knownPools are the pools of workers that were named so far.
+	// knownPools are the pools of workers that a configuration or the queue of a job has named so far.
 	knownPools     map[string]bool
 	evacuatedHalls []string // data halls
 	jobs           map[job.ID]*jobState
 	accounts       map[string]*account.Account // of customers, by name
 	outcomes       *outcome.Outcomes           // of jobs that have ended and been committed
-	// unknown are jobs that workers list and whose records have to be read, and absent those of which the store has none.
+	// unknownJobs are jobs that workers list and whose records have to be read from the store;
+	// absentJobs are those of which the store has no record.
 	unknownJobs, absentJobs map[job.ID]struct{}
 	workers                 map[WorkerID]*worker
-	// workerHistories is what is kept of workers over all their lives, by name.
+	// workerHistories holds what is kept of each worker over all its incarnations, by the worker's
+	// name.
 	workerHistories map[string]*workerHistory
-	newWorkers      []*worker           // that have to be asked from now on
-	sortedWorkers   []*worker           // all workers by id; nil when one came or went (workersByID)
-	usableWorkers   usableWorkersByPool // of the plan that is being made; nil between plans
+	newWorkers      []*worker           // workers that have to be polled from now on
+	sortedWorkers   []*worker           // all workers, by ID; nil after one was added or removed (workersByID)
+	usableWorkers   usableWorkersByPool // for the plan that is being made; nil between plans
 	waitingSteps    waitingQueue
 	promotedGangs   gangPromotions
 	scheduledJobs   map[*jobState]struct{}
@@ -81,31 +85,35 @@
 	pendingStops    []*run
 	workersToFence  []*worker
 	pendingPaces    []*run
-	// startsToStore are starts that wait for a commit, and stored those that the store has and that are not ordered yet.
+	// startsToStore are starts that wait to be committed to the store; startsToOrder are those that the
+	// store has and that have not been ordered yet.
 	startsToStore, startsToOrder []*run
 	crashes                      *crash.History
-	// parting are workers that have crashed under starts that are not committed as crashes yet, and uncountedCrash is one that did under
-	// starts of a former owner (takeover.missed).
+	// uncommittedCrashes are workers that crashed after starts, while the store does not have these
+	// crashes yet. uncountedCrash is a worker that crashed after starts of a previous owner
+	// (takeoverState.hasUncountedCrash).
 	uncommittedCrashes map[WorkerID]WorkerInfo
 	uncountedCrash     WorkerInfo
-	rosterChanges      map[string]struct{} // names of workers (TakeRosterChanges)
+	rosterChanges      map[string]struct{} // names of the workers whose roster entries may have changed (TakeRosterChanges)
 	createdAt          clock.Time
-	surveyedAt         clock.Time // all workers were looked at (updateLoads)
+	surveyedAt         clock.Time // when loads was last computed (updateLoads)
 	loads              map[string]*poolLoad
-	// confirmedAt is when the store is known to have named this owner last (Confirmed), and
-	// unconfirmed says that it has to be asked again.
+	// ownershipConfirmedAt is the latest time at which the store is known to have named this process as
+	// the owner (RecordOwnershipConfirmed). needsOwnershipCheck says that it has to be asked again.
 	ownershipConfirmedAt clock.Time
 	needsOwnershipCheck  bool
-	// unstoredWorkersSince is since when names of workers wait to be stored, and workersInCommitSince the same of those that are on their way; 0 without any.
+	// unstoredWorkersSince is the time since which recorded workers have waited to be written to the
+	// store; workersInCommitSince is the same for those in the commit that is under way. 0 when there
+	// are none.
 	unstoredWorkersSince, workersInCommitSince clock.Time
-	needsPlan                                  bool       // there is more to plan than before the present event
-	jobsLoaded                                 bool       // the jobs of the store are known
-	fenced                                     bool       // a worker has seen a token of a later owner
-	now                                        clock.Time // of the present event
-	stepCount, incarnationCount                int64      // made and taken in so far
+	needsPlan                                  bool       // the current event may allow a plan to do more
+	jobsLoaded                                 bool       // all jobs have been read from the store
+	fenced                                     bool       // a worker has seen the token of a later owner
+	now                                        clock.Time // of the current event
+	stepCount, incarnationCount                int64      // steps and incarnations added so far
 }
 
-// New returns a pool without workers and jobs.
+// New returns a pool without workers or jobs.
 func New(cfg Config, now clock.Time) *Pool {
 	p := &Pool{
 		cfg: cfg, takeover: newTakeover(cfg, now),
@@ -120,7 +128,8 @@
 	return p
 }
 
-// customerOf names whose job an event is about.
+// customerOf returns the name of the customer whose job an event is about; "" when the job is not
+// known.
 func (p *Pool) customerOf(e Event) string {
 	id := e.Job
 	if id == "" {
@@ -132,8 +141,8 @@
 	return ""
 }
 
-// MarkJobsLoaded takes in that all jobs of the store are known. Before that, workers are held but
-// what they report is left to the next report.
+// MarkJobsLoaded records that all jobs in the store are known. Before that, workers are polled, but the
+// contents of their reports are left to their next reports.
 func (p *Pool) MarkJobsLoaded() {
 	p.jobsLoaded = true
 	p.updateOverShareOfLoaded()
@@ -143,8 +152,9 @@
 	}
 }
 
-// SetConfig puts a configuration in force for the queues of all jobs, unless it is older than the one in force: a new
-// owner is told what it read by one duty and what is newer by another, in either order.
+// SetConfig applies a configuration to the queues of all jobs, unless it is older than the one in
+// force. A new owner gets the configuration that it read and newer ones from different sources, in
+// either order.
 func (p *Pool) SetConfig(cfg *queue.Config) {
 	if p.config != nil && cfg.Version < p.config.Version {
 		return
@@ -164,14 +174,15 @@
 	p.waitingSteps.invalidateRanks()
 }
 
-// IsPoolConfigured says that a configuration or the queue of a job has named a pool of workers, or that none is known yet. One that
-// a later configuration does not name still has the jobs that were accepted for it.
+// IsPoolConfigured reports whether a configuration or the queue of a job has named a pool of workers,
+// or none is known yet. A pool that a later configuration no longer names still has the jobs that were
+// accepted for it.
 func (p *Pool) IsPoolConfigured(pool string) bool {
 	return len(p.knownPools) == 0 || p.knownPools[pool]
 }
 
-// AddJob takes in an accepted job; it is known only once. age is how long ago it was
-// accepted, as far as the clocks of two hosts tell.
+// AddJob adds an accepted job; a job that is already known is ignored. age is how long ago it was
+// accepted, as measured by the clocks of two hosts.
 func (p *Pool) AddJob(r job.Record, progress job.Progress, stored bool, age time.Duration, now clock.Time) {
 	p.now = now
 	id := r.Job.ID
@@ -208,7 +219,7 @@
 	}
 }
 
-// AddOutcome takes in the record of a job that has ended, as the store tells.
+// AddOutcome records the outcome of a job that has ended, as read from the store.
 func (p *Pool) AddOutcome(id job.ID, ended job.Record, now clock.Time) {
 	if !p.jobsLoaded {
 		p.addEndedJobUse(ended)
@@ -227,7 +238,7 @@
 	p.forgetJobIfIdle(j)
 }
 
-// createOccurrence makes the steps of a time and lets those begin whose turn has come.
+// createOccurrence creates the steps of an occurrence and queues those that depend on no other step.
 func (p *Pool) createOccurrence(j *jobState, k int) *occurrence {
 	if j.occurrences[k] != nil {
 		return j.occurrences[k]
@@ -251,7 +262,7 @@
 	return t
 }
 
-// createDueOccurrences opens the times of a scheduled job that have come.
+// createDueOccurrences creates the occurrences of a scheduled job whose times have come.
 func (p *Pool) createDueOccurrences(j *jobState) {
 	wall := p.cfg.WallClock()
 	for j.nextOccurrence < len(j.occurrences) && !j.job.Schedule.Due(j.nextOccurrence).After(wall) {
@@ -263,7 +274,8 @@
 	}
 }
 
-// updateWaitingSteps puts the steps of a time whose turn has come among the ready ones.
+// updateWaitingSteps puts the steps of an occurrence that have waiting tasks and whose dependencies are
+// done into the waiting queue, and removes the others from it.
 func (p *Pool) updateWaitingSteps(t *occurrence) {
 	for _, s := range t.steps {
 		if t.job.outcome == "" && s.dependenciesDone() && s.waitingTasks() > 0 {
@@ -278,6 +290,7 @@
 	}
 }
 
+// dependenciesDone reports whether all steps that this one comes after are finished.
 func (s *step) dependenciesDone() bool {
 	for _, a := range s.spec.After {
 		if !s.occurrence.steps[a].finished() {
@@ -287,8 +300,8 @@
 	return true
 }
 
-// waiting counts the tasks that may be started; of a gang all, those that are missing, or
-// none.
+// waitingTasks returns the number of tasks that may be started. For a gang these are all of its
+// members, the missing ones, or none.
 func (s *step) waitingTasks() int {
 	n := s.idleTasks
 	if s.spec.Gang && n < len(s.tasks) && !s.hasMissingMembers() {
@@ -297,7 +310,7 @@
 	return n
 }
 
-// Cancel ends a job. It says whether the job is known.
+// Cancel ends a job as cancelled. It reports whether the job is known.
 func (p *Pool) Cancel(id job.ID) bool {
 	j, ok := p.jobs[id]
 	if !ok {
@@ -309,7 +322,7 @@
 	return true
 }
 
-// finishJob gives a job its outcome and stops what still runs of it.
+// finishJob sets the outcome of a job and stops its remaining runs.
 func (p *Pool) finishJob(j *jobState, outcome job.State) {
 	j.outcome = outcome
 	p.dirty[j] = struct{}{}
@@ -318,7 +331,7 @@
 		p.waitingSteps.remove(s)
 		p.abandonAdviceCalls(s)
 		if outcome == job.Completed {
-			continue // what is still counted of it has ended: members of gangs
+			continue // the runs that are still counted are gang members that have ended
 		}
 		for i := range s.tasks {
 			p.stopRun(s.tasks[i].current)
@@ -327,7 +340,7 @@
 	p.cfg.Log(Event{Name: "job_ended", Job: j.job.ID, Detail: string(outcome)})
 }
 
-// finishJobIfDone completes a job all of whose times are done.
+// finishJobIfDone completes a job when all its occurrences are finished.
 func (p *Pool) finishJobIfDone(j *jobState) {
 	if j.outcome != "" {
 		return
@@ -340,7 +353,8 @@
 	p.finishJob(j, job.Completed)
 }
 
-// JobState tells how far a job is, as it may be shown, and whose it is; ok is false when it is not known.
+// JobState returns the state of a job as it may be shown to callers, and its customer; ok is false when
+// the job is not known.
 func (p *Pool) JobState(id job.ID) (state job.State, customer string, ok bool) {
 	if x, ended := p.outcomes.Find(id); ended {
 		return x.State, x.Customer, true
@@ -357,7 +371,7 @@
 	return job.Queued, j.customer.Name, true
 }
 
-// PendingJobs counts the jobs of a queue of which no task has begun.
+// PendingJobs counts the jobs of a queue that have not begun to run.
 func (p *Pool) PendingJobs(queueName string) int {
 	n := 0
 	for _, j := range p.jobs {
@@ -368,7 +382,7 @@
 	return n
 }
 
-// jobsByID lists all jobs, by id.
+// jobsByID lists all jobs, sorted by ID.
 func (p *Pool) jobsByID() []*jobState {
 	return slices.SortedFunc(maps.Values(p.jobs), compareJobs)
 }
@@ -377,12 +391,14 @@
 	return cmp.Compare(a.job.ID, b.job.ID)
 }
 
-// IsFenced says that a worker has seen a higher token: another owner has taken over.
+// IsFenced reports whether a worker has seen a higher token, which means that another owner has taken
+// over.
 func (p *Pool) IsFenced() bool {
 	return p.fenced
 }
 
-// task returns the task of an id, or nil.
+// task returns the task with the given ID, or nil if it does not exist. It creates the occurrence of
+// the task if needed.
 func (p *Pool) task(id job.TaskID) *task {
 	j, ok := p.jobs[id.Job]
 	if !ok || id.Time < 0 || id.Time >= len(j.occurrences) {
--- a/pkg/dispatch/pool_load.go
+++ b/pkg/dispatch/pool_load.go
@@ -7,36 +7,40 @@
 	"foldarch.dev/foldarch/pkg/clock"
 )
 
-// poolLoad sums up the workers of one pool, without those in halls that are being evacuated, and what waits for them. Pools have nothing in common but
-// the owner: what waits for one says nothing of the room in another.
+// poolLoad sums up the workers of one pool, without those in data halls that are being evacuated, and
+// the tasks that wait for them. Each pool has its own sums: tasks that wait for one pool say nothing
+// about the room in another.
 type poolLoad struct {
 	workers  int
 	capacity cell.Resources
 	used     cell.Resources
-	// waiting is what tasks need that may be started: all of them, or so many that more waits than the pool gets through soon.
+	// waitingNeed is the sum of the resources of the tasks that may be started. Summing stops when it
+	// exceeds what the pool gets through soon (isOverloaded).
 	waitingNeed cell.Resources
 }
 
-// maxBacklogShare is the part of a pool up to which what waits may need it for gangs to hold workers.
-// With more, the room that stands idle is worth more to others. The scarcest resource decides.
-// Of 0.2, 0.3, 0.5 and no limit it earned most in a pool of 48 workers under bursts of short jobs.
+// maxBacklogShare is the share of a pool's scarcest resource that the waiting tasks may need while
+// gangs may still reserve workers. With a larger backlog, other tasks make better use of the reserved
+// room. Of 0.2, 0.3, 0.5 and no limit, 0.3 earned most in a pool of 48 workers under bursts of short
+// jobs.
 const maxBacklogShare = 0.3
 
-// isOverloaded says that more waits than the pool gets through soon.
+// isOverloaded reports whether more tasks wait than the pool gets through soon.
 func (l *poolLoad) isOverloaded() bool {
 	return l.waitingNeed.DominantShare(l.capacity) > maxBacklogShare
 }
 
-// mostlyUsedShare is the part of a pool from which on all steps take their turns. The platform counts a job as lost that waits while less than
-// half of a pool is in use, and a plan's sums are up to 20 ms old.
+// mostlyUsedShare is the share of a pool in use above which waiting is excused. The platform counts a
+// job as lost that waits while less than half of a pool is in use, and the sums that a plan uses are up
+// to 20 ms old.
 const mostlyUsedShare = 0.6
 
-// isMostlyUsed says that most of the pool is in use.
+// isMostlyUsed reports whether most of the pool is in use.
 func (l *poolLoad) isMostlyUsed() bool {
 	return l.used.DominantShare(l.capacity) > mostlyUsedShare
 }
 
-// poolLoad returns the sums of a pool; those of one that has no workers are empty.
+// poolLoad returns the sums of a pool. For a pool without workers they are empty.
 func (p *Pool) poolLoad(pool string) *poolLoad {
 	l, ok := p.loads[pool]
 	if !ok {
@@ -46,11 +50,12 @@
 	return l
 }
 
-// surveyInterval is the least time between two looks at all workers: plans follow each other
+// surveyInterval is the minimum time between two passes over all workers: plans follow each other
 // within milliseconds, and there may be thousands of workers.
 const surveyInterval = 20 * time.Millisecond
 
-// updateLoads ends what has lapsed, and sums up what the workers hold.
+// updateLoads ends runs whose leases have expired, retires draining workers and computes the sums of
+// all pools.
 func (p *Pool) updateLoads(now clock.Time) {
 	if p.surveyedAt != 0 && now.Sub(p.surveyedAt) < surveyInterval {
 		return
@@ -70,7 +75,7 @@
 	}
 }
 
-// sumBacklog sums up what waits for each pool, until it is more than the pool gets through soon. What waits for its customer's quota does not
+// sumBacklog computes the waiting need of each pool. Tasks that wait for their customer's quota don't
 // count.
 func (p *Pool) sumBacklog() {
 	for _, l := range p.loads {
--- a/pkg/dispatch/preempt.go
+++ b/pkg/dispatch/preempt.go
@@ -13,26 +13,27 @@
 )
 
 const (
-	// preemptionInterval is the least time between two preemptions for a step: the first takes its
-	// time, and other room may come meanwhile. It covers the grace of a stop (0.4 s), the report
-	// of the end and a plan.
+	// preemptionInterval is the minimum time between two preemptions for a step: the first one takes
+	// some time to have effect, and other room may become free meanwhile. It covers the grace time of a
+	// stop (0.4 s), the report of the end and a plan.
 	preemptionInterval = 600 * time.Millisecond
-	// preemptRetry is the least time between two looks for runs to be stopped when nothing was found. A look
-	// goes over all workers that may run the step, with their runs; it took a third of the owner's time for
-	// decisions in a busy pool of 1,100 workers (BenchmarkBusyPool).
+	// preemptRetry is the minimum time between two searches for runs to preempt when the first one
+	// found none. A search visits all workers that may run the step, with their runs. Without this
+	// limit the searches took a third of the owner's time for decisions in a busy pool of 1,100 workers
+	// (BenchmarkBusyPool).
 	preemptRetry = 100 * time.Millisecond
-	// maxPreemptionLoss is how much work a preemption may throw away, in parts of the work of the
-	// tasks that it is made for. With 0.25 jobs earn 0.003 less in a pool of 48 workers,
-	// with 1.0 up to 3,200 core-seconds are thrown away in a minute.
+	// maxPreemptionLoss is how much work a preemption may throw away, as a share of the work of the
+	// tasks that it makes room for. With 0.25 jobs earn 0.003 less in a pool of 48 workers; with 1.0 up
+	// to 3,200 core-seconds are thrown away per minute.
 	maxPreemptionLoss = 0.6
-	// endsSoonWithin is how long a run may still take to be left alone: its room comes by itself, about as
-	// soon as that of a stopped one.
+	// endsSoonWithin is the remaining time up to which a run is not preempted: it frees its room by
+	// itself about as soon as a stopped run would.
 	endsSoonWithin = 500 * time.Millisecond
 )
 
-// preempt stops runs of lower priorities so that the waiting tasks of a step find room while their
-// end is in time. A stopped run saves its checkpoint, if its step has any, and its task waits again;
-// it is not counted as a failure. A gang gets room for all its members or none.
+// preempt stops runs of lower priority to make room for the waiting tasks of a step that can still end
+// in time. A stopped run saves its checkpoint, if its step has any, and its task waits again; this does
+// not count as a failure. A gang gets room for all its members or for none.
 func (p *Pool) preempt(s *step, now clock.Time) {
 	if !p.mayPreempt(s, now) {
 		return
@@ -47,13 +48,14 @@
 	}
 }
 
-// preemptRun stops a run to make room for a step; with a gang, all its members.
+// preemptRun stops a run to make room for a step. If the run belongs to a gang, all members are
+// stopped.
 func (p *Pool) preemptRun(r *run, s *step) {
 	p.cfg.Log(Event{Name: "run_preempted", Task: r.task.id(), Run: r.number, Worker: r.worker.info.ID, Detail: "for " + s.id().String()})
 	p.stopRunOrGang(r)
 }
 
-// mayPreempt says whether stopping others can still bring a step's end in time.
+// mayPreempt reports whether preemption for a step is allowed now and can still make its end timely.
 func (p *Pool) mayPreempt(s *step, now clock.Time) bool {
 	if p.isDisabled(Preemption) || s.spec.Filler || s.waitingTasks() == 0 || s.hasMissingMembers() {
 		return false
@@ -62,13 +64,13 @@
 		return false
 	}
 	if s.hasBoundTasks() {
-		return false // the room that is made may be of no use
+		return false // late starts bind tasks to certain workers, where the freed room may not be
 	}
 	return s.isService() || now.Add(p.cfg.StopGrace+s.spec.Estimate) <= s.occurrence.objective
 }
 
-// selectVictims chooses the runs whose stops throw least work away and make room for the waiting
-// tasks of a step; for a gang none when there can't be room for all.
+// selectVictims selects the runs whose stops throw away the least work and make room for the waiting
+// tasks of a step. For a gang it returns none when there would not be room for all members.
 func (p *Pool) selectVictims(s *step, now clock.Time) []*run {
 	limit := maxPreemptionLoss * preemption.CoreSeconds(s.spec.Need(), s.spec.Estimate)
 	need := p.startableTasks(s)
@@ -91,7 +93,7 @@
 	return stops
 }
 
-// allowedWorkers lists the workers that are known to be allowed to run a step, by id.
+// allowedWorkers lists the workers that are known to be allowed to run a step, sorted by ID.
 func (p *Pool) allowedWorkers(s *step, now clock.Time) []*worker {
 	may := func(w *worker) bool { return p.isEligible(s, w, now) }
 	if s.occurrence.job.queue.Advice == nil {
@@ -100,7 +102,8 @@
 	return p.filterWorkers(slices.Collect(maps.Keys(s.advice.allowed)), may)
 }
 
-// preemptionOption lists the runs on a worker that may be stopped to make room for more tasks of a step than it has room for, in order.
+// preemptionOption lists the runs on a worker that may be stopped to make room for more tasks of a step
+// than it has room for now. The runs are sorted by the work that a stop throws away.
 func (p *Pool) preemptionOption(w *worker, s *step, now clock.Time) *preemption.Option[*run] {
 	room := roomFor(s, w)
 	o := &preemption.Option[*run]{Free: w.free().Sub(s.spec.Need().Times(int64(room))), Most: math.MaxInt}
@@ -118,8 +121,9 @@
 	return o
 }
 
-// isPreemptable says whether a run may be stopped for a step: one of a lower priority or, for a task
-// that has been away for too long though it is to last, any that does not last itself.
+// isPreemptable reports whether a run may be stopped for a waiting step. Its priority must be lower.
+// For a service that has been without a running task for too long (worth.Overdue), any run may be
+// stopped that is not long-running itself.
 func (r *run) isPreemptable(waiting *step, now clock.Time) bool {
 	s := r.task.step
 	if r.state != runActive || r.stopRequested || r.task.current != r || s.spec.LongRunning {
@@ -134,7 +138,7 @@
 	return s.spec.Estimate-now.Sub(r.runningSince) > endsSoonWithin && r.toleratesDelay(waiting.spec.Estimate, now)
 }
 
-// toleratesDelay says that a run may wait for a time without making its job late: the job has time left, or is
+// toleratesDelay reports whether a run can be delayed by d without making its job late, or its job is
 // late already.
 func (r *run) toleratesDelay(d time.Duration, now clock.Time) bool {
 	s := r.task.step
@@ -142,8 +146,8 @@
 	return now > s.occurrence.objective || now.Add(d+left) <= s.occurrence.objective
 }
 
-// workLostByStop is the work, in core-seconds, that is done anew after a stop. A run that saves its progress
-// loses the time that it takes to go on from its checkpoint.
+// workLostByStop returns the work, in core-seconds, that has to be repeated after a stop. A run that
+// saves checkpoints loses at most the time that it takes to resume from one.
 func (r *run) workLostByStop(restore time.Duration, now clock.Time) float64 {
 	s := r.task.step
 	lost := now.Sub(r.runningSince)
--- a/pkg/dispatch/probe.go
+++ b/pkg/dispatch/probe.go
@@ -7,19 +7,19 @@
 	"foldarch.dev/foldarch/pkg/crash"
 )
 
-// A task with a crash against it is started where no other job's task is beginning, and nothing else is started
-// there until it is proven. So a crash tells what its cause is, and what began beside it is not
-// counted again. Tasks of one step are tried on one worker at a time: in a step that crashes all its workers, each
-// of them would take one.
-
-// claim keeps a worker from the starts of all jobs but that of one step.
+// claim reserves a worker for the suspect tasks of one step: no tasks of other jobs are started there.
 type claim struct {
 	step  *step
 	until clock.Time
 }
 
-// suspected says that there is a crash against a task, or against another member of its gang, so that it is to be started
-// alone.
+// isSuspect reports whether a crash is recorded against a task, or against another member of its gang.
+//
+// A suspect task is started on a worker where no task of another job was started a short time ago, and
+// no task of another job is started there until it has survived. So a further crash shows its cause,
+// and the tasks that run beside it don't get a crash recorded against them. The suspect tasks of one
+// step are tried on one worker at a time: if each task of a step crashes its worker, trying them in
+// parallel would cost one worker per task.
 func (t *task) isSuspect() bool {
 	if t.step.spec.Gang {
 		return t.step.hasSuspects()
@@ -27,7 +27,7 @@
 	return t.crash.IsSuspect()
 }
 
-// suspected says that a step has tasks that are to be started alone.
+// hasSuspects reports whether a step has unfinished tasks with a crash recorded against them.
 func (s *step) hasSuspects() bool {
 	if !s.occurrence.job.suspected {
 		return false
@@ -40,7 +40,7 @@
 	return false
 }
 
-// isProbing says that a task of a step that is to be started alone has begun and is not proven.
+// isProbing reports whether a suspect task of a step has been started and has not survived yet.
 func (s *step) isProbing() bool {
 	for i := range s.tasks {
 		if t := &s.tasks[i]; t.current != nil && !t.current.survived && t.isSuspect() {
@@ -50,7 +50,8 @@
 	return false
 }
 
-// isClaimedByOther says that a worker is claimed for another job than that of a step.
+// isClaimedByOther reports whether a worker is claimed for another job than the one of the step. It
+// drops a claim that is no longer in use.
 func (w *worker) isClaimedByOther(s *step, now clock.Time) bool {
 	if w.claim.step == nil || w.claim.step.occurrence.job == s.occurrence.job {
 		return false
@@ -62,13 +63,14 @@
 	return false
 }
 
-// awaitsClaimant says that a worker is claimed for a step that has not begun there.
+// awaitsClaimant reports whether a worker is claimed for a step and the claim has not timed out.
 func (w *worker) awaitsClaimant(now clock.Time) bool {
 	s := w.claim.step
 	return s != nil && now < w.claim.until && s.occurrence.job.outcome == "" && !s.finished()
 }
 
-// isProbed says that what a worker is claimed for has begun there and is not proven.
+// isProbed reports whether runs of the job for which a worker is claimed have been started there and
+// have not survived yet.
 func (w *worker) isProbed() bool {
 	if w.claim.step == nil {
 		return false
@@ -81,12 +83,12 @@
 	return false
 }
 
-// isFreeForProbe says that no other job's task is beginning on a worker.
+// isFreeForProbe reports whether a worker has no recent runs of other jobs.
 func (w *worker) isFreeForProbe(s *step) bool {
 	return w.otherRecentRuns(s) == 0
 }
 
-// otherRecentRuns counts the runs of other jobs on a worker that are not proven.
+// otherRecentRuns counts the runs of other jobs on a worker that have not survived yet.
 func (w *worker) otherRecentRuns(s *step) int {
 	n := 0
 	for _, r := range w.runs {
@@ -97,7 +99,7 @@
 	return n
 }
 
-// placeSuspectTasks starts the tasks of a step that are to be started alone, as many as there is room for on one worker.
+// placeSuspectTasks starts the suspect tasks of a step on one worker, as many as it has room for.
 func (p *Pool) placeSuspectTasks(s *step, reserved *reservations, now clock.Time, out *Actions) {
 	if s.isProbing() {
 		return
@@ -130,8 +132,8 @@
 	}
 }
 
-// selectProbeWorker chooses a worker on which no other job's task is beginning. Without one, it claims a worker for the step, and
-// returns nil.
+// selectProbeWorker selects a worker without recent runs of other jobs. When there is none, it claims a
+// worker for the step and returns nil.
 func (p *Pool) selectProbeWorker(s *step, candidates []*worker, now clock.Time) *worker {
 	if s.awaitsClaimedWorker(now) && !s.claimedWorker.isFreeForProbe(s) {
 		return nil
@@ -156,28 +158,32 @@
 	return nil
 }
 
-// claimWorker claims a worker for the step until a time, and for as long as what it starts there is not proven.
+// claimWorker claims a worker for the step until the given time, and after that for as long as runs
+// that were started there have not survived yet.
 func (s *step) claimWorker(w *worker, until clock.Time) {
 	w.claim = claim{step: s, until: until}
 	s.claimedWorker = w
 }
 
-// awaitsClaimedWorker says that a worker is claimed for the step, which has not begun there.
+// awaitsClaimedWorker reports whether a worker is claimed for the step, is usable and has room, and the
+// claim has not timed out.
 func (s *step) awaitsClaimedWorker(now clock.Time) bool {
 	w := s.claimedWorker
 	return w != nil && w.claim.step == s && w.awaitsClaimant(now) && w.isUsable(now) && roomFor(s, w) > 0
 }
 
-// held says that the waiting tasks of a step wait for one of them to be proven, and not for room or advice.
+// awaitsProbe reports whether the waiting tasks of a step wait for a suspect task to survive, and not
+// for room or advice.
 func (s *step) awaitsProbe(now clock.Time) bool {
 	return !s.spec.Gang && !s.hasSurvivedStart && s.hasSuspects() && (s.isProbing() || s.awaitsClaimedWorker(now))
 }
 
+// probeFitness describes how suitable a worker is for the suspect tasks of a step.
 func (p *Pool) probeFitness(s *step, w *worker) crash.ProbeFitness {
 	return crash.ProbeFitness{RecentRuns: w.otherRecentRuns(s), CrashedAt: p.crashes.LastCrashAt(w.info.Address), LastSeenAt: w.lastSeenAt()}
 }
 
-// mayClaimAnother says whether one more worker may be claimed.
+// mayClaimAnother reports whether one more worker may be claimed.
 func (p *Pool) mayClaimAnother(now clock.Time) bool {
 	claimed, all := 0, 0
 	for _, w := range p.workers {
@@ -192,8 +198,8 @@
 	return crash.MayClaimWorker(claimed, all)
 }
 
-// selectGangProbeWorkers lists the workers on which a gang with a crash against it may be started. Without enough, it claims those
-// that the gang would get.
+// selectGangProbeWorkers lists the workers on which a suspect gang may be started. When they are not
+// enough, it claims the workers that the gang would get, and returns nil.
 func (p *Pool) selectGangProbeWorkers(s *step, candidates []*worker, now clock.Time) []*worker {
 	alone := slices.DeleteFunc(slices.Clone(candidates), func(w *worker) bool { return !w.liveness().IsResponsive(now) || !w.isFreeForProbe(s) })
 	if s.hasMissingMembers() || p.gangWorkers(s, alone) != nil {
--- a/pkg/dispatch/quota.go
+++ b/pkg/dispatch/quota.go
@@ -9,13 +9,14 @@
 	"foldarch.dev/foldarch/pkg/worth"
 )
 
-// A customer has no more running, on all workers together, than its quota (package account). What counts is what counts against the room of
-// workers, from the moment a start is decided until its run has certainly ended (count, release), so the quota and the workers' capacity
-// can't disagree. A customer that the configuration does not name any more keeps the quota that was known last.
+// openAccount returns the account of a customer, and creates it if there is none; nil for a customer
+// without a name.
 //
-// What former owners may have running on workers that a new one has not heard of counts, too (unheard.go).
-
-// openAccount returns the account of a job's customer, which it makes unless there is one; nil for nobody's job.
+// An account limits the resources that a customer uses on all workers together to its quota (package
+// account). It counts the same runs as the workers' room does, from the decision to start a run until
+// the run has certainly ended (addRun, removeRun), so quota and worker capacity always agree. Runs that
+// previous owners may have started on workers that have not reported to this owner count as well
+// (unreported.go). A customer that the configuration no longer names keeps its last known quota.
 func (p *Pool) openAccount(c customer.Customer) *account.Account {
 	if c.Name == "" {
 		return nil
@@ -27,7 +28,7 @@
 	return p.accounts[c.Name]
 }
 
-// updateAccount gives an account the weight and the quota of the configuration in force.
+// updateAccount sets the weight and the quota of an account to those of the configuration in force.
 func (p *Pool) updateAccount(name string) {
 	if p.config == nil || p.config.Customers == nil {
 		return
@@ -37,12 +38,13 @@
 	}
 }
 
-// quotaNeed is what a task of a step counts for in its customer's account: all that it takes, also what it is not given room for.
+// quotaNeed returns what a task of the step counts against its customer's quota: all the resources that
+// it specifies, also those that are not counted against the worker's room (Step.Need).
 func (s *step) quotaNeed() cell.Resources {
 	return s.spec.Resources
 }
 
-// chargeQuota and releaseQuota keep what a customer has running.
+// chargeQuota counts a run of a step against its customer's quota.
 func (p *Pool) chargeQuota(s *step) {
 	s.countedRuns++
 	if a := s.occurrence.job.account; a != nil {
@@ -50,6 +52,7 @@
 	}
 }
 
+// releaseQuota reverses chargeQuota.
 func (p *Pool) releaseQuota(s *step) {
 	s.countedRuns--
 	if a := s.occurrence.job.account; a != nil {
@@ -57,19 +60,21 @@
 	}
 }
 
-// quotaRoom is how many more tasks of a step its customer may have running, at most most.
+// quotaRoom returns how many more tasks of a step fit into its customer's quota, at most the given
+// limit.
 func (p *Pool) quotaRoom(s *step, most int) int {
 	a := s.occurrence.job.account
 	if a == nil {
 		return most
 	}
 	if p.HasUnknownJobs() {
-		return 0 // whose the runs are that workers list of unknown jobs is not known; their records are being read
+		return 0 // workers list runs of unknown jobs, which may be this customer's; their records are being read
 	}
 	return a.StartableTasks(s.claimant(), s.quotaNeed(), most)
 }
 
-// startableTasks is how many of a step's waiting tasks its customer's quota lets start; of a gang that is to start as a whole, all or none.
+// startableTasks returns how many of a step's waiting tasks fit into its customer's quota. For a gang
+// that starts as a whole these are all or none.
 func (p *Pool) startableTasks(s *step) int {
 	waiting := s.waitingTasks()
 	n := p.quotaRoom(s, waiting)
@@ -79,30 +84,33 @@
 	return n
 }
 
-// awaitsQuota says that nothing of a step may start before its customer has less running.
+// awaitsQuota reports whether a step has waiting tasks and none of them may start until its customer
+// uses less of its quota.
 func (p *Pool) awaitsQuota(s *step) bool {
 	return !s.hasMissingMembers() && s.waitingTasks() > 0 && p.startableTasks(s) == 0
 }
 
-// reserveGangQuota keeps the room in its customer's quota that comes for a gang that is in time, from later steps: a gang never finds
-// enough at once while each end makes room for a smaller step.
+// reserveGangQuota reserves quota that becomes free for a gang that can still end in time. Otherwise
+// the gang would never find enough quota at once, as each run that ends makes room for a smaller step.
 func (p *Pool) reserveGangQuota(s *step, now clock.Time) {
 	if s.spec.Gang && s.valueClass(now) <= worth.InTime {
 		s.reserveQuota()
 	}
 }
 
-// reserveQuota keeps room in its customer's quota for all members of a gang, as far as the account makes promises.
+// reserveQuota reserves room in the customer's quota for all members of a gang, as far as the account
+// allows.
 func (s *step) reserveQuota() {
 	s.occurrence.job.account.Reserve(s.claimant(), s.spec.AtOnce())
 }
 
-// claimant is a step as its customer's account knows it.
+// claimant identifies a step in its customer's account.
 func (s *step) claimant() account.Claimant {
 	return account.Claimant(s.seq)
 }
 
-// addOrphan takes in that a worker lists a run of a job of which nothing is known but that it has ended.
+// addOrphan records that a worker lists a run of a job that is not known, or of which only the outcome
+// is known. The run is counted in its customer's account if the customer is known.
 func (p *Pool) addOrphan(w *worker, id job.ID) {
 	ended, _ := p.outcomes.Find(id)
 	if a := p.openAccount(customer.Customer{Name: ended.Customer}); a != nil {
@@ -111,7 +119,7 @@
 	}
 }
 
-// clearOrphans takes back what addOrphan has counted of a worker.
+// clearOrphans removes the orphans of a worker from the customers' accounts.
 func (w *worker) clearOrphans() {
 	for _, a := range w.orphanAccounts {
 		a.RemoveOrphan()
@@ -119,7 +127,7 @@
 	w.orphanAccounts = w.orphanAccounts[:0]
 }
 
-// clearQuotaReservations begins a plan.
+// clearQuotaReservations removes the quota reservations of the previous plan.
 func (p *Pool) clearQuotaReservations() {
 	for _, a := range p.accounts {
 		a.ClearReservations()
--- a/pkg/dispatch/quota_preemption.go
+++ b/pkg/dispatch/quota_preemption.go
@@ -10,20 +10,19 @@
 	"foldarch.dev/foldarch/pkg/clock"
 )
 
-// A gang that needs more than half of its customer's quota may have to wait for the last of the runs that were there
-// before it, while nothing else of the customer starts. Those that still take long are stopped, so that the quota is not
-// left unused.
-
 const (
-	// lowQuotaShare is the part of a quota below which the platform counts a job as lost that waits.
+	// lowQuotaShare is the share of a quota in use below which the platform counts a waiting job as
+	// lost.
 	lowQuotaShare = 0.5
-	// maxLowQuotaTime is how long a quota may be little used while a gang waits for it: the platform allows 3 s, of which a
-	// stop takes up to 0.9 s.
+	// maxLowQuotaTime is how long less than lowQuotaShare of a quota may be in use while a gang waits
+	// for it. The platform allows 3 s, of which a stop takes up to 0.9 s.
 	maxLowQuotaTime = time.Second
 )
 
-// preemptForQuota stops runs of a gang's customer when its quota has been little used for too long while the gang lacks
-// nothing but room in it.
+// preemptForQuota stops runs of a gang's customer when little of its quota has been in use for too long
+// and the gang lacks nothing but quota. A gang that needs more than half of the quota may have to wait
+// for the last of the customer's earlier runs, while nothing else of the customer starts. Stopping
+// those runs that still take long keeps the quota from standing unused.
 func (p *Pool) preemptForQuota(s *step, reserved *reservations, now clock.Time) {
 	a := s.occurrence.job.account
 	if a.Used().DominantShare(a.Customer().Quota) >= lowQuotaShare {
@@ -44,8 +43,8 @@
 	}
 }
 
-// selectQuotaVictims chooses runs whose ends give an account room for an amount, those first that throw least away; none when
-// their ends don't suffice.
+// selectQuotaVictims selects runs whose ends make room for the given need in a customer's quota, those
+// first that lose the least work. It returns none when their ends would not make enough room.
 func (p *Pool) selectQuotaVictims(a *account.Account, need cell.Resources, now clock.Time) []*run {
 	running := a.Used().Add(a.Unreported()).Add(need)
 	var options []*run
@@ -74,7 +73,7 @@
 	return stops
 }
 
-// activeRunsOf lists the runs of a customer's tasks that have begun.
+// activeRunsOf lists the active runs of a customer's tasks.
 func (p *Pool) activeRunsOf(a *account.Account) []*run {
 	var out []*run
 	for _, j := range p.jobsByID() {
@@ -92,8 +91,8 @@
 	return out
 }
 
-// isQuotaPreemptable says that a run may be stopped for another job of its customer. A gang is stopped as a whole, at its
-// first member.
+// isQuotaPreemptable reports whether a run may be stopped for another job of its customer. A gang is
+// stopped as a whole, so only its first member is eligible.
 func (r *run) isQuotaPreemptable(now clock.Time) bool {
 	s := r.task.step
 	if s.spec.LongRunning || s.spec.Gang && (r.task.index > 0 || s.runningTasks < len(s.tasks)) {
@@ -102,7 +101,8 @@
 	return r.timeLeft(now) > endsSoonWithin
 }
 
-// releasedQuota is what the end of a run gives back of its customer's quota; of a gang, what all members take.
+// releasedQuota returns the quota that a stop of the run releases; for a gang this is the quota of all
+// members.
 func (r *run) releasedQuota() cell.Resources {
 	s := r.task.step
 	if s.spec.Gang {
--- a/pkg/dispatch/recorded_workers.go
+++ b/pkg/dispatch/recorded_workers.go
@@ -9,24 +9,27 @@
 	"foldarch.dev/foldarch/pkg/takeover"
 )
 
-// Where the store takes enough writes, the workers of a job are named in its progress before a start goes to them (Config.NamedFrom). So a later
-// owner knows which silent workers may run the job, and that one without names was never started. A name stands for all lives of a worker: a
-// start that was sent to one may be carried out by the next.
-
 const (
-	// recordingTimeout is how long the store may take to answer before jobs make do with the workers that are named already: it answers within
-	// milliseconds, or is slow.
+	// recordingTimeout is how long the store may take to answer before jobs use only the workers that
+	// are recorded already. The store answers within milliseconds unless it is slow.
 	recordingTimeout = 250 * time.Millisecond
-	// maxRecordedAhead is how many workers are named at once for a step that needs no advice.
+	// maxRecordedAhead is the maximum number of workers that are recorded at once for a step that needs
+	// no advice, unless it has more tasks.
 	maxRecordedAhead = 16
 )
 
-// recordsWorkers says that all owners which may have started a job have named its workers first, and that this one has to.
+// recordsWorkers reports whether this owner and all that may have started a job record its workers in
+// the store before they start it there (Config.RecordWorkersFromTerm). A later owner then knows which
+// silent workers may run the job, and that a job without recorded workers was never started. This is
+// done only where the store accepts enough writes.
+//
+// A recorded worker stands for all incarnations of the worker's name, since a start that was sent to
+// one incarnation may be carried out by the next.
 func (p *Pool) recordsWorkers(j *jobState) bool {
 	return p.cfg.RecordWorkersFromTerm > 0 && j.term >= p.cfg.RecordWorkersFromTerm
 }
 
-// recordWorker has the store be told that starts of a job may go to a worker.
+// recordWorker has the store record that starts of a job may go to a worker.
 func (p *Pool) recordWorker(j *jobState, id WorkerID) {
 	if !p.recordsWorkers(j) || !j.recordedWorkers.Add(id.Name()) {
 		return
@@ -37,12 +40,12 @@
 	}
 }
 
-// HasUnstoredWorkers says that starts wait for names to be stored.
+// HasUnstoredWorkers reports whether starts wait for recorded workers to be written to the store.
 func (p *Pool) HasUnstoredWorkers() bool {
 	return p.unstoredWorkersSince != 0
 }
 
-// isRecordingOverdue says that the store does not answer soon enough for more workers to be named.
+// isRecordingOverdue reports whether the store answers too slowly for more workers to be recorded.
 func (p *Pool) isRecordingOverdue(now clock.Time) bool {
 	oldest := p.unstoredWorkersSince
 	if p.workersInCommitSince != 0 {
@@ -51,17 +54,19 @@
 	return oldest != 0 && now.Sub(oldest) > recordingTimeout
 }
 
-// isWorkerRecorded says that a start of a job may go to a worker as far as names are concerned.
+// isWorkerRecorded reports whether a start of a job may go to a worker with regard to the recorded
+// workers.
 func (p *Pool) isWorkerRecorded(j *jobState, w *worker) bool {
 	return !p.recordsWorkers(j) || j.recordedWorkers.IsStored(w.info.ID.Name())
 }
 
-// mayUseWorker says that a worker is of use to a job: it is named, or can be soon.
+// mayUseWorker reports whether a worker is recorded for a job, or can be soon.
 func (p *Pool) mayUseWorker(j *jobState, w *worker, now clock.Time) bool {
 	return p.isWorkerRecorded(j, w) || !p.isRecordingOverdue(now)
 }
 
-// recordMoreWorkers names workers for a step that needs no advice, if those that are named have too little room.
+// recordMoreWorkers records workers for a step that needs no advice, if those already recorded have too
+// little room.
 func (p *Pool) recordMoreWorkers(s *step, unnamed []*worker, room int) {
 	need := s.waitingTasks() - room
 	for _, w := range unnamed[:min(len(unnamed), max(maxRecordedAhead, len(s.tasks)))] {
@@ -73,26 +78,28 @@
 	}
 }
 
-// workersToRecord lists the workers of a job that are not known to have gone. While the roster tells only of some workers, all are kept.
+// workersToRecord lists the recorded workers of a job that may still run it. All are kept while jobs
+// are being loaded or a record of the roster can't be read.
 func (p *Pool) workersToRecord(j *jobState) []string {
 	return j.recordedWorkers.Retain(func(name string) bool {
 		return !p.jobsLoaded || p.takeover.hasUnreadableWorker || p.hasIncarnation(name)
 	})
 }
 
-// hasIncarnation says that a life of a worker has not gone.
+// hasIncarnation reports whether a worker has an incarnation that is not known to have ended.
 func (p *Pool) hasIncarnation(name string) bool {
 	l, known := p.workerHistories[name]
 	return known && slices.ContainsFunc(l.incarnations, func(w *worker) bool { return !w.terminated })
 }
 
-// takeUnstoredWorkers takes in that a commit takes all names to the store. It says whether there are any.
+// takeUnstoredWorkers records that a commit writes all unstored workers to the store. It reports
+// whether there are any.
 func (p *Pool) takeUnstoredWorkers() bool {
 	p.workersInCommitSince, p.unstoredWorkersSince = p.unstoredWorkersSince, 0
 	return p.workersInCommitSince != 0
 }
 
-// markWorkersStored takes in that the store has the names of a commit.
+// markWorkersStored records that the store has the workers of a commit.
 func (p *Pool) markWorkersStored(changes []JobChange) {
 	p.workersInCommitSince = 0
 	for _, c := range changes {
@@ -103,12 +110,12 @@
 	p.needsPlan = true
 }
 
-// storedWorkers tells what is known of the workers to which starts of a job may have gone.
+// storedWorkers returns the workers to which starts of a job may have gone according to the store.
 func (p *Pool) storedWorkers(j *jobState) takeover.StoredWorkers {
 	return takeover.StoredWorkers{Complete: p.recordsWorkers(j), Workers: j.recordedWorkers.StoredWorkers()}
 }
 
-// loadStoredWorkers takes in the names that the store has of a job.
+// loadStoredWorkers records the workers that the store has for a job.
 func (j *jobState) loadStoredWorkers(progress job.Progress) {
 	j.recordedWorkers.MarkStored(progress.Workers)
 }
