--- a/pkg/dispatch/outcomes.go
+++ b/pkg/dispatch/outcomes.go
@@ -9,8 +9,8 @@
 
 // ExpiredOutcomes lists up to limit jobs whose outcomes have been kept for at least the given time. The
 // caller deletes them from the store and then calls ForgetOutcomes.
-func (p *Pool) ExpiredOutcomes(keep time.Duration, most int, now clock.Time) []job.ID {
-	return p.outcomes.Expired(keep, most, now)
+func (p *Pool) ExpiredOutcomes(keep time.Duration, limit int, now clock.Time) []job.ID {
+	return p.outcomes.Expired(keep, limit, now)
 }
 
 // ForgetOutcomes drops outcomes that ExpiredOutcomes listed and that the store no longer has.
--- a/pkg/dispatch/placement.go
+++ b/pkg/dispatch/placement.go
@@ -27,7 +27,7 @@
 	return assignMembers(s, candidates)
 }
 
-// racks groups workers by their rack, sorted by the names of the racks.
+// groupByRack groups workers by their rack, sorted by the names of the racks.
 func racks(workers []*worker) [][]*worker {
 	byRack := map[string][]*worker{}
 	var names []string
@@ -99,31 +99,32 @@
 	priority := s.occurrence.job.queue.Priority
 	j := s.occurrence.job
 	room := 0
-	var unnamed []*worker
-	may := func(w *worker) bool {
+	var unrecorded []*worker
+	accept := func(w *worker) bool {
 		if !p.isEligible(s, w, now) || reserved.isReserved(w.info.ID, priority) || roomFor(s, w) == 0 {
 			return false
 		}
 		if !p.isWorkerRecorded(j, w) {
-			unnamed = append(unnamed, w)
+			unrecorded = append(unrecorded, w)
 			return false
 		}
 		room += roomFor(s, w)
 		return true
 	}
 	if j.queue.Advice != nil {
-		return p.filterWorkers(s.advice.workersWithTickets(now), may) // these were recorded when the advice call was made
+		// These workers were recorded when the advice call was made.
+		return p.filterWorkers(s.advice.workersWithTickets(now), accept)
 	}
-	candidates := p.filterUsable(j.queue.Pool, now, may)
-	p.recordMoreWorkers(s, unnamed, room)
+	candidates := p.filterUsable(j.queue.Pool, now, accept)
+	p.recordMoreWorkers(s, unrecorded, room)
 	return candidates
 }
 
 // filterUsable lists the usable workers of a pool that satisfy a condition, sorted by ID.
-func (p *Pool) filterUsable(pool string, now clock.Time, may func(*worker) bool) []*worker {
+func (p *Pool) filterUsable(pool string, now clock.Time, accept func(*worker) bool) []*worker {
 	var out []*worker
 	for _, w := range p.usableWorkersIn(pool, now) {
-		if may(w.worker) {
+		if accept(w.worker) {
 			out = append(out, w.worker)
 		}
 	}
@@ -131,10 +132,10 @@
 }
 
 // filterWorkers lists those of the given workers that satisfy a condition, sorted by ID.
-func (p *Pool) filterWorkers(ids []WorkerID, may func(*worker) bool) []*worker {
+func (p *Pool) filterWorkers(ids []WorkerID, accept func(*worker) bool) []*worker {
 	var out []*worker
 	for _, id := range ids {
-		if w, ok := p.workers[id]; ok && may(w) {
+		if w, ok := p.workers[id]; ok && accept(w) {
 			out = append(out, w)
 		}
 	}
@@ -154,7 +155,7 @@
 	return out
 }
 
-// avoid makes a task prefer other workers than the given one.
+// avoidWorker makes a task prefer other workers than the given one.
 func (p *Pool) avoid(t *task, w *worker) {
 	if !p.isDisabled(Avoidance) {
 		t.avoidedWorker = w.info.ID
--- a/pkg/dispatch/plan.go
+++ b/pkg/dispatch/plan.go
@@ -20,7 +20,7 @@
 	stuckShare   = 0.15
 	// leaveSlack is how much longer a leaving worker is assumed to stay than it announced.
 	leaveSlack = 200 * time.Millisecond
-	// almostDone is the progress, in percent, from which a stuck run is no longer restarted.
+	// almostDonePercent is the progress, in percent, from which a stuck run is no longer restarted.
 	almostDone = 98
 )
 
@@ -82,7 +82,7 @@
 	}
 	s := r.task.step
 	if w.leavesAt != 0 && r.task.current == r && !s.finished() && p.endsAfterWorkerLeaves(w, r, now) {
-		p.restartElsewhere(r, "its worker leaves")
+		p.restartElsewhere(r, "the worker is leaving")
 		return
 	}
 	if s.spec.LongRunning || s.spec.Filler || r.progress.Percent >= almostDone || r.task.current != r {
@@ -92,9 +92,9 @@
 		return
 	}
 	if !p.isDisabled(Suspension) {
-		p.suspendWorker(w, suspendFor, "a run stands still", now)
+		p.suspendWorker(w, suspendFor, "a run makes no progress", now)
 	}
-	p.restartElsewhere(r, "it stands still")
+	p.restartElsewhere(r, "the run makes no progress")
 }
 
 // isStuck reports whether a run's progress has not changed for too long. Reports must have shown this
@@ -106,8 +106,8 @@
 
 // restartElsewhere stops a run so that its task starts on another worker. In a gang it stops all
 // members.
-func (p *Pool) restartElsewhere(r *run, why string) {
-	p.cfg.Log(Event{Name: "run_moved", Task: r.task.id(), Run: r.number, Worker: r.worker.info.ID, Detail: why})
+func (p *Pool) restartElsewhere(r *run, reason string) {
+	p.cfg.Log(Event{Name: "run_moved", Task: r.task.id(), Run: r.number, Worker: r.worker.info.ID, Detail: reason})
 	p.avoid(r.task, r.worker)
 	p.stopRunOrGang(r)
 }
--- a/pkg/dispatch/poll.go
+++ b/pkg/dispatch/poll.go
@@ -22,22 +22,22 @@
 
 // PollWait returns how long a worker may delay its answer to the next poll while nothing has ended.
 func (p *Pool) PollWait(id WorkerID) time.Duration {
-	most := maxIdlePollWait
+	limit := maxIdlePollWait
 	w, known := p.workers[id]
 	if known && len(w.runs) > 0 {
-		most = maxPollWait
+		limit = maxPollWait
 	}
 	if known && w.claim.step != nil {
 		return probeWait
 	}
 	scaled := pollWait * time.Duration(len(p.workers)) / referencePoolSize
-	return min(max(scaled, pollWait), most)
+	return min(max(scaled, pollWait), limit)
 }
 
 // NewPoll returns the next poll for a worker; ok is false when the worker is to be polled no more.
 // raise raises the token of the worker, so that starts whose answers were lost are resolved by the next
 // report. extend allows the poll to extend the worker's leases.
-func (p *Pool) NewPoll(id WorkerID, raise, extend bool, now clock.Time) (h PollOrder, ok bool) {
+func (p *Pool) NewPoll(id WorkerID, raise, extend bool, now clock.Time) (poll PollOrder, ok bool) {
 	w, known := p.workers[id]
 	if !known || w.terminated {
 		return PollOrder{}, false
@@ -46,16 +46,18 @@
 		w.history.raiseToken(p.cfg.Token)
 	}
 	w.recordPollSent(now)
-	h = PollOrder{Worker: id, Address: w.info.Address, Token: w.history.token, SentAt: now}
+	poll = PollOrder{Worker: id, Address: w.info.Address, Token: w.history.token, SentAt: now}
 	if w.mayBeReplaced() {
-		return h, true // another incarnation may receive the poll, even seconds later, so it extends and acknowledges nothing
+		// Another incarnation may receive the poll, even seconds later, so it extends and acknowledges
+		// nothing.
+		return poll, true
 	}
 	if w.mayAcknowledge(now) {
-		h.AckedEnd = w.lastCommittedEnd
+		poll.AckedEnd = w.lastCommittedEnd
 	}
 	if w.fenced && extend && now.Sub(w.lastAnsweredAt) < leaseExtensionTimeout {
-		h.Deadline = w.leaseDeadline(now, p.cfg.LeaseDuration)
-		w.latestDeadline = max(w.latestDeadline, h.Deadline)
+		poll.Deadline = w.leaseDeadline(now, p.cfg.LeaseDuration)
+		w.latestDeadline = max(w.latestDeadline, poll.Deadline)
 	}
-	return h, true
+	return poll, true
 }
--- a/pkg/dispatch/pool.go
+++ b/pkg/dispatch/pool.go
@@ -94,10 +94,12 @@
 	// (takeoverState.hasUncountedCrash).
 	uncommittedCrashes map[WorkerID]WorkerInfo
 	uncountedCrash     WorkerInfo
-	rosterChanges      map[string]struct{} // names of the workers whose roster entries may have changed (TakeRosterChanges)
-	createdAt          clock.Time
-	surveyedAt         clock.Time // when loads was last computed (updateLoads)
-	loads              map[string]*poolLoad
+	// rosterChanges are the names of the workers whose roster records may have changed
+	// (TakeRosterChanges).
+	rosterChanges map[string]struct{}
+	createdAt     clock.Time
+	surveyedAt    clock.Time // when loads was last computed (updateLoads)
+	loads         map[string]*poolLoad
 	// ownershipConfirmedAt is the latest time at which the store is known to have named this process as
 	// the owner (RecordOwnershipConfirmed). needsOwnershipCheck says that it has to be asked again.
 	ownershipConfirmedAt clock.Time
--- a/pkg/dispatch/pool_load.go
+++ b/pkg/dispatch/pool_load.go
@@ -50,7 +50,7 @@
 	return l
 }
 
-// surveyInterval is the minimum time between two passes over all workers: plans follow each other
+// loadUpdateInterval is the minimum time between two passes over all workers: plans follow each other
 // within milliseconds, and there may be thousands of workers.
 const surveyInterval = 20 * time.Millisecond
 
@@ -75,15 +75,15 @@
 	}
 }
 
-// sumBacklog computes the waiting need of each pool. Tasks that wait for their customer's quota don't
-// count.
+// updateBacklogs computes the waiting need of each pool. Tasks that wait for their customer's quota
+// don't count.
 func (p *Pool) sumBacklog() {
 	for _, l := range p.loads {
 		l.waitingNeed = cell.Resources{}
 	}
-	left := len(p.loads)
+	poolsLeft := len(p.loads)
 	for s := range p.waitingSteps.all() {
-		if left == 0 {
+		if poolsLeft == 0 {
 			return
 		}
 		l, known := p.loads[s.occurrence.job.queue.Pool]
@@ -92,7 +92,7 @@
 		}
 		l.waitingNeed = l.waitingNeed.Add(s.spec.Need().Times(int64(p.startableTasks(s))))
 		if l.isOverloaded() {
-			left--
+			poolsLeft--
 		}
 	}
 }
--- a/pkg/dispatch/preempt.go
+++ b/pkg/dispatch/preempt.go
@@ -17,10 +17,10 @@
 	// some time to have effect, and other room may become free meanwhile. It covers the grace time of a
 	// stop (0.4 s), the report of the end and a plan.
 	preemptionInterval = 600 * time.Millisecond
-	// preemptRetry is the minimum time between two searches for runs to preempt when the first one
-	// found none. A search visits all workers that may run the step, with their runs. Without this
-	// limit the searches took a third of the owner's time for decisions in a busy pool of 1,100 workers
-	// (BenchmarkBusyPool).
+	// preemptionRetryInterval is the minimum time between two searches for runs to preempt when the
+	// first one found none. A search visits all workers that may run the step, with their runs. Without
+	// this limit the searches took a third of the owner's time for decisions in a busy pool of 1,100
+	// workers (BenchmarkBusyPool).
 	preemptRetry = 100 * time.Millisecond
 	// maxPreemptionLoss is how much work a preemption may throw away, as a share of the work of the
 	// tasks that it makes room for. With 0.25 jobs earn 0.003 less in a pool of 48 workers; with 1.0 up
@@ -39,11 +39,11 @@
 		return
 	}
 	s.preemptNotBefore = now.Add(preemptRetry)
-	stops := p.selectVictims(s, now)
-	for _, r := range stops {
+	victims := p.selectVictims(s, now)
+	for _, r := range victims {
 		p.preemptRun(r, s)
 	}
-	if len(stops) > 0 {
+	if len(victims) > 0 {
 		s.preemptNotBefore = now.Add(preemptionInterval)
 	}
 }
@@ -79,27 +79,27 @@
 		need -= roomFor(s, w)
 		options = append(options, p.preemptionOption(w, s, now))
 	}
-	var stops []*run
+	var victims []*run
 	for ; need > 0; need-- {
 		best := preemption.SelectCheapest(s.spec.Need(), options)
 		if best == nil || s.valueClass(now) != worth.Overdue && best.LostWork() > limit {
 			break
 		}
-		stops = append(stops, best.TakeVictims(s.spec.Need())...)
+		victims = append(victims, best.TakeVictims(s.spec.Need())...)
 	}
 	if s.spec.Gang && need > 0 {
 		return nil
 	}
-	return stops
+	return victims
 }
 
 // allowedWorkers lists the workers that are known to be allowed to run a step, sorted by ID.
 func (p *Pool) allowedWorkers(s *step, now clock.Time) []*worker {
-	may := func(w *worker) bool { return p.isEligible(s, w, now) }
+	accept := func(w *worker) bool { return p.isEligible(s, w, now) }
 	if s.occurrence.job.queue.Advice == nil {
-		return p.filterUsable(s.occurrence.job.queue.Pool, now, may)
+		return p.filterUsable(s.occurrence.job.queue.Pool, now, accept)
 	}
-	return p.filterWorkers(slices.Collect(maps.Keys(s.advice.allowed)), may)
+	return p.filterWorkers(slices.Collect(maps.Keys(s.advice.allowed)), accept)
 }
 
 // preemptionOption lists the runs on a worker that may be stopped to make room for more tasks of a step
--- a/pkg/dispatch/probe.go
+++ b/pkg/dispatch/probe.go
@@ -114,8 +114,8 @@
 			return
 		}
 		if w == nil {
-			may := slices.DeleteFunc(p.candidates(s, reserved, now), func(w *worker) bool { return !t.lateStartsAllow(w) })
-			if w = p.selectProbeWorker(s, may, now); w == nil && t.lateStarts.IsBound() {
+			allowed := slices.DeleteFunc(p.candidates(s, reserved, now), func(w *worker) bool { return !t.lateStartsAllow(w) })
+			if w = p.selectProbeWorker(s, allowed, now); w == nil && t.lateStarts.IsBound() {
 				continue
 			}
 			if w == nil {
@@ -139,17 +139,17 @@
 		return nil
 	}
 	var best *worker
-	var bestFor crash.ProbeFitness
+	var bestFitness crash.ProbeFitness
 	for _, w := range candidates {
 		if !w.liveness().IsResponsive(now) {
 			continue
 		}
-		f := p.probeFitness(s, w)
-		if best == nil || f.Compare(bestFor) < 0 {
-			best, bestFor = w, f
+		fitness := p.probeFitness(s, w)
+		if best == nil || fitness.Compare(bestFitness) < 0 {
+			best, bestFitness = w, fitness
 		}
 	}
-	if best == nil || bestFor.RecentRuns == 0 {
+	if best == nil || bestFitness.RecentRuns == 0 {
 		return best
 	}
 	if p.mayClaimAnother(now) {
@@ -201,9 +201,9 @@
 // selectGangProbeWorkers lists the workers on which a suspect gang may be started. When they are not
 // enough, it claims the workers that the gang would get, and returns nil.
 func (p *Pool) selectGangProbeWorkers(s *step, candidates []*worker, now clock.Time) []*worker {
-	alone := slices.DeleteFunc(slices.Clone(candidates), func(w *worker) bool { return !w.liveness().IsResponsive(now) || !w.isFreeForProbe(s) })
-	if s.hasMissingMembers() || p.gangWorkers(s, alone) != nil {
-		return alone
+	free := slices.DeleteFunc(slices.Clone(candidates), func(w *worker) bool { return !w.liveness().IsResponsive(now) || !w.isFreeForProbe(s) })
+	if s.hasMissingMembers() || p.gangWorkers(s, free) != nil {
+		return free
 	}
 	for _, w := range p.gangWorkers(s, candidates) {
 		s.claimWorker(w, now.Add(crash.ClaimTimeout))
--- a/pkg/dispatch/quota.go
+++ b/pkg/dispatch/quota.go
@@ -39,7 +39,7 @@
 }
 
 // quotaNeed returns what a task of the step counts against its customer's quota: all the resources that
-// it specifies, also those that are not counted against the worker's room (Step.Need).
+// it specifies, including the CPU of fillers, which does not count against the worker's room.
 func (s *step) quotaNeed() cell.Resources {
 	return s.spec.Resources
 }
@@ -62,15 +62,16 @@
 
 // quotaRoom returns how many more tasks of a step fit into its customer's quota, at most the given
 // limit.
-func (p *Pool) quotaRoom(s *step, most int) int {
+func (p *Pool) quotaRoom(s *step, limit int) int {
 	a := s.occurrence.job.account
 	if a == nil {
-		return most
+		return limit
 	}
 	if p.HasUnknownJobs() {
-		return 0 // workers list runs of unknown jobs, which may be this customer's; their records are being read
+		// Workers list runs of unknown jobs, which may be this customer's; their records are being read.
+		return 0
 	}
-	return a.StartableTasks(s.claimant(), s.quotaNeed(), most)
+	return a.StartableTasks(s.claimant(), s.quotaNeed(), limit)
 }
 
 // startableTasks returns how many of a step's waiting tasks fit into its customer's quota. For a gang
--- a/pkg/dispatch/quota_preemption.go
+++ b/pkg/dispatch/quota_preemption.go
@@ -56,21 +56,21 @@
 		}
 	}
 	slices.SortFunc(options, func(x, y *run) int {
-		less := cmp.Compare(x.workLostByStop(p.cfg.RestoreTime, now), y.workLostByStop(p.cfg.RestoreTime, now))
-		return cmp.Or(less, compareTasks(x.task, y.task))
+		order := cmp.Compare(x.workLostByStop(p.cfg.RestoreTime, now), y.workLostByStop(p.cfg.RestoreTime, now))
+		return cmp.Or(order, compareTasks(x.task, y.task))
 	})
-	var stops []*run
+	var victims []*run
 	for _, r := range options {
 		if a.Customer().Allows(running) {
 			break
 		}
-		stops = append(stops, r)
+		victims = append(victims, r)
 		running = running.Sub(r.releasedQuota())
 	}
 	if !a.Customer().Allows(running) {
 		return nil
 	}
-	return stops
+	return victims
 }
 
 // activeRunsOf lists the active runs of a customer's tasks.
--- a/pkg/dispatch/rank.go
+++ b/pkg/dispatch/rank.go
@@ -19,8 +19,8 @@
 	return w.ValueClass(now)
 }
 
-// isService reports whether the step's tasks serve until the job is cancelled. Fillers also run until
-// then, but serve nobody and can wait.
+// isService reports whether the step's tasks serve until the job is cancelled. Long-running fillers
+// don't count: they serve nobody and can wait.
 func (s *step) isService() bool {
 	return s.spec.LongRunning && !s.spec.Filler
 }
--- a/pkg/dispatch/recorded_workers.go
+++ b/pkg/dispatch/recorded_workers.go
@@ -67,9 +67,9 @@
 
 // recordMoreWorkers records workers for a step that needs no advice, if those already recorded have too
 // little room.
-func (p *Pool) recordMoreWorkers(s *step, unnamed []*worker, room int) {
+func (p *Pool) recordMoreWorkers(s *step, unrecorded []*worker, room int) {
 	need := s.waitingTasks() - room
-	for _, w := range unnamed[:min(len(unnamed), max(maxRecordedAhead, len(s.tasks)))] {
+	for _, w := range unrecorded[:min(len(unrecorded), max(maxRecordedAhead, len(s.tasks)))] {
 		if need <= 0 {
 			return
 		}
@@ -88,8 +88,8 @@
 
 // hasIncarnation reports whether a worker has an incarnation that is not known to have ended.
 func (p *Pool) hasIncarnation(name string) bool {
-	l, known := p.workerHistories[name]
-	return known && slices.ContainsFunc(l.incarnations, func(w *worker) bool { return !w.terminated })
+	history, known := p.workerHistories[name]
+	return known && slices.ContainsFunc(history.incarnations, func(w *worker) bool { return !w.terminated })
 }
 
 // takeUnstoredWorkers records that a commit writes all unstored workers to the store. It reports
--- a/pkg/dispatch/refused_queues.go
+++ b/pkg/dispatch/refused_queues.go
@@ -9,8 +9,9 @@
 	"foldarch.dev/foldarch/pkg/queue"
 )
 
-// RefusedQueues lists the queues that should take in no jobs now, in the order of the configuration. While former owners' runs are looked for,
-// nobody knows what is owed.
+// RefusedQueues lists the queues that should accept no jobs now, in the order of the configuration. It
+// lists none while unknown runs of previous owners may belong to any job, since the pending work is not
+// known then.
 func (p *Pool) RefusedQueues(now clock.Time) []admission.Refusal {
 	if p.config == nil || !p.jobsLoaded || p.takeover.mayRunAnyJob() {
 		return nil
@@ -22,33 +23,36 @@
 	return load.Refusals(p.config.Queues)
 }
 
-// pendingAdviceTime sums up by priority the time of the calls for advice that accepted jobs still need.
+// pendingAdviceTime sums up, by priority, the expected time of the advice calls that accepted jobs
+// still need.
 func (p *Pool) pendingAdviceTime() admission.PendingAdvice {
-	owed := admission.PendingAdvice{}
+	pending := admission.PendingAdvice{}
 	for _, j := range p.jobs {
 		if j.outcome != "" || j.queue.Advice == nil {
 			continue
 		}
 		for s := range j.steps() {
 			if n := s.idleTasks; n > 0 && !p.awaitsQuota(s) {
-				owed[j.queue.Priority] += p.expectedAdviceTime(&j.queue, n)
+				pending[j.queue.Priority] += p.expectedAdviceTime(&j.queue, n)
 			}
 		}
 	}
-	return owed
+	return pending
 }
 
-// expectedAdviceTime is what the calls are expected to take for a number of tasks.
+// expectedAdviceTime returns how long the advice calls for the given number of tasks are expected to
+// take.
 func (p *Pool) expectedAdviceTime(q *queue.Queue, tasks int) time.Duration {
 	return time.Duration(p.advice.rounds.Of(q.Name) * float64(p.adviceRoundTime(q, tasks)))
 }
 
-// adviceRoundTime is what the calls take that name just as many workers as a number of tasks needs, with one task on each.
+// adviceRoundTime returns how long one round of advice calls takes that asks about as many workers as
+// the given number of tasks needs, with one task on each.
 func (p *Pool) adviceRoundTime(q *queue.Queue, tasks int) time.Duration {
 	return advice.RoundTime(*q.Advice, tasks, p.advice.rates.Of(q.Name), p.poolLoad(q.Pool).workers)
 }
 
-// updateAdviceRounds takes in what the calls for a step took that has finished.
+// updateAdviceRounds records how long the advice calls for a finished step took.
 func (p *Pool) updateAdviceRounds(s *step) {
 	q := &s.occurrence.job.queue
 	if q.Advice == nil || s.advice.callTime == 0 {
--- a/pkg/dispatch/reports.go
+++ b/pkg/dispatch/reports.go
@@ -9,25 +9,27 @@
 	"foldarch.dev/foldarch/pkg/job"
 )
 
-// HandlePollAnswer takes in a worker's answer to a hold. It says whether a plan may find more to do than
-// before: most answers only show that everything goes on.
-func (p *Pool) HandlePollAnswer(h PollOrder, a Answer, report Report, now clock.Time) (news bool) {
+// HandlePollAnswer applies a worker's answer to a poll. It reports whether a plan may find more to do
+// than before; most answers only show that the runs go on.
+func (p *Pool) HandlePollAnswer(poll PollOrder, a Answer, report Report, now clock.Time) (mayPlanMore bool) {
 	p.now = now
-	w, ok := p.workers[h.Worker]
+	w, ok := p.workers[poll.Worker]
 	if !ok || w.terminated {
 		return false
 	}
 	w.recordPollEnded(now)
 	p.needsPlan = !w.isUsable(now)
-	p.applyPollAnswer(w, h, a, report, now)
+	p.applyPollAnswer(w, poll, a, report, now)
 	return p.needsPlan
 }
 
-func (p *Pool) applyPollAnswer(w *worker, h PollOrder, a Answer, report Report, now clock.Time) {
+// applyPollAnswer applies the verdict of an answer to a poll and, if the incarnation that was polled
+// has answered, its report.
+func (p *Pool) applyPollAnswer(w *worker, poll PollOrder, a Answer, report Report, now clock.Time) {
 	switch a.Verdict {
 	case VerdictDone:
 	case VerdictFenced:
-		p.checkFence(w, h.Token)
+		p.checkFence(w, poll.Token)
 		return
 	case VerdictWrongWorker:
 		p.terminateWorker(w, "another incarnation answers", now)
@@ -35,42 +37,44 @@
 	default:
 		return
 	}
-	if !p.recordAnsweringIncarnation(w, h, report.IncarnationStart, now) {
+	if !p.recordAnsweringIncarnation(w, poll, report.IncarnationStart, now) {
 		return
 	}
-	overtaken := a.Clock < w.clock
+	outdated := a.Clock < w.clock
 	w.updateClock(a.Clock, now)
 	w.lastAnsweredAt = now
 	w.pollGap = false
-	w.lastAnsweredPollSentAt = max(w.lastAnsweredPollSentAt, h.SentAt)
+	w.lastAnsweredPollSentAt = max(w.lastAnsweredPollSentAt, poll.SentAt)
 	w.fenced = true
 	if !p.jobsLoaded {
 		return
 	}
 	if !w.reported && (p.cfg.HasPreviousOwner || w.hasPredecessor) && len(report.Active) > 0 {
-		w.inheritedLeasesUntil = now.Add(leaseExpiryTime(p.maxLeaseOn(w))) // it has seen our token, so no lease is longer
+		// The worker has seen this owner's token, so no lease lasts longer.
+		w.inheritedLeasesUntil = now.Add(leaseExpiryTime(p.maxLeaseOn(w)))
 	}
-	// Only lists that are whole tell what a worker does not run.
-	whole := !overtaken && !report.Truncated
-	w.reported, w.reportIncomplete = w.reported || whole, !whole
+	// Only a complete report shows which runs a worker does not have.
+	complete := !outdated && !report.Truncated
+	w.reported, w.reportIncomplete = w.reported || complete, !complete
 	p.applyFinishedRuns(w, report.Finished, now)
-	if !overtaken {
+	if !outdated {
 		p.applyActiveRuns(w, a.Clock, report, now)
 	}
-	if whole {
-		p.handleUnlistedRuns(w, h, report, now)
+	if complete {
+		p.handleUnlistedRuns(w, poll, report, now)
 		p.resolveStarts(w)
 	}
 }
 
-// checkFence tells a token that we raised ourselves from one of a later owner.
+// checkFence marks this owner as fenced if a worker refused its current token. A lower token may have
+// been refused because this owner raised the token itself.
 func (p *Pool) checkFence(w *worker, sent int64) {
 	if sent >= w.history.token {
 		p.fenced = true
 	}
 }
 
-// applyFinishedRuns takes in the ends that a report lists and that were not read before.
+// applyFinishedRuns applies the run ends in a report that have not been read before.
 func (p *Pool) applyFinishedRuns(w *worker, finished []FinishedRun, now clock.Time) {
 	slices.SortFunc(finished, func(a, b FinishedRun) int { return cmp.Compare(a.Number, b.Number) })
 	for _, f := range finished {
@@ -79,7 +83,8 @@
 		}
 		w.lastReadEnd = f.Number
 		if p.isJobUnresolved(f.Task.Job) {
-			// Those behind it are read: what a report no longer lists as active would be held for lost without its end.
+			// The ends after it are still applied: without its end, a run that is no longer listed as
+			// active would count as lost.
 			p.deferEnd(w, f)
 			continue
 		}
@@ -87,7 +92,7 @@
 	}
 }
 
-// applyFinishedRun takes in one end.
+// applyFinishedRun applies one run end.
 func (p *Pool) applyFinishedRun(w *worker, f FinishedRun, now clock.Time) {
 	r, known := w.runs[runKey{f.Task, f.Run}]
 	if known && r.startCall.ReusesNumber {
@@ -104,8 +109,9 @@
 	p.handleUnknownRunEnd(w, f)
 }
 
-// handleUnknownRunEnd takes in the end of a run of a former owner. Ends of several workers come
-// in any order, so a failure counts whatever else is known of the task.
+// handleUnknownRunEnd applies the end of a run that is not counted here, for example one of a previous
+// owner. Ends from several workers arrive in any order, so a failure counts even if later runs of the
+// task are known.
 func (p *Pool) handleUnknownRunEnd(w *worker, f FinishedRun) {
 	t := p.task(f.Task)
 	if t == nil || t.done || t.step.occurrence.job.outcome != "" {
@@ -128,7 +134,7 @@
 	p.handleTaskEnd(&run{task: t, number: f.Run, worker: w}, f.Reason, f.Checkpoint)
 }
 
-// applyActiveRuns takes in the runs that a report lists.
+// applyActiveRuns applies the active runs in a report.
 func (p *Pool) applyActiveRuns(w *worker, workerClock int64, report Report, now clock.Time) {
 	if report.UnparsableRuns != w.unparsableRuns {
 		w.unparsableRuns = report.UnparsableRuns
@@ -149,20 +155,21 @@
 	}
 }
 
-// handleUnlistedRuns takes in which of the runs that we count a report does not list.
-func (p *Pool) handleUnlistedRuns(w *worker, h PollOrder, report Report, now clock.Time) {
+// handleUnlistedRuns handles the runs that this owner counts on a worker and that its report does not
+// list.
+func (p *Pool) handleUnlistedRuns(w *worker, poll PollOrder, report Report, now clock.Time) {
 	listed := make(map[runKey]bool, len(report.Active))
 	for _, row := range report.Active {
 		listed[runKey{row.Task, row.Run}] = true
 	}
 	for _, r := range sortedRuns(w) {
 		if !listed[runKey{r.task.id(), r.number}] {
-			p.handleUnlistedRun(r, h, now)
+			p.handleUnlistedRun(r, poll, now)
 		}
 	}
 }
 
-// updateRun takes in what a report says of a run that goes on.
+// updateRun applies what a report says about an active run.
 func (p *Pool) updateRun(r *run, row ActiveRun, now clock.Time) {
 	if r.state != runActive {
 		p.markRunActive(r, now)
@@ -178,7 +185,7 @@
 	}
 }
 
-// markRunActive takes in that a run has begun.
+// markRunActive records that a run has begun. It stops the run if it is no longer needed.
 func (p *Pool) markRunActive(r *run, now clock.Time) {
 	r.task.removeExecutedStart(r.number)
 	r.state = runActive
@@ -193,25 +200,27 @@
 	}
 }
 
-// handleUnlistedRun decides what it means that a report does not list a run that we count.
-func (p *Pool) handleUnlistedRun(r *run, h PollOrder, now clock.Time) {
-	const sure = 2
+// handleUnlistedRun decides what it means that a report does not list a run that is counted here. An
+// unconfirmed start was not carried out if the worker has seen a higher token than the start's. An
+// active run that is missing from two reports is lost.
+func (p *Pool) handleUnlistedRun(r *run, poll PollOrder, now clock.Time) {
+	const lostAfterReports = 2
 	switch {
-	case r.state == runUnconfirmed && h.Token > r.token:
+	case r.state == runUnconfirmed && poll.Token > r.token:
 		p.cfg.Log(Event{Name: "start_void", Task: r.task.id(), Run: r.number, Worker: r.worker.info.ID})
 		p.addLateStart(r, r.worker.history.name)
 		p.cancelStart(r, 0, now)
-	case r.state == runActive && r.runningSince < h.SentAt:
-		if r.missedReports++; r.missedReports >= sure {
-			p.removeAttempt(r.task, r.number) // the worker lives
+	case r.state == runActive && r.runningSince < poll.SentAt:
+		if r.missedReports++; r.missedReports >= lostAfterReports {
+			p.removeAttempt(r.task, r.number) // the worker did not crash
 			p.addLateStart(r, r.worker.history.name)
 			p.handleRunEnd(r, EndLost, "", now)
 		}
 	}
 }
 
-// adoptRun takes in a run that a report lists and that we did not start, or gave up. It
-// returns nil when nothing is known of the task.
+// adoptRun adds a run that a report lists and that is not counted here: this owner did not start it, or
+// gave it up. It returns nil when the task is not known.
 func (p *Pool) adoptRun(w *worker, row ActiveRun, now clock.Time) *run {
 	t := p.task(row.Task)
 	if t == nil {
@@ -239,7 +248,7 @@
 		return r
 	}
 	if row.Run <= t.lastEndedRun {
-		t.setCurrent(r) // the task starts again when it has stopped
+		t.setCurrent(r) // the task starts again once this run has stopped
 		p.stopRunOrGang(r)
 		return r
 	}
@@ -251,18 +260,18 @@
 	return r
 }
 
-// IsJobActive says that a job is known and has not ended.
+// IsJobActive reports whether a job is known and has not ended.
 func (p *Pool) IsJobActive(id job.ID) bool {
 	j, ok := p.jobs[id]
 	return ok && j.outcome == ""
 }
 
-// isJobKnown says that a job is known, be it as ended.
+// isJobKnown reports whether a job is known, including those that have ended.
 func (p *Pool) isJobKnown(id job.ID) bool {
 	return p.jobs[id] != nil || p.outcomes.Contains(id)
 }
 
-// placeholderTask stands for a task of which nothing but its name is known.
+// placeholderTask returns a task for an ID of which nothing else is known.
 func placeholderTask(id job.TaskID) *task {
 	j := &jobState{job: job.Job{ID: id.Job, Steps: make([]job.Step, id.Step+1)}, outcome: job.Cancelled}
 	t := &occurrence{job: j, index: id.Time}
@@ -270,6 +279,7 @@
 	return &task{step: s, index: id.Index, done: true}
 }
 
+// compareTasks orders tasks by their IDs.
 func compareTasks(a, b *task) int {
 	x, y := a.id(), b.id()
 	return cmp.Or(cmp.Compare(x.Job, y.Job), cmp.Compare(x.Time, y.Time), cmp.Compare(x.Step, y.Step), cmp.Compare(x.Index, y.Index))
--- a/pkg/dispatch/reservations.go
+++ b/pkg/dispatch/reservations.go
@@ -10,33 +10,36 @@
 )
 
 const (
-	// gangReservationFactor is by how much the workers held for a gang exceed what it needs: one in five of them is
-	// lost or slow before the gang begins on days with trouble.
+	// gangReservationFactor is the ratio between the workers reserved for a gang and the workers that
+	// it needs: under failures, one in five of them is lost or slow before the gang begins.
 	gangReservationFactor = 1.25
-	// maxNoValueGangs is how many gangs of a pool that are worth nothing any more hold workers: one, and the next
-	// one meanwhile, so that all begin in bounded time at little cost to jobs that are worth something.
+	// maxNoValueGangs is the maximum number of gangs of a pool that reserve workers although their ends
+	// are worth nothing any more. With one, and the next one meanwhile, all of them begin in bounded
+	// time at little cost to jobs that are still worth something.
 	maxNoValueGangs = 2
-	// maxGangReservedShare is the part of a pool's workers that gangs hold at most (measured with maxBacklogShare).
+	// maxGangReservedShare is the maximum share of a pool's workers that gangs reserve. Its value goes
+	// with that of maxBacklogShare.
 	maxGangReservedShare = 0.15
 )
 
-// reservations hold the workers that a step waits for from steps that come later in the order.
+// reservations are workers that a plan keeps for waiting steps, from steps that come later in the
+// order.
 type reservations struct {
-	priorities map[WorkerID]int                  // steps of a lower priority don't get the worker
+	priorities map[WorkerID]int                  // steps of a lower priority than this may not use the worker
 	gangs      map[string]*gangReservationTotals // by pool
 }
 
-// gangReservationTotals count what the gangs of a pool hold.
+// gangReservationTotals counts the reservations for the gangs of a pool.
 type gangReservationTotals struct {
-	workers      int // that gangs hold
-	noValueGangs int // gangs that are worth nothing any more and hold workers
+	workers      int // reserved for gangs
+	noValueGangs int // gangs with reserved workers whose ends are worth nothing any more
 }
 
 func newReservations() *reservations {
 	return &reservations{priorities: map[WorkerID]int{}, gangs: map[string]*gangReservationTotals{}}
 }
 
-// gangTotals returns what the gangs of a pool hold.
+// gangTotals returns the totals of the gangs of a pool.
 func (r *reservations) gangTotals(pool string) *gangReservationTotals {
 	g, ok := r.gangs[pool]
 	if !ok {
@@ -46,34 +49,34 @@
 	return g
 }
 
-// holds says that a worker is kept from steps of a priority.
+// isReserved reports whether a worker is reserved and steps of the given priority may not use it.
 func (r *reservations) isReserved(id WorkerID, priority int) bool {
-	held, ok := r.priorities[id]
-	return ok && held < priority
+	reservedFor, ok := r.priorities[id]
+	return ok && reservedFor < priority
 }
 
-// put keeps a worker from steps of a lower priority.
+// add keeps a worker from steps of a lower priority than the given one.
 func (r *reservations) add(id WorkerID, priority int) {
-	if held, ok := r.priorities[id]; !ok || held > priority {
+	if reservedFor, ok := r.priorities[id]; !ok || reservedFor > priority {
 		r.priorities[id] = priority
 	}
 }
 
-// reserveWorkers keeps workers for a step that waits, from steps that come later.
+// reserveWorkers reserves workers for a waiting step.
 //
-// A gang needs room on many workers at once, which it never finds while others fill each gap:
-// it holds just as many as it needs, also from later steps of its own priority. Other steps
-// hold all that may run them from steps of lower priorities.
+// A gang needs room on many workers at once, which it never finds while other steps fill each gap. So
+// it reserves just as many workers as it needs, also from later steps of its own priority. Any step
+// reserves the workers on which it will have room earliest, from steps of lower priorities.
 func (p *Pool) reserveWorkers(s *step, r *reservations, now clock.Time) {
-	standing, priority := s.valueClass(now), s.occurrence.job.queue.Priority
+	class, priority := s.valueClass(now), s.occurrence.job.queue.Priority
 	gangs := r.gangTotals(s.occurrence.job.queue.Pool)
 	switch {
-	case s.spec.Gang && standing == worth.NoValue:
+	case s.spec.Gang && class == worth.NoValue:
 		if gangs.noValueGangs < maxNoValueGangs {
 			gangs.noValueGangs++
 			p.reserveGangWorkers(s, r, highestPriority, now)
 		}
-	case standing <= worth.InTime:
+	case class <= worth.InTime:
 		if s.spec.Gang {
 			p.reserveGangWorkers(s, r, priority-1, now)
 		}
@@ -83,8 +86,8 @@
 	}
 }
 
-// reserveEarliestWorkers holds as many workers as the waiting tasks of a step need, those on which there will
-// be room soonest, from steps of lower priorities.
+// reserveEarliestWorkers reserves as many workers as the waiting tasks of a step need, those on which
+// there will be room earliest, from steps of lower priorities.
 func (p *Pool) reserveEarliestWorkers(s *step, r *reservations, priority int, now clock.Time) {
 	if now >= s.reservation.expiresAt || s.reservation.taskRoom(s) < min(p.startableTasks(s), s.reservation.initialRoom) {
 		s.reservation = stepReservation{expiresAt: now.Add(reservationValidity), workers: p.earliestWorkersFor(s, r, priority, now)}
@@ -95,8 +98,8 @@
 	}
 }
 
-// earliestWorkersFor lists as many workers as the waiting tasks of a step need, those on which there will be
-// room soonest.
+// earliestWorkersFor lists as many workers as the waiting tasks of a step need, those on which there
+// will be room earliest.
 func (p *Pool) earliestWorkersFor(s *step, r *reservations, priority int, now clock.Time) []*worker {
 	workers := p.workersByTimeUntilRoom(s, r, priority, now)
 	need := p.startableTasks(s)
@@ -109,36 +112,38 @@
 	return workers
 }
 
-// reservedRoom is how many tasks of a step a worker is held for: those that it has room for, or the next one.
+// reservedRoom returns for how many tasks of a step a worker is reserved: those that it has room for
+// now, at least one.
 func reservedRoom(s *step, w *worker) int {
 	return max(roomFor(s, w), 1)
 }
 
-// reservationValidity is how long a step goes on holding the workers that were chosen for it. Choosing sorts all
-// workers that may run the step by when they will have room; with each plan, every few milliseconds, it took a
-// fifth of the owner's time for decisions in a busy pool of 1,100 workers (BenchmarkBusyPool).
+// reservationValidity is how long the workers selected for a step stay reserved before they are
+// selected anew. A selection sorts all workers that may run the step by the time at which they will
+// have room. Done with each plan, every few milliseconds, it took a fifth of the owner's time for
+// decisions in a busy pool of 1,100 workers (BenchmarkBusyPool).
 const reservationValidity = 40 * time.Millisecond
 
-// stepReservation are the workers that are held for a waiting step, for a time.
+// stepReservation holds the workers that are reserved for a waiting step until a time.
 type stepReservation struct {
 	expiresAt   clock.Time
 	workers     []*worker
-	initialRoom int // for how many tasks they were held when they were chosen
+	initialRoom int // taskRoom when the workers were selected
 }
 
-// taskRoom is for how many tasks of the step the workers are held.
-func (h *stepReservation) taskRoom(s *step) int {
+// taskRoom returns for how many tasks of the step the workers are reserved.
+func (r *stepReservation) taskRoom(s *step) int {
 	n := 0
-	for _, w := range h.workers {
+	for _, w := range r.workers {
 		n += reservedRoom(s, w)
 	}
 	return n
 }
 
-// highestPriority is a priority above that of any queue.
+// highestPriority is higher than the priority of any queue. A lower number is a higher priority.
 const highestPriority = -1
 
-// reserveGangWorkers holds the workers on which a gang may have room soonest.
+// reserveGangWorkers reserves the workers on which a gang may have room earliest.
 func (p *Pool) reserveGangWorkers(s *step, r *reservations, priority int, now clock.Time) {
 	pool := s.occurrence.job.queue.Pool
 	load, gangs := p.poolLoad(pool), r.gangTotals(pool)
@@ -162,8 +167,8 @@
 	}
 }
 
-// workersByTimeUntilRoom lists the workers that may run a step and are not held for others, those first on which
-// there will be room soonest.
+// workersByTimeUntilRoom lists the workers that may run a step and are not reserved for others, sorted
+// by the time until they have room for it.
 func (p *Pool) workersByTimeUntilRoom(s *step, r *reservations, priority int, now clock.Time) []*worker {
 	var out []*worker
 	for id := range s.advice.allowed {
@@ -172,17 +177,17 @@
 			out = append(out, w)
 		}
 	}
-	in := make(map[WorkerID]time.Duration, len(out))
+	roomTimes := make(map[WorkerID]time.Duration, len(out))
 	for _, w := range out {
-		in[w.info.ID] = w.timeUntilRoom(s, now)
+		roomTimes[w.info.ID] = w.timeUntilRoom(s, now)
 	}
 	slices.SortFunc(out, func(a, b *worker) int {
-		return cmp.Or(cmp.Compare(in[a.info.ID], in[b.info.ID]), cmp.Compare(roomFor(s, b), roomFor(s, a)), cmp.Compare(a.info.ID, b.info.ID))
+		return cmp.Or(cmp.Compare(roomTimes[a.info.ID], roomTimes[b.info.ID]), cmp.Compare(roomFor(s, b), roomFor(s, a)), cmp.Compare(a.info.ID, b.info.ID))
 	})
 	return out
 }
 
-// roomWhenEmpty is how many tasks of a step a worker holds that has nothing else to run.
+// roomWhenEmpty returns how many tasks of a step fit on a worker that runs nothing else.
 func roomWhenEmpty(s *step, w *worker) int {
 	n := maxTasksWithin(s, w.info.Capacity)
 	if s.runsPerWorker != nil {
--- a/pkg/dispatch/retirement.go
+++ b/pkg/dispatch/retirement.go
@@ -7,11 +7,10 @@
 	"foldarch.dev/foldarch/pkg/job"
 )
 
-// A worker that drains gets no start any more. The roster then tells later owners which jobs may have a run there, so that
-// one that ends without a report holds back only these (package takeover).
-
-// retireIfDraining decides that a worker gets no start any more, whatever its entry says later. The last report must have told all that runs
-// there, and nothing of it may be unknown, since the list of jobs stays as it is.
+// retireIfDraining retires a draining worker: it gets no more starts, whatever its entry says later.
+// The roster then tells later owners which jobs may have a run there, so that a retired worker that
+// ends without a report blocks only these jobs (package takeover). This list of jobs is final, so the
+// last report must have been complete and must have listed no runs of unknown jobs.
 func (p *Pool) retireIfDraining(w *worker) {
 	if w.retired || w.terminated || !w.info.Draining || !w.reported || w.reportIncomplete || w.orphanRuns > 0 || len(w.unknownJobRuns) > 0 {
 		return
@@ -23,19 +22,20 @@
 	p.retire(w, slices.Sorted(maps.Keys(jobs)))
 }
 
+// retire marks a worker as retired with the jobs that may have runs there.
 func (p *Pool) retire(w *worker, jobs []job.ID) {
 	w.retired, w.retiredJobs = true, jobs
 	p.markRosterChanged(w.info.ID)
 }
 
-// LoadRetired takes in that the roster has a worker as retired.
+// LoadRetired applies a roster entry, which may say that the worker is retired.
 func (p *Pool) LoadRetired(info WorkerInfo) {
 	if w, ok := p.workers[info.ID]; ok && info.Retired {
 		p.retire(w, info.Jobs)
 	}
 }
 
-// rosterEntry is what the roster tells of a worker.
+// rosterEntry returns a worker's entry in the roster.
 func (w *worker) rosterEntry() WorkerInfo {
 	info := w.info
 	info.Retired, info.Jobs = w.retired, w.retiredJobs
--- a/pkg/dispatch/roster.go
+++ b/pkg/dispatch/roster.go
@@ -6,10 +6,7 @@
 	"slices"
 )
 
-// The roster tells a later owner which workers may run something, since the entry of one that lives may be gone. It has a record for each
-// worker's name, so that what a change costs does not grow with the pool.
-
-// Workers lists the workers that have not gone, by id.
+// Workers lists the workers that have not terminated, sorted by ID.
 func (p *Pool) Workers() []WorkerInfo {
 	var out []WorkerInfo
 	for _, w := range p.workersByID() {
@@ -20,27 +17,34 @@
 	return out
 }
 
-// TakeRosterChanges returns the names of the workers whose records may have changed since the last call, sorted.
+// TakeRosterChanges returns the names of the workers whose roster records may have changed since the
+// last call, sorted.
+//
+// The roster tells a later owner which workers may run something, since a worker that still runs may
+// have lost its own entry in the store. It has one record for each worker name, so that the cost of a
+// change does not grow with the pool.
 func (p *Pool) TakeRosterChanges() []string {
 	if p.takeover.hasUncountedCrash {
-		p.rosterChanges[p.uncountedCrash.ID.Name()] = struct{}{} // its record goes with the last job that a former owner knew
+		// Its record is dropped with the last job of a previous owner.
+		p.rosterChanges[p.uncountedCrash.ID.Name()] = struct{}{}
 	}
 	names := slices.Sorted(maps.Keys(p.rosterChanges))
 	clear(p.rosterChanges)
 	return names
 }
 
-// markRosterChanged takes in that the record of a worker may have changed.
+// markRosterChanged records that the roster record of a worker may have changed.
 func (p *Pool) markRosterChanged(id WorkerID) {
 	p.rosterChanges[id.Name()] = struct{}{}
 }
 
-// RosterEntries lists the lives of a worker that a later owner has to know of, by id: those that have not gone, and those that crashed under starts
-// that the store may not tell.
+// RosterEntries lists the incarnations of a worker that a later owner has to know of, sorted by ID:
+// those that have not terminated, and those that crashed after starts of which the store may not have
+// the crash.
 func (p *Pool) RosterEntries(name string) []WorkerInfo {
 	var out []WorkerInfo
-	if l, known := p.workerHistories[name]; known {
-		for _, w := range l.incarnations {
+	if history, known := p.workerHistories[name]; known {
+		for _, w := range history.incarnations {
 			if !w.terminated {
 				out = append(out, w.rosterEntry())
 			}
@@ -58,7 +62,7 @@
 	return out
 }
 
-// crashed returns what the roster tells of a worker that has crashed.
+// asCrashed returns the roster entry of a worker that has crashed.
 func (i WorkerInfo) asCrashed() WorkerInfo {
 	i.Crashed = true
 	return i
--- a/pkg/dispatch/run_ends.go
+++ b/pkg/dispatch/run_ends.go
@@ -9,11 +9,11 @@
 	"foldarch.dev/foldarch/pkg/outcome"
 )
 
-// rejectedStartBackoff is how long a task waits after an order that was rejected for a reason that
-// another worker may not have.
+// rejectedStartBackoff is how long a task waits after its start was rejected for a reason that may not
+// apply to other workers.
 const rejectedStartBackoff = 50 * time.Millisecond
 
-// count books a run's resources on its worker.
+// addRun counts a run against its worker's room and its customer's quota.
 func (p *Pool) addRun(r *run) {
 	w := r.worker
 	w.runs[runKey{r.task.id(), r.number}] = r
@@ -24,7 +24,7 @@
 	}
 }
 
-// removeRun gives back what count booked.
+// removeRun reverses addRun.
 func (p *Pool) removeRun(r *run) {
 	w := r.worker
 	key := runKey{r.task.id(), r.number}
@@ -40,23 +40,23 @@
 	}
 }
 
-// handleRunEnd takes in that a counted run has ended.
-func (p *Pool) handleRunEnd(r *run, how EndReason, checkpoint string, now clock.Time) {
+// handleRunEnd handles the end of a run that is counted here.
+func (p *Pool) handleRunEnd(r *run, reason EndReason, checkpoint string, now clock.Time) {
 	p.removeRun(r)
-	p.recordWorkerResult(r.worker, r, how, now)
-	if how != EndLost {
+	p.recordWorkerResult(r.worker, r, reason, now)
+	if reason != EndLost {
 		p.recordSurvival(r)
 	}
-	p.cfg.Log(Event{Name: "run_ended", Task: r.task.id(), Run: r.number, Worker: r.worker.info.ID, Detail: how.String()})
+	p.cfg.Log(Event{Name: "run_ended", Task: r.task.id(), Run: r.number, Worker: r.worker.info.ID, Detail: reason.String()})
 	if r.task.current == r {
 		r.task.setCurrent(nil)
-		p.handleTaskEnd(r, how, checkpoint)
+		p.handleTaskEnd(r, reason, checkpoint)
 	}
 	p.forgetJobIfIdle(r.task.step.occurrence.job)
 }
 
-// handleTaskEnd takes in the end of a task's current run.
-func (p *Pool) handleTaskEnd(r *run, how EndReason, checkpoint string) {
+// handleTaskEnd handles the end of a task's current run.
+func (p *Pool) handleTaskEnd(r *run, reason EndReason, checkpoint string) {
 	t := r.task
 	s, j := t.step, t.step.occurrence.job
 	if checkpoint != "" {
@@ -69,9 +69,9 @@
 	switch {
 	case s.spec.LongRunning:
 		p.dirty[j] = struct{}{}
-	case how == EndDone:
+	case reason == EndDone:
 		p.completeTask(t)
-	case how == EndFailed:
+	case reason == EndFailed:
 		p.handleTaskFailure(t, r)
 	case s.spec.Gang:
 		p.breakGang(s)
@@ -80,7 +80,7 @@
 	p.updateWaitingSteps(s.occurrence)
 }
 
-// completeTask takes in that a task is done; with a gang, that all its members are.
+// completeTask marks a task as done; for a gang, all its members.
 func (p *Pool) completeTask(t *task) {
 	s := t.step
 	p.dirty[s.occurrence.job] = struct{}{}
@@ -91,6 +91,8 @@
 	p.completeStepIfDone(s)
 }
 
+// completeStepIfDone cancels the advice calls of a finished step and completes its job if that was the
+// last one.
 func (p *Pool) completeStepIfDone(s *step) {
 	if !s.finished() {
 		return
@@ -100,7 +102,7 @@
 	p.finishJobIfDone(s.occurrence.job)
 }
 
-// handleTaskFailure takes in that a task's current run failed.
+// handleTaskFailure handles the failure of a task's current run.
 func (p *Pool) handleTaskFailure(t *task, r *run) {
 	s := t.step
 	p.avoid(t, r.worker)
@@ -109,7 +111,7 @@
 	}
 }
 
-// countFailure counts the failure of a run, once; a gang's members fail together. It says
+// countFailure counts the failure of a run once; the members of a gang fail together. It reports
 // whether the job goes on.
 func (p *Pool) countFailure(t *task, number int) bool {
 	s, j := t.step, t.step.occurrence.job
@@ -129,7 +131,7 @@
 	return true
 }
 
-// HandleStartAnswer takes in a worker's answer to a start, or that there was none.
+// HandleStartAnswer handles a worker's answer to a start order, or the error when there was none.
 func (p *Pool) HandleStartAnswer(o StartOrder, a Answer, err error, now clock.Time) {
 	w, ok := p.workers[o.Worker]
 	if !ok {
@@ -159,12 +161,13 @@
 	p.handleStartRejection(r, o, a.Verdict, now)
 }
 
-// handleStartFailure takes in that a start got no answer.
+// handleStartFailure handles a start order without an answer. If it may have been sent, the run stays
+// unconfirmed until a report shows whether it was started.
 func (p *Pool) handleStartFailure(r *run, err error, now clock.Time) {
 	w := r.worker
 	w.recordUnanswered(now)
 	if isNotSent(err) {
-		p.suspendWorker(w, 500*time.Millisecond, "not reached", now)
+		p.suspendWorker(w, 500*time.Millisecond, "the worker could not be reached", now)
 		p.cancelStart(r, rejectedStartBackoff, now)
 		return
 	}
@@ -175,6 +178,7 @@
 	p.workersToFence = append(p.workersToFence, w)
 }
 
+// handleStartRejection handles a start order that the worker rejected.
 func (p *Pool) handleStartRejection(r *run, o StartOrder, v Verdict, now clock.Time) {
 	w, t := r.worker, r.task
 	switch v {
@@ -200,7 +204,8 @@
 	p.cancelStart(r, rejectedStartBackoff, now)
 }
 
-// cancelStart takes back a start that was not carried out; its task waits for a pause.
+// cancelStart removes a run whose start was not carried out; its task waits for the given pause before
+// it may start again.
 func (p *Pool) cancelStart(r *run, pause time.Duration, now clock.Time) {
 	p.removeRun(r)
 	t := r.task
@@ -214,7 +219,7 @@
 	p.forgetJobIfIdle(t.step.occurrence.job)
 }
 
-// stopRun has a run stopped, if there is one that goes on.
+// stopRun queues a stop order for a run if it is active and not being stopped yet. r may be nil.
 func (p *Pool) stopRun(r *run) {
 	if r != nil && r.state == runActive && r.stopSentAt == 0 {
 		r.stopRequested = true
@@ -223,7 +228,8 @@
 	}
 }
 
-// HandleStopAnswer takes in a worker's answer to a stop; the end itself is reported by a hold.
+// HandleStopAnswer handles a worker's answer to a stop order. The end itself is reported in the answer
+// to a poll.
 func (p *Pool) HandleStopAnswer(o StopOrder, a Answer, now clock.Time) {
 	w, ok := p.workers[o.Worker]
 	if !ok {
@@ -238,10 +244,11 @@
 	}
 }
 
-// forgetJobIfIdle drops a job whose outcome is committed and of which nothing runs.
+// forgetJobIfIdle drops a job whose outcome is committed and which has no runs left; only its outcome
+// is kept.
 func (p *Pool) forgetJobIfIdle(j *jobState) {
 	if !j.committed || j.hasRuns() || p.isBlockedByTakeover(j) {
-		return // a run of a former owner that is still to be found counts, and needs what is known of the job
+		return // a run of a previous owner that is still to be found needs the job
 	}
 	if p.jobs[j.job.ID] == j {
 		p.outcomes.Put(j.job.ID, outcome.Outcome{State: j.outcome, Customer: j.customer.Name, LearnedAt: p.now})
@@ -250,7 +257,7 @@
 	}
 }
 
-// runs says that a task of the job has a run.
+// hasRuns reports whether tasks of the job have runs.
 func (j *jobState) hasRuns() bool {
 	return j.runningTasks > 0
 }
--- a/pkg/dispatch/status.go
+++ b/pkg/dispatch/status.go
@@ -7,26 +7,26 @@
 
 // Status is a summary of a pool, for logs and metrics.
 type Status struct {
-	Workers             int // that may be given tasks now
-	UnresponsiveWorkers int // that have not answered lately
-	EvacuatedWorkers    int // that get no task while their data hall is evacuated
-	Jobs                int // not ended
-	Steps               int // ready, with waiting tasks
-	Waiting             int // tasks of the ready steps
+	Workers             int // may be given tasks now
+	UnresponsiveWorkers int // have not answered recently
+	EvacuatedWorkers    int // get no tasks while their data hall is evacuated
+	Jobs                int // have not ended
+	Steps               int // have waiting tasks that may be started
+	Waiting             int // waiting tasks of these steps
 	Runs                int // counted against workers
-	AdviceCalls         int // for advice, on their way
-	FreeAdvisers        int // that are free
+	AdviceCalls         int // advice calls in flight
+	FreeAdvisers        int // advisers without a call
 	Used                cell.Resources
 	Capacity            cell.Resources
-	// Takeover says that runs of a former owner are still looked for.
+	// TakeoverPending says that runs of a previous owner are still being looked for.
 	TakeoverPending      bool
-	BlockedJobs          int // jobs that wait for them
-	SilentRetiredWorkers int // silent workers that hold back only some jobs
-	// Advice is what calls for advice have taken and brought, by name (advice.Tally).
+	BlockedJobs          int // jobs that wait for these runs to be found
+	SilentRetiredWorkers int // silent workers that block only the jobs that may have runs there
+	// Advice holds the metrics of advice calls and tickets, by name (advice.Tally).
 	Advice map[string]int64
 }
 
-// Status summarizes the pool.
+// Status returns a summary of the pool.
 func (p *Pool) Status(now clock.Time) Status {
 	s := Status{Advice: p.advice.tally.Metrics(), Steps: p.waitingSteps.stepCount, AdviceCalls: len(p.advice.pendingCalls), TakeoverPending: p.takeover.pending}
 	for _, w := range p.workers {
--- a/pkg/dispatch/stored_starts.go
+++ b/pkg/dispatch/stored_starts.go
@@ -6,8 +6,9 @@
 	"foldarch.dev/foldarch/pkg/job"
 )
 
-// mustStoreStart says that a start of a task has to be in the store before it is ordered: there is a crash against it, a worker
-// was lost under an earlier start, or a former owner may have started it on a worker that crashed unseen.
+// mustStoreStart reports whether a start of a task has to be in the store before it is ordered: a crash
+// is recorded against the task, a worker was lost after an earlier start of it, or a previous owner may
+// have started it on a worker that crashed without this being counted.
 func (p *Pool) mustStoreStart(t *task) bool {
 	if t.isSuspect() || t.crash.IsUnresolved() {
 		return true
@@ -15,7 +16,7 @@
 	return p.takeover.hasUncountedCrash && !p.isUnknownToPreviousOwners(t.step.occurrence.job)
 }
 
-// startTask has a task started on a worker, at once or when the start is stored.
+// startTask has a task started on a worker, at once or after the start was stored.
 func (p *Pool) startTask(t *task, w *worker, number int, checkpoint string, now clock.Time, out *Actions) {
 	if !p.mustStoreStart(t) {
 		out.Starts = append(out.Starts, p.newStartOrder(p.createRun(t, w, number, runStarting, now), checkpoint, now))
@@ -31,7 +32,7 @@
 	p.startsToStore = append(p.startsToStore, r)
 }
 
-// orderStoredStarts orders the starts that the store has by now.
+// orderStoredStarts orders the starts that have been stored.
 func (p *Pool) orderStoredStarts(now clock.Time, out *Actions) {
 	for _, r := range p.startsToOrder {
 		switch {
@@ -46,7 +47,7 @@
 	p.startsToOrder = p.startsToOrder[:0]
 }
 
-// mayOrderStart says whether a start that was decided a little ago may still be ordered.
+// mayOrderStart reports whether a start may still be ordered after it was stored.
 func (p *Pool) mayOrderStart(r *run, now clock.Time) bool {
 	s, w := r.task.step, r.worker
 	if s.occurrence.job.outcome != "" || s.gang.broken || r.task.done || !w.isUsable(now) || !w.used.Fits(w.info.Capacity) {
@@ -61,14 +62,15 @@
 	return s.occurrence.job.queue.Advice == nil || now.Add(minTicketValidity) < s.advice.tickets[w.info.ID].expiresAt
 }
 
-// removeAttempt takes in that nothing is open of a start of a task any more; nil is one of a job that is forgotten.
+// removeAttempt removes the stored start of a run whose effect is known. t is nil when its job was
+// forgotten.
 func (p *Pool) removeAttempt(t *task, run int) {
 	if t != nil && t.crash.RemoveAttempt(run) {
 		p.markProgressChanged(t)
 	}
 }
 
-// resolveLoadedAttempts looks what became of the starts of a job that former owners have stored.
+// resolveLoadedAttempts determines what became of the starts of a job that previous owners stored.
 func (p *Pool) resolveLoadedAttempts(j *jobState, now clock.Time) {
 	for s := range j.steps() {
 		for i := range s.tasks {
@@ -79,7 +81,8 @@
 	}
 }
 
-// resolveLoadedAttempt counts a crash when the worker of an attempt is gone; one that lives tells what it runs.
+// resolveLoadedAttempt counts a crash if the worker of the stored start has terminated. If the worker
+// has not reported yet, its report resolves the start.
 func (p *Pool) resolveLoadedAttempt(t *task, a job.Attempt, now clock.Time) {
 	start := crash.Start{Task: t.id(), Run: a.Run}
 	w, known := p.workers[WorkerID(a.Worker)]
@@ -96,13 +99,14 @@
 	}
 }
 
-// keepUnresolvedStarts takes in that the leases on a silent worker have lapsed: if it turns out to have
-// crashed, what had begun just before may be the cause.
+// keepUnresolvedStarts keeps the recent starts of a silent worker whose leases have expired: if it
+// turns out that the worker crashed, one of these starts may be the cause.
 func (w *worker) keepUnresolvedStarts() {
 	w.unresolvedStarts = w.suspectStarts()
 }
 
-// resolveStarts takes in that a worker lives that was in doubt.
+// resolveStarts resolves the unresolved starts of a worker that has reported and so has not crashed.
+// Those without a run on the worker are dropped from the store.
 func (p *Pool) resolveStarts(w *worker) {
 	for _, s := range w.unresolvedStarts {
 		if w.runs[runKey{s.Task, s.Run}] == nil {
--- a/pkg/dispatch/takeover.go
+++ b/pkg/dispatch/takeover.go
@@ -9,28 +9,33 @@
 	"foldarch.dev/foldarch/pkg/takeover"
 )
 
-// maxClockDrift is how much slower than ours a worker's clock may run.
+// maxClockDrift is how much slower than the owner's clock a worker's clock may run, as a share.
 const maxClockDrift = 0.02
 
-// takeoverState tells which jobs have to wait until the runs of former owners are known.
+// takeoverState determines which jobs have to wait until the runs of previous owners are known.
 //
-// A former owner goes on for at most AuthorityTerm after most workers were fenced. What it
-// starts until then on a worker that has not been fenced lapses within MaxHold. A job that
-// was accepted under a former term is free when all workers have reported that may run it (package
-// takeover), or when everything has lapsed. One that was accepted under our own term is free at once: a
-// former owner that is told of it ends.
+// A previous owner goes on for at most AuthorityTerm after most workers were fenced. The leases of what
+// it starts until then on a worker that is not fenced expire within MaxLeaseDuration. A job that was
+// accepted in an earlier term is unblocked when all workers that may run it have reported (package
+// takeover), or when all leases given by previous owners have expired. A job that was accepted in this
+// owner's term is never blocked: a previous owner that learns of the job stops giving orders.
 type takeoverState struct {
 	pending      bool
-	runsExpireAt clock.Time // everything of former owners has ended
-	ordersUntil  clock.Time // until when former owners may give orders to workers that have not answered here
-	// silentWorkers are the workers that have not reported, and holds what they hold back; nil before that was worked out.
+	runsExpireAt clock.Time // all runs of previous owners have ended by then
+	// ordersUntil is until when previous owners may give orders to workers that have not answered this
+	// one.
+	ordersUntil clock.Time
+	// silentWorkers are the workers that have not reported, and blockedJobs the jobs that these block;
+	// nil before they are first computed.
 	silentWorkers []takeover.SilentWorker
 	blockedJobs   *takeover.BlockedJobs
-	// onlyRetiredLogged says that only retired workers were silent once.
+	// onlyRetiredLogged says that it was logged when all remaining silent workers were retired ones.
 	onlyRetiredLogged bool
-	// hasUncountedCrash says that a worker may have crashed under a start of a former owner that nobody has counted.
+	// hasUncountedCrash says that a worker may have crashed after a start of a previous owner without
+	// the crash being counted against a task.
 	hasUncountedCrash bool
-	// unknown says that a worker may run something that can't be asked, since the roster's record of it can't be read.
+	// hasUnreadableWorker says that a worker may run something but can't be polled, since its record in
+	// the roster can't be read.
 	hasUnreadableWorker bool
 }
 
@@ -39,15 +44,16 @@
 	return takeoverState{pending: cfg.HasPreviousOwner, ordersUntil: orders, runsExpireAt: orders.Add(leaseExpiryTime(cfg.MaxLeaseDuration))}
 }
 
-// leaseExpiryTime is the time by our clock after which a lease of a duration by a worker's clock
-// has certainly ended.
-func leaseExpiryTime(hold time.Duration) time.Duration {
+// leaseExpiryTime returns the time by the owner's clock after which a lease of the given duration by a
+// worker's clock has certainly expired.
+func leaseExpiryTime(lease time.Duration) time.Duration {
 	const slack = 20 * time.Millisecond
-	return time.Duration(float64(hold)*(1+2*maxClockDrift)) + slack
+	return time.Duration(float64(lease)*(1+2*maxClockDrift)) + slack
 }
 
-// maxLeaseOn is the longest lease that orders of others, or for another life, may have given on a worker. A deadline by
-// the clock of another life may be far ahead.
+// maxLeaseOn returns the longest lease on a worker that other owners, or orders for another
+// incarnation, may have given. A deadline by the clock of another incarnation may be far in the future,
+// so for workers with incarnations the worker's own limit counts.
 func (p *Pool) maxLeaseOn(w *worker) time.Duration {
 	if w.info.ID.StartedAt() != 0 {
 		return max(p.cfg.WorkerMaxLease, p.cfg.MaxLeaseDuration)
@@ -55,7 +61,8 @@
 	return p.cfg.MaxLeaseDuration
 }
 
-// RestartTakeoverTimers begins anew to count the terms of a takeover: most workers are fenced only now.
+// RestartTakeoverTimers restarts the time limits of a takeover. It is called when most workers were
+// fenced only now.
 func (p *Pool) RestartTakeoverTimers(now clock.Time) {
 	if p.takeover.pending {
 		t := newTakeover(p.cfg, now)
@@ -63,7 +70,8 @@
 	}
 }
 
-// updateTakeover frees the jobs whose runs are all known, and ends the waiting when nothing is left to be known.
+// updateTakeover unblocks the jobs whose runs are all known, and ends the takeover when no unknown runs
+// are left.
 func (p *Pool) updateTakeover(now clock.Time) {
 	if !p.takeover.pending || !p.jobsLoaded {
 		return
@@ -90,7 +98,7 @@
 	}
 }
 
-// silentWorkers lists the lives of workers that have not told what they run, by id.
+// silentWorkers lists the incarnations of workers that have not reported their runs, sorted by ID.
 func (p *Pool) silentWorkers() []takeover.SilentWorker {
 	var out []takeover.SilentWorker
 	for _, w := range p.workersByID() {
@@ -101,20 +109,20 @@
 	return out
 }
 
-// updateBlockedJobs holds back the jobs that may have runs on silent workers, and frees the others.
+// updateBlockedJobs keeps jobs blocked that may have runs on silent workers, and unblocks the others.
 func (p *Pool) updateBlockedJobs(silent []takeover.SilentWorker) {
 	t := &p.takeover
 	if t.hasUnreadableWorker || t.blockedJobs != nil && slices.EqualFunc(silent, t.silentWorkers, takeover.SilentWorker.Equal) {
 		return
 	}
 	t.silentWorkers, t.blockedJobs = silent, takeover.NewBlockedJobs(silent)
-	held := 0
+	blocked := 0
 	for _, j := range p.jobsByID() {
 		if !j.blockedByTakeover {
 			continue
 		}
 		if p.mayHaveUnknownRuns(j) {
-			held++
+			blocked++
 			continue
 		}
 		p.unblockJob(j)
@@ -123,18 +131,18 @@
 	p.updateUnreportedUse()
 	if !t.onlyRetiredLogged && !t.mayRunAnyJob() {
 		t.onlyRetiredLogged = true
-		p.cfg.Log(Event{Name: "takeover_open_settled", Detail: fmt.Sprintf("jobs_held=%d retired_workers=%d", held, len(silent))})
+		p.cfg.Log(Event{Name: "takeover_open_settled", Detail: fmt.Sprintf("jobs_held=%d retired_workers=%d", blocked, len(silent))})
 	}
 }
 
-// unblockJob takes in that all runs of former owners are known of a job.
+// unblockJob records that all runs of previous owners are known for a job.
 func (p *Pool) unblockJob(j *jobState) {
 	j.blockedByTakeover = false
 	p.needsPlan = true
 	p.stopPartialGangs(j)
 }
 
-// mayHaveUnknownRuns says that silent workers may have runs of a job.
+// mayHaveUnknownRuns reports whether silent workers may have runs of a job.
 func (p *Pool) mayHaveUnknownRuns(j *jobState) bool {
 	if !p.takeover.pending || p.isUnknownToPreviousOwners(j) {
 		return false
@@ -142,13 +150,15 @@
 	return p.takeover.blockedJobs == nil || p.takeover.blockedJobs.IsBlocked(j.job.ID, p.storedWorkers(j))
 }
 
-// RecordUnreadableWorker takes in that a worker may run something of former owners and can't be asked, so that all of theirs has to lapse.
+// RecordUnreadableWorker records that a worker may have runs of previous owners but can't be polled.
+// The takeover then lasts until all leases of previous owners have expired.
 func (p *Pool) RecordUnreadableWorker() {
 	p.takeover.hasUnreadableWorker = true
 }
 
-// previousRunsExpireAt is when nothing of former owners runs any more that no worker has told of. A worker that answers without lists that count is
-// held on by this owner.
+// previousRunsExpireAt returns when all runs of previous owners have ended that no worker has reported.
+// For a worker that answers without complete reports, this owner's own polls go on extending the
+// leases.
 func (p *Pool) previousRunsExpireAt() clock.Time {
 	at := p.takeover.runsExpireAt
 	for _, w := range p.workers {
@@ -159,17 +169,18 @@
 	return at
 }
 
-// mayRunAnyJob says that there may be a worker with runs of any job.
+// mayRunAnyJob reports whether there may be a worker with runs of any job.
 func (t *takeoverState) mayRunAnyJob() bool {
 	return t.pending && (t.hasUnreadableWorker || t.blockedJobs == nil || t.blockedJobs.UnrestrictedWorkers() > 0)
 }
 
-// isBlockedByTakeover says that a former owner may have started tasks of the job that we don't know of.
+// isBlockedByTakeover reports whether a previous owner may have started tasks of the job that this
+// owner does not know of.
 func (p *Pool) isBlockedByTakeover(j *jobState) bool {
 	return p.takeover.pending && j.blockedByTakeover
 }
 
-// isUnknownToPreviousOwners says that no former owner can have started the job.
+// isUnknownToPreviousOwners reports whether no previous owner can have started the job.
 func (p *Pool) isUnknownToPreviousOwners(j *jobState) bool {
 	return !p.cfg.HasPreviousOwner || j.acceptedInCurrentTerm
 }
--- a/pkg/dispatch/tickets.go
+++ b/pkg/dispatch/tickets.go
@@ -7,28 +7,30 @@
 	"foldarch.dev/foldarch/pkg/clock"
 )
 
-// ticket lets a step's tasks start on a worker for some time.
+// ticket allows a step's tasks to be started on a worker until it expires.
 type ticket struct {
 	text      string
 	expiresAt clock.Time
 	use       *ticketUse
 }
 
-// ticketUse is what became of a ticket.
+// ticketUse records what a ticket was used for.
 type ticketUse struct {
-	worker          WorkerID
-	selectedForRoom bool // the worker was not only named to learn of it
+	worker WorkerID
+	// selectedForRoom says that the worker was expected to have room, and was not only included to
+	// learn whether it is allowed.
+	selectedForRoom bool
 	used            bool
 }
 
-// ticketIssue is what one call brought, until its tickets have lapsed.
+// ticketIssue holds the tickets that one advice call returned, until they have expired.
 type ticketIssue struct {
 	step     *step
 	expireAt clock.Time
 	tickets  []*ticketUse
 }
 
-// markTicketUsed takes in that a start goes out with a ticket.
+// markTicketUsed records that a start is sent with a ticket.
 func (p *Pool) markTicketUsed(t ticket) {
 	if t.use != nil {
 		t.use.used = true
@@ -36,7 +38,8 @@
 	}
 }
 
-// countExpiredTickets counts how tickets ended that are of no use any more.
+// countExpiredTickets counts the outcomes of the tickets that are no longer valid for long enough to be
+// used.
 func (p *Pool) countExpiredTickets(now clock.Time) {
 	p.advice.issuedTickets = slices.DeleteFunc(p.advice.issuedTickets, func(i *ticketIssue) bool {
 		if now.Add(minTicketValidity) < i.expireAt {
@@ -49,7 +52,8 @@
 	})
 }
 
-// ticketOutcome says how a ticket ended that lapses now. What holds at this moment stands for the time in which it was valid.
+// ticketOutcome returns the outcome of a ticket that expires now. The present state stands for the
+// whole time in which the ticket was valid.
 func (p *Pool) ticketOutcome(s *step, t *ticketUse, now clock.Time) advice.TicketOutcome {
 	w, known := p.workers[t.worker]
 	switch {
--- a/pkg/dispatch/unknown_jobs.go
+++ b/pkg/dispatch/unknown_jobs.go
@@ -9,14 +9,18 @@
 	"foldarch.dev/foldarch/pkg/job"
 )
 
-// Workers may list runs and ends of a job that this owner does not know. The record of a job is in the store before anything of it starts, so a read of
-// that tells whether the job is to become known or was forgotten long ago (UnknownJobs, MarkJobAbsent). Until then its ends are not noted, and
-// its runs are not stopped. All else that a worker lists counts meanwhile: what is left out of a report would look as if it were not there.
-
-// maxAbsentJobs bounds the jobs that are remembered as absent from the store. One that is forgotten is read once more if it is still listed.
+// maxAbsentJobs limits how many jobs are remembered as absent from the store. One that is dropped is
+// looked up again if a worker still lists it.
 const maxAbsentJobs = 1000
 
-// isJobUnresolved says that a job which a worker lists may be in the store.
+// isJobUnresolved reports whether a job that a worker lists is not known but may be in the store. It
+// then requests a look-up of the job's record.
+//
+// The record of a job is written to the store before anything of the job starts. So reading it shows
+// whether the job will become known to this owner or was forgotten long ago (UnknownJobs,
+// MarkJobAbsent). Until then the ends of the job are not acknowledged and its runs are not stopped.
+// Everything else in the worker's report is applied meanwhile, since runs that are left out would look
+// as if the worker did not have them.
 func (p *Pool) isJobUnresolved(id job.ID) bool {
 	if p.isJobKnown(id) {
 		return false
@@ -28,17 +32,19 @@
 	return true
 }
 
-// UnknownJobs lists the jobs that workers have listed and whose records have to be read from the store, in order.
+// UnknownJobs lists the jobs that workers have listed and whose records have to be read from the store,
+// sorted by ID.
 func (p *Pool) UnknownJobs() []job.ID {
 	return slices.Sorted(maps.Keys(p.unknownJobs))
 }
 
-// HasUnknownJobs says that there are jobs that UnknownJobs lists.
+// HasUnknownJobs reports whether UnknownJobs would list any job.
 func (p *Pool) HasUnknownJobs() bool {
 	return len(p.unknownJobs) > 0
 }
 
-// MarkJobAbsent takes in that the store has no record of a job that a worker has listed. What workers list of it is noted and stopped.
+// MarkJobAbsent records that the store has no record of a job that a worker has listed. Its ends are
+// then acknowledged, and its runs stopped.
 func (p *Pool) MarkJobAbsent(id job.ID) {
 	if _, listed := p.unknownJobs[id]; !listed {
 		return
@@ -54,8 +60,8 @@
 	}
 }
 
-// resolveUnknownJob takes in what workers have listed of a job before it was known. Their next reports may come after the next plan, which would start again
-// what runs or has ended.
+// resolveUnknownJob applies what workers have listed of a job that has just become known. The next plan
+// may come before their next reports, and would otherwise restart tasks that run or have ended.
 func (p *Pool) resolveUnknownJob(id job.ID, now clock.Time) {
 	delete(p.absentJobs, id)
 	if _, listed := p.unknownJobs[id]; !listed {
@@ -70,7 +76,7 @@
 	}
 }
 
-// adoptUnknownJobRuns takes in the runs of a job that a worker has listed in its last report.
+// adoptUnknownJobRuns adopts the runs of a job from a worker's last report.
 func (p *Pool) adoptUnknownJobRuns(w *worker, id job.ID, now clock.Time) {
 	if w.terminated {
 		return
@@ -89,18 +95,18 @@
 	}
 }
 
-// removeDeferredEnds returns the ends of a job that are not taken in, and drops them.
+// removeDeferredEnds removes the deferred ends of a job and returns them.
 func (w *worker) removeDeferredEnds(id job.ID) []FinishedRun {
-	var rest, dropped []FinishedRun
+	var rest, removed []FinishedRun
 	for _, f := range w.deferredEnds {
 		if f.Task.Job == id {
-			dropped = append(dropped, f)
+			removed = append(removed, f)
 		} else {
 			rest = append(rest, f)
 		}
 	}
 	w.deferredEnds = rest
-	return dropped
+	return removed
 }
 
 // deferEnd keeps an end of a job that may become known.
@@ -109,7 +115,7 @@
 	p.cfg.Log(Event{Name: "end_unread", Task: f.Task, Run: f.Run, Worker: w.info.ID, Detail: fmt.Sprintf("number=%d how=%s", f.Number, f.Reason)})
 }
 
-// lastAppliedEnd is the number up to which all ends of a worker are taken in.
+// lastAppliedEnd returns the number up to which all ends of a worker have been applied.
 func (w *worker) lastAppliedEnd() int64 {
 	if len(w.deferredEnds) > 0 {
 		return w.deferredEnds[0].Number - 1
@@ -117,7 +123,8 @@
 	return w.lastReadEnd
 }
 
-// keepUnknownJobRun keeps a row of a job that may become known. The first one is logged.
+// keepUnknownJobRun keeps a listed run of a job that may become known. It logs the job when it differs
+// from the last one that was logged for the worker.
 func (p *Pool) keepUnknownJobRun(w *worker, row ActiveRun) {
 	w.unknownJobRuns = append(w.unknownJobRuns, row)
 	if w.lastLoggedUnknownJob != row.Task.Job {
--- a/pkg/dispatch/unreported.go
+++ b/pkg/dispatch/unreported.go
@@ -8,27 +8,21 @@
 	"foldarch.dev/foldarch/pkg/job"
 )
 
-// A new owner does not know what former ones have started on workers that it has not heard of. What a customer may have running there counts
-// against its quota until they have told, or everything there has lapsed. It is the sum over all jobs that a former owner can have started:
-//
-//   - of a job that goes on, the tasks that wait here, or those of the next step, which the former owner may have begun;
-//   - of a job that had ended, and of done tasks, what its former owner counted when it told the store so (job.Unended). Otherwise a
-//     customer had 4500 running of 2000 when its job was cancelled 40 ms before a new owner came (random history).
-//
-// What these workers hold in all is the most.
-
 const (
-	// maxStopTime is how long the stop of a run takes at most, with an order that is lost once, on a worker that answers.
+	// maxStopTime is the longest time that the stop of a run takes on a worker that answers, if one
+	// stop order is lost.
 	maxStopTime = 2 * time.Second
-	// maxWallClockSkew is how far the times of day of two owners may be apart: those of hosts are stepped by seconds.
+	// maxWallClockSkew is the maximum difference between the wall clocks of two owners: the clocks of
+	// hosts may be stepped by seconds.
 	maxWallClockSkew = 5 * time.Second
 )
 
-// remainingUse is what the store is told of a job that may still run though nobody waits for it: for tasks that are done, and of a job that has
-// ended all. The members of a gang end together, so what is counted of one that is done has ended.
+// remainingUse returns what is stored with a job for runs that may go on although nobody waits for
+// them: the surplus runs of done tasks and, if the job has ended, all of its runs. The members of a
+// gang end together, so the counted runs of a finished gang have ended.
 func (p *Pool) remainingUse(j *jobState) job.Unended {
 	if j.customer.Name == "" {
-		return job.Unended{} // only quotas ask for it
+		return job.Unended{} // only customers' quotas use it
 	}
 	need := j.remainingUse
 	for s := range j.steps() {
@@ -50,7 +44,7 @@
 	return job.Unended{Need: need, At: p.cfg.WallClock()}
 }
 
-// unfinishedTasksWithRuns counts the tasks that are not done and of which a run is known.
+// unfinishedTasksWithRuns counts the tasks that are not done and have a known run.
 func (s *step) unfinishedTasksWithRuns() int {
 	n := 0
 	for i := range s.tasks {
@@ -61,7 +55,8 @@
 	return n
 }
 
-// unexpiredUse is what may run yet of what a former owner counted: it is stopped, or lapses.
+// unexpiredUse returns what may still run of the use that a previous owner stored: all of it until the
+// runs have been stopped or their leases have expired, and then nothing.
 func (p *Pool) unexpiredUse(u job.Unended) cell.Resources {
 	limit := leaseExpiryTime(p.cfg.WorkerMaxLease) + maxStopTime + maxWallClockSkew
 	if !p.cfg.HasPreviousOwner || p.cfg.WallClock().Sub(u.At) > limit {
@@ -70,7 +65,7 @@
 	return u.Need
 }
 
-// addEndedJobUse takes in what may still run of a job that had ended.
+// addEndedJobUse counts what may still run of a job that has ended.
 func (p *Pool) addEndedJobUse(ended job.Record) {
 	need := p.unexpiredUse(ended.Unended)
 	if need == (cell.Resources{}) {
@@ -81,7 +76,7 @@
 	}
 }
 
-// clearRemainingUse takes in that nothing of former owners runs that is not known.
+// clearRemainingUse records that all runs of previous owners are known.
 func (p *Pool) clearRemainingUse() {
 	for _, j := range p.jobs {
 		j.remainingUse = cell.Resources{}
@@ -91,7 +86,17 @@
 	}
 }
 
-// updateUnreportedUse works out what customers may have running on workers that a new owner has not heard of.
+// updateUnreportedUse computes what each customer may have running on workers that have not reported to
+// this owner. It counts against the customer's quota until these workers have reported or all leases
+// there have expired. It is the sum over all jobs that a previous owner can have started:
+//
+//   - for a job that goes on, the tasks that wait here, or those of the next step if the previous owner
+//     may have begun it;
+//   - for a job that has ended, and for done tasks, what the previous owner stored when it committed
+//     the end (job.Unended). Without this a customer had 4500 running of a quota of 2000 after its job
+//     was cancelled 40 ms before an owner change (randomized test).
+//
+// The sum is limited to the capacity of these workers.
 func (p *Pool) updateUnreportedUse() {
 	for _, a := range p.accounts {
 		a.ClearUnreported()
@@ -127,12 +132,13 @@
 	}
 }
 
-// unfencedCapacity is what the workers hold to which a former owner may still give orders for jobs that are not known here. One that names
-// the workers of its jobs starts none that the store did not have when this owner read it.
+// unfencedCapacity returns the capacity of the workers to which a previous owner may still give orders
+// for jobs that are not known here. It is zero if previous owners record the workers of their jobs:
+// such an owner starts no job that the store did not have when this owner read it.
 func (p *Pool) unfencedCapacity() cell.Resources {
 	var room cell.Resources
-	formerNames := p.cfg.RecordWorkersFromTerm > 0 && p.cfg.RecordWorkersFromTerm < p.cfg.Term
-	if p.now >= p.takeover.ordersUntil || formerNames {
+	previousOwnersRecord := p.cfg.RecordWorkersFromTerm > 0 && p.cfg.RecordWorkersFromTerm < p.cfg.Term
+	if p.now >= p.takeover.ordersUntil || previousOwnersRecord {
 		return room
 	}
 	for _, w := range p.workers {
@@ -143,8 +149,8 @@
 	return room
 }
 
-// maxUnreportedUse is what the tasks of a job need of which a former owner may have started a run that is not known here, with what may run for
-// tasks that are done.
+// maxUnreportedUse returns the resources for which a previous owner may have started runs of the job
+// that are not known here, including what may still run for done tasks.
 func (j *jobState) maxUnreportedUse() cell.Resources {
 	sum := j.remainingUse
 	for _, t := range j.occurrences {
@@ -155,23 +161,25 @@
 	return sum
 }
 
-// maxUnreportedUse is the same of one time. A former owner may have begun the next step before the end of the one before was in the store. Since
-// the two don't run at the same time, the larger of them counts.
+// maxUnreportedUse returns the same for one occurrence. A previous owner may have begun the next step
+// before the end of the previous one was in the store. As the two steps don't run at the same time, the
+// larger one counts.
 func (t *occurrence) maxUnreportedUse() cell.Resources {
 	var sum cell.Resources
-	most := t.unreportedUsePerStep(t.possiblyBegunSteps())
+	perStep := t.unreportedUsePerStep(t.possiblyBegunSteps())
 	for i, s := range t.steps {
 		if s.dependenciesDone() {
-			sum = sum.Add(most[i])
+			sum = sum.Add(perStep[i])
 		}
 	}
 	return sum
 }
 
-// possiblyBegunSteps says of each step whether a former owner may have begun it: all steps before it are finished, or may be without a word of it.
+// possiblyBegunSteps reports for each step whether a previous owner may have begun it: all steps that
+// it depends on are finished, or may be finished without this owner knowing.
 func (t *occurrence) possiblyBegunSteps() []bool {
 	begun := make([]bool, len(t.steps))
-	for i, s := range t.steps { // steps name only earlier ones
+	for i, s := range t.steps { // steps depend only on earlier ones
 		begun[i] = true
 		for _, a := range s.spec.After {
 			begun[i] = begun[i] && begun[a] && t.steps[a].mayBeFinished()
@@ -180,24 +188,26 @@
 	return begun
 }
 
-// mayBeFinished says that a step that has begun is finished, or that all its tasks that are not done may have ended unheard.
+// mayBeFinished reports whether a step that may have begun is finished, or all its unfinished tasks may
+// have ended without this owner knowing.
 func (s *step) mayBeFinished() bool {
 	return s.finished() || !s.spec.LongRunning && s.unfinishedTasksWithRuns() == 0
 }
 
-// unreportedUsePerStep is for each step what it and those after it may have running unheard, at the same time.
+// unreportedUsePerStep returns for each step the most that it and the steps after it may have running
+// at the same time without this owner knowing.
 func (t *occurrence) unreportedUsePerStep(begun []bool) []cell.Resources {
 	later := make([]cell.Resources, len(t.steps))
-	most := make([]cell.Resources, len(t.steps))
+	use := make([]cell.Resources, len(t.steps))
 	for i := len(t.steps) - 1; i >= 0; i-- {
 		s := t.steps[i]
 		if !begun[i] || s.finished() {
 			continue
 		}
-		most[i] = s.quotaNeed().Times(int64(s.idleTasks)).Max(later[i])
+		use[i] = s.quotaNeed().Times(int64(s.idleTasks)).Max(later[i])
 		for _, a := range s.spec.After {
-			later[a] = later[a].Add(most[i])
+			later[a] = later[a].Add(use[i])
 		}
 	}
-	return most
+	return use
 }
--- a/pkg/dispatch/usable_workers.go
+++ b/pkg/dispatch/usable_workers.go
@@ -6,16 +6,17 @@
 	"foldarch.dev/foldarch/pkg/clock"
 )
 
-// usableWorkersByPool are, by pool, the workers that may be given a task in one plan, so that not each choice of workers looks at all of them.
+// usableWorkersByPool caches for one plan the workers of each pool that may be given a task, so that
+// not every selection has to visit all workers.
 type usableWorkersByPool map[string][]usableWorker
 
-// usableWorker is one of them, with its index among all workers by id.
+// usableWorker is a usable worker with its index in the list of all workers (workersByID).
 type usableWorker struct {
 	worker *worker
 	index  int
 }
 
-// usableWorkersIn lists the usable workers of a pool, by id.
+// usableWorkersIn lists the usable workers of a pool, sorted by ID.
 func (p *Pool) usableWorkersIn(pool string, now clock.Time) []usableWorker {
 	if list, known := p.usableWorkers[pool]; known {
 		return list
@@ -32,10 +33,11 @@
 	return list
 }
 
-// usableWorkersFrom lists them, with the index on that list of the first one that comes at or after a place among all workers.
-func (p *Pool) usableWorkersFrom(pool string, place int, now clock.Time) (list []usableWorker, first int) {
+// usableWorkersFrom returns the usable workers of a pool, and the position in this list of the first
+// one whose index among all workers is at least the given one.
+func (p *Pool) usableWorkersFrom(pool string, from int, now clock.Time) (list []usableWorker, first int) {
 	list = p.usableWorkersIn(pool, now)
-	place %= max(len(p.workersByID()), 1)
-	first, _ = slices.BinarySearchFunc(list, place, func(w usableWorker, place int) int { return w.index - place })
+	from %= max(len(p.workersByID()), 1)
+	first, _ = slices.BinarySearchFunc(list, from, func(w usableWorker, from int) int { return w.index - from })
 	return list, first
 }
--- a/pkg/dispatch/waiting_queue.go
+++ b/pkg/dispatch/waiting_queue.go
@@ -8,69 +8,74 @@
 	"foldarch.dev/foldarch/pkg/worth"
 )
 
-// waitingQueue are the steps whose turn has come and that have waiting tasks, in the order in which they go. A place changes with
-// time only when the standing of a step does, so the order is kept and not made anew for each plan.
+// waitingQueue holds the steps that have waiting tasks and whose dependencies are done, sorted by rank.
+// The rank of a step changes with time only when its value class does, so the order is kept between
+// plans and not computed anew for each one.
 type waitingQueue struct {
-	ranked     []waitingStep // may still have some that were removed
-	unranked   []waitingStep // since the last sort, without places
+	ranked     []waitingStep // may still contain steps that were removed
+	unranked   []waitingStep // added since the last sort
 	stepCount  int
-	gangCount  int   // of them
-	lastSeq    int64 // entry that was given last
+	gangCount  int   // the number of gangs among the steps
+	lastSeq    int64 // the last seq that was assigned
 	hasRemoved bool  // since the last sort
-	// nextRankChange is when the standing of one of the ordered ones changes first.
+	// nextRankChange is the earliest time at which the value class of a ranked step changes.
 	nextRankChange clock.Time
 }
 
-// waitingStep is a step as it stands in the order.
+// waitingStep is a step in the waiting queue.
 type waitingStep struct {
-	step           *step
-	seq            int64 // of the step when it was put; another one stands for another wait
+	step *step
+	// seq is the step's waitingSeq when it was added. If the step now has a different one, it was
+	// removed after that.
+	seq            int64
 	rank           worth.Rank
-	nextRankChange clock.Time // when the standing changes
-	// onlyRequestsAdvice says that, but for workers that it has tickets for, the step can do nothing in a plan but ask for advice.
+	nextRankChange clock.Time // when the step's value class changes next
+	// onlyRequestsAdvice says that the step can't do anything in a plan except request advice and start
+	// on workers for which it has tickets.
 	onlyRequestsAdvice bool
 }
 
-// isQueued says that a step is among the waiting ones.
+// isQueued reports whether a step is in the waiting queue.
 func (s *step) isQueued() bool {
 	return s.waitingSeq != 0
 }
 
-// put adds a step that is not among them.
-func (o *waitingQueue) add(s *step) {
-	o.lastSeq++
-	s.waitingSeq = o.lastSeq
-	o.unranked = append(o.unranked, waitingStep{step: s, seq: s.waitingSeq})
-	o.adjustCounts(s, 1)
+// add adds a step that is not in the queue.
+func (q *waitingQueue) add(s *step) {
+	q.lastSeq++
+	s.waitingSeq = q.lastSeq
+	q.unranked = append(q.unranked, waitingStep{step: s, seq: s.waitingSeq})
+	q.adjustCounts(s, 1)
 }
 
-// remove takes a step out, if it is among them.
-func (o *waitingQueue) remove(s *step) {
+// remove removes a step if it is in the queue.
+func (q *waitingQueue) remove(s *step) {
 	if !s.isQueued() {
 		return
 	}
 	s.waitingSeq = 0
-	o.hasRemoved = true
-	o.adjustCounts(s, -1)
+	q.hasRemoved = true
+	q.adjustCounts(s, -1)
 }
 
-func (o *waitingQueue) adjustCounts(s *step, n int) {
-	o.stepCount += n
+func (q *waitingQueue) adjustCounts(s *step, n int) {
+	q.stepCount += n
 	if s.spec.Gang {
-		o.gangCount += n
+		q.gangCount += n
 	}
 }
 
-// invalidateRanks has the places of all steps be worked out anew: what they depend on has changed.
-func (o *waitingQueue) invalidateRanks() {
-	o.unranked = append(o.unranked, o.ranked...)
-	o.ranked = o.ranked[:0]
+// invalidateRanks has the ranks of all steps computed anew in the next sort, since what they depend on
+// has changed.
+func (q *waitingQueue) invalidateRanks() {
+	q.unranked = append(q.unranked, q.ranked...)
+	q.ranked = q.ranked[:0]
 }
 
-// all goes through the steps in no particular order.
-func (o *waitingQueue) all() iter.Seq[*step] {
+// all iterates over the steps in no particular order.
+func (q *waitingQueue) all() iter.Seq[*step] {
 	return func(yield func(*step) bool) {
-		for _, list := range [][]waitingStep{o.ranked, o.unranked} {
+		for _, list := range [][]waitingStep{q.ranked, q.unranked} {
 			for _, e := range list {
 				if e.step.waitingSeq == e.seq && !yield(e.step) {
 					return
@@ -80,13 +85,14 @@
 	}
 }
 
-// sort returns the steps in their order. The list holds until the next call; steps that are removed meanwhile stay on it.
-func (o *waitingQueue) sort(now clock.Time) []waitingStep {
-	if len(o.unranked) == 0 && !o.hasRemoved && now < o.nextRankChange {
-		return o.ranked
+// sort returns the steps sorted by rank. The list is valid until the next call; steps that are removed
+// meanwhile stay in it.
+func (q *waitingQueue) sort(now clock.Time) []waitingStep {
+	if len(q.unranked) == 0 && !q.hasRemoved && now < q.nextRankChange {
+		return q.ranked
 	}
-	kept, moved := o.ranked[:0], o.unranked
-	for _, e := range o.ranked {
+	kept, moved := q.ranked[:0], q.unranked
+	for _, e := range q.ranked {
 		switch {
 		case e.step.waitingSeq != e.seq:
 		case now >= e.nextRankChange:
@@ -100,16 +106,16 @@
 		moved[i].updateRank(now)
 	}
 	slices.SortFunc(moved, func(a, b waitingStep) int { return a.rank.Compare(b.rank) })
-	o.ranked = mergeSteps(kept, moved)
-	o.unranked, o.hasRemoved = moved[:0], false
-	o.nextRankChange = worth.NoChange
-	for i := range o.ranked {
-		o.nextRankChange = min(o.nextRankChange, o.ranked[i].nextRankChange)
+	q.ranked = mergeSteps(kept, moved)
+	q.unranked, q.hasRemoved = moved[:0], false
+	q.nextRankChange = worth.NoChange
+	for i := range q.ranked {
+		q.nextRankChange = min(q.nextRankChange, q.ranked[i].nextRankChange)
 	}
-	return o.ranked
+	return q.ranked
 }
 
-// put gives a step its place.
+// updateRank computes the rank of a step anew.
 func (e *waitingStep) updateRank(now clock.Time) {
 	w := e.step.pendingWork()
 	e.rank, e.nextRankChange = e.step.rank(now), w.NextClassChange(now)
@@ -117,14 +123,15 @@
 		!(e.step.spec.Gang && e.rank.ValueClass == worth.NoValue)
 }
 
-// mayOnlyRequestAdvice says that the step does nothing in a plan unless it may ask for advice: it stops no other runs and holds no workers, since its end is late
-// at best, and it has no tickets to start with.
+// mayOnlyRequestAdvice reports whether the step does nothing in a plan unless it may request advice:
+// its end is late at best, so it preempts no runs and reserves no workers, and it has no tickets to
+// start with.
 func (e *waitingStep) mayOnlyRequestAdvice(now clock.Time) bool {
 	s := e.step
 	return e.onlyRequestsAdvice && now.Add(minTicketValidity) >= s.advice.ticketsExpireAt && s.idleTasks > 0 && (!s.spec.Gang || s.runningTasks == 0)
 }
 
-// mergeSteps adds sorted steps to sorted ones, in place where there is room.
+// mergeSteps merges two sorted lists of steps into the first one, in place if its capacity allows.
 func mergeSteps(to, from []waitingStep) []waitingStep {
 	i, j := len(to)-1, len(from)-1
 	to = slices.Grow(to, len(from))[:len(to)+len(from)]
--- a/pkg/dispatch/worker.go
+++ b/pkg/dispatch/worker.go
@@ -16,16 +16,17 @@
 )
 
 const (
-	// answerTimeout is how long ago a worker may have answered to be given a task.
+	// answerTimeout is the time since its last answer after which a worker is given no more tasks.
 	answerTimeout = 1700 * time.Millisecond
-	// leaseExtensionTimeout is how long ago a worker may have answered for its leases to be extended.
-	// A silent one is only asked, so that what it runs lapses at a time that we know.
+	// leaseExtensionTimeout is the time since its last answer after which a worker's leases are no
+	// longer extended. The worker is still polled, but its runs expire at a known time.
 	leaseExtensionTimeout = 900 * time.Millisecond
-	// entryRewriteTimeout is how long after its entry was found gone a worker that answers is still
-	// given tasks. One that lives and reaches the store writes its entry again in that time.
+	// entryRewriteTimeout is how long a worker that answers is still given tasks after its entry was
+	// found to be gone. A worker that runs and reaches the store writes its entry again within that
+	// time.
 	entryRewriteTimeout = 2500 * time.Millisecond
-	// A worker is left out for suspendFor after suspendAfter failures in a row that are not
-	// all of one job.
+	// A worker is suspended for suspendFor after suspendAfter failures in a row that are not all of the
+	// same job.
 	suspendAfter = 2
 	suspendFor   = 4 * time.Second
 )
@@ -35,126 +36,137 @@
 	run  int
 }
 
-// worker is one life of a worker.
+// worker is one incarnation of a worker.
 type worker struct {
 	info           WorkerInfo
-	incarnationSeq int64 // in the order in which lives were taken in
+	incarnationSeq int64 // numbers the incarnations in the order in which they became known
 	history        *workerHistory
-	hasEntry       bool // its entry stands in the store
-	// entryRemovedAt is when its entry was found gone; 0 when that is not known.
+	hasEntry       bool // its entry is in the store
+	// entryRemovedAt is when its entry was found to be gone; 0 when that is not known.
 	entryRemovedAt clock.Time
-	// entryReplaced says that it went since another life's, which may be of one before, was written in its place.
+	// entryReplaced says that its entry was replaced by that of another incarnation, which may be an
+	// earlier one.
 	entryReplaced bool
-	// inRoster says that the roster has it, so that a later owner will ask it.
+	// inRoster says that the roster has the worker, so that a later owner will poll it.
 	inRoster bool
-	// retired says that it gets no start any more, and retiredJobs are those that may have had a run there by then (retirement.go).
+	// retired says that the worker gets no more starts; retiredJobs are the jobs that may have had a
+	// run there when it was retired (retirement.go).
 	retired          bool
 	retiredJobs      []job.ID
-	discoveredAt     clock.Time // since when this owner knows of it
-	leavesAt         clock.Time // when a draining worker may end; 0 when it stays
+	discoveredAt     clock.Time // when this owner first learned of it
+	leavesAt         clock.Time // when a draining worker may leave; 0 if it is not draining
 	evacuated        bool       // its data hall is being evacuated
-	terminated       bool       // the life has ended, or can't run anything any more
+	terminated       bool       // the incarnation has ended, or can't run anything any more
 	fenced           bool       // it has answered this owner
-	reported         bool       // its lists were taken in
-	reportIncomplete bool       // its last report does not tell all that it runs
-	hasPredecessor   bool       // on a life that has ended while this owner knew of it
+	reported         bool       // a complete report has been applied
+	reportIncomplete bool       // its last report may not list all its runs
+	hasPredecessor   bool       // it replaced an incarnation that this owner knew
 
-	clock          int64 // its clock when it answered last …
-	clockAt        clock.Time
+	clock          int64      // the worker's clock in its last answer, …
+	clockAt        clock.Time // … and when that answer arrived
 	lastAnsweredAt clock.Time
-	// lastAnsweredPollSentAt is when the last hold was sent that was answered: the worker knew of no later owner at some time
-	// after that. lastAnsweredAt may be later than that time, since answers are held up on their way.
+	// lastAnsweredPollSentAt is when the last answered poll was sent: at some time after that, the
+	// worker knew of no later owner. lastAnsweredAt may be later than that time, since answers may be
+	// delayed.
 	lastAnsweredPollSentAt clock.Time
-	// pendingPolls counts the holds on their way, and lastPollEndedAt is when the last of them was over; unwatched says that none was on its way for so
-	// long that the worker may have started again unseen (ackWithin).
+	// pendingPolls counts the polls in flight, and lastPollEndedAt is when the last of them ended.
+	// pollGap says that none was in flight for so long that the worker may have been restarted
+	// unnoticed (ackWithin).
 	pendingPolls    int
 	lastPollEndedAt clock.Time
 	pollGap         bool
-	latestDeadline  int64 // latest deadline sent, on its clock
-	// inheritedLeasesUntil is when the leases that a former owner gave have ended; 0 without any.
+	latestDeadline  int64 // the latest lease deadline that was sent, by the worker's clock
+	// inheritedLeasesUntil is when the leases given by a previous owner have expired; 0 if there are
+	// none.
 	inheritedLeasesUntil clock.Time
 
 	used           cell.Resources
 	runs           map[runKey]*run
-	orphanRuns     int // runs there of which nothing is known
-	unparsableRuns int // of these, runs whose names can't be read
-	// orphanAccounts are the customers of foreign runs, one for each run.
+	orphanRuns     int // listed runs of which nothing else is known
+	unparsableRuns int // those of them whose names can't be parsed
+	// orphanAccounts are the accounts in which orphans of this worker are counted, one entry for each
+	// run.
 	orphanAccounts []*account.Account
-	// unknownJobRuns are the runs of jobs that may become known, by the last report.
+	// unknownJobRuns are the runs in the last report whose jobs are not known yet (isJobUnresolved).
 	unknownJobRuns []ActiveRun
-	// lastLoggedUnknownJob is the last job that was logged as not known when a run of it was listed.
+	// lastLoggedUnknownJob is the job of the last listed run that was logged as unknown.
 	lastLoggedUnknownJob job.ID
 
-	// unresolvedStarts are starts before it went silent, or of former owners, that it may not have survived.
+	// unresolvedStarts are starts from before the worker became silent, or by previous owners, of which
+	// it is not known whether they ended the worker.
 	unresolvedStarts crash.Starts
-	// unansweredAt is when the first call got no answer since the worker was heard of; 0 for none.
+	// unansweredAt is when the first call failed since the worker's last answer; 0 if none did.
 	unansweredAt clock.Time
 	claim        claim
 
-	lastReadEnd      int64               // highest number of an end that was read
-	deferredEnds     []FinishedRun       // of these, ends of jobs that may become known, by number
-	ackDelays        latestart.AckDelays // ends that are not to be noted yet (delayAck)
-	lastCommittedEnd int64               // highest number up to which all ends are taken in and the job changes are committed
+	lastReadEnd  int64               // highest number of an end that was read from a report
+	deferredEnds []FinishedRun       // those of these ends whose jobs may become known, by number
+	ackDelays    latestart.AckDelays // ends that must not be acknowledged yet (delayAck)
+	// lastCommittedEnd is the number up to which all ends are applied and the changes to their jobs
+	// committed.
+	lastCommittedEnd int64
 
 	pacing         pace.Control
-	suspendedUntil clock.Time // not to be given tasks before
+	suspendedUntil clock.Time // gets no tasks before this time
 	failures       int        // in a row
 	failedJob      job.ID     // of the last failure
-	probation      bool
+	probation      bool       // it was suspended for failures, and no run has succeeded since
 }
 
 func (w *worker) free() cell.Resources {
 	return w.info.Capacity.Sub(w.used)
 }
 
-// usable says whether the worker may be given a task now.
+// isUsable reports whether the worker may be given a task now.
 func (w *worker) isUsable(now clock.Time) bool {
 	return w.isPresent(now) && w.isAnswering(now) && w.inRoster && !w.terminated && !w.mayBeReplaced() &&
 		!w.isLeaving() && !w.history.cordoned && w.orphanRuns == 0 && now >= w.suspendedUntil
 }
 
-// isAnswering says that the worker has answered lately, and the last call, too, and that it was asked again soon after. One that has not may
-// have ended, and the life that is there next may hold less.
+// isAnswering reports whether the worker has answered recently, including the last call, and was polled
+// again soon after. A worker that has not may have ended, and the incarnation that replaces it may have
+// less capacity.
 func (w *worker) isAnswering(now clock.Time) bool {
 	return w.reported && w.unansweredAt == 0 && now.Sub(w.lastAnsweredAt) < answerTimeout && !w.pollGap && !w.hasPollGap(now)
 }
 
-// hasPollGap says that no hold is on its way to the worker and none was for so long that it may have started again
-// under its ID.
+// hasPollGap reports whether no poll is in flight to the worker and none was for so long that its next
+// incarnation may have replaced it unnoticed. This can't happen where IDs have no start time: a
+// restarted worker then has another name.
 func (w *worker) hasPollGap(now clock.Time) bool {
 	return w.info.ID.StartedAt() != 0 && w.pendingPolls == 0 && now.Sub(w.lastPollEndedAt) >= ackWithin
 }
 
-// recordPollSent takes in that a hold is sent.
+// recordPollSent records that a poll is sent.
 func (w *worker) recordPollSent(now clock.Time) {
 	w.pollGap = w.pollGap || w.hasPollGap(now)
 	w.pendingPolls++
 }
 
-// recordPollEnded takes in that a hold was answered, or that it failed.
+// recordPollEnded records that a poll was answered or failed.
 func (w *worker) recordPollEnded(now clock.Time) {
 	w.pendingPolls = max(w.pendingPolls-1, 0)
 	w.lastPollEndedAt = now
 }
 
-// isPresent says that the worker's entry stands, or went so lately that the worker may still
-// write it anew: entries lapse while the store is away.
+// isPresent reports whether the worker's entry exists, or was removed so recently that the worker may
+// still write it again: entries expire while the store is down.
 func (w *worker) isPresent(now clock.Time) bool {
 	return w.hasEntry || w.entryRemovedAt != 0 && now.Sub(w.entryRemovedAt) < entryRewriteTimeout
 }
 
-// leaseDeadline is the time on the worker's clock up to which a lease is given now.
-func (w *worker) leaseDeadline(now clock.Time, hold time.Duration) int64 {
-	return w.clock + now.Sub(w.clockAt).Milliseconds() + hold.Milliseconds()
+// leaseDeadline returns the end, by the worker's clock, of a lease that is given now.
+func (w *worker) leaseDeadline(now clock.Time, lease time.Duration) int64 {
+	return w.clock + now.Sub(w.clockAt).Milliseconds() + lease.Milliseconds()
 }
 
-// leasesExpireAt is when everything on the worker has ended, by our clock.
+// leasesExpireAt returns when all leases on the worker have expired, by the owner's clock.
 func (w *worker) leasesExpireAt() clock.Time {
 	left := time.Duration(w.latestDeadline-w.clock) * time.Millisecond
 	return max(w.clockAt.Add(leaseExpiryTime(max(left, 0))), w.inheritedLeasesUntil)
 }
 
-// updateClock takes in the clock of an answer that has just arrived.
+// updateClock records the worker's clock in an answer that has just arrived.
 func (w *worker) updateClock(workerClock int64, now clock.Time) {
 	if workerClock >= w.clock && workerClock > 0 {
 		w.clock, w.clockAt = workerClock, now
@@ -162,7 +174,7 @@
 	}
 }
 
-// workersByID lists all workers, by id.
+// workersByID lists all workers, sorted by ID.
 func (p *Pool) workersByID() []*worker {
 	if p.sortedWorkers == nil {
 		for _, w := range p.workers {
@@ -173,7 +185,7 @@
 	return p.sortedWorkers
 }
 
-// HandlePollFailure takes in that a hold got no answer.
+// HandlePollFailure records that a poll got no answer.
 func (p *Pool) HandlePollFailure(id WorkerID, now clock.Time) {
 	if w, ok := p.workers[id]; ok {
 		w.recordPollEnded(now)
@@ -181,15 +193,15 @@
 	}
 }
 
-// recordUnanswered takes in that a call got no answer.
+// recordUnanswered records that a call got no answer.
 func (w *worker) recordUnanswered(now clock.Time) {
 	if w.unansweredAt == 0 {
 		w.unansweredAt = now
 	}
 }
 
-// AnsweringCount counts the workers that have answered a hold that was sent within a time, and all that are
-// listed or may run something.
+// AnsweringCount counts the workers that have answered a poll sent less than the given time ago, and
+// all workers that have an entry or may run something.
 func (p *Pool) AnsweringCount(now clock.Time, within time.Duration) (answering, all int) {
 	for _, w := range p.workers {
 		if w.terminated || !w.hasEntry && len(w.runs) == 0 && w.fenced {
@@ -203,25 +215,26 @@
 	return answering, all
 }
 
-// terminateWorker takes in that nothing of a worker runs any more.
-func (p *Pool) terminateWorker(w *worker, why string, now clock.Time) {
+// terminateWorker records that an incarnation of a worker has ended and nothing runs on it any more.
+func (p *Pool) terminateWorker(w *worker, reason string, now clock.Time) {
 	if w.terminated {
 		return
 	}
 	w.terminated = true
 	p.markRosterChanged(w.info.ID)
 	w.clearOrphans()
-	w.history.raiseToken(p.cfg.Token) // as in succeed: another life may be known by now
-	p.cfg.Log(Event{Name: "worker_gone", Worker: w.info.ID, Detail: why})
+	w.history.raiseToken(p.cfg.Token) // as in replaceIncarnation: another incarnation may already be known
+	p.cfg.Log(Event{Name: "worker_gone", Worker: w.info.ID, Detail: reason})
 	p.handleWorkerCrash(w, now)
 	p.loseRuns(w, now)
 }
 
-// loseExpiredRuns ends the runs of a silent worker whose leases have lapsed at a time. What its next life may have taken goes on to count.
-func (p *Pool) loseExpiredRuns(w *worker, lapsed, now clock.Time) {
+// loseExpiredRuns ends the runs of a silent worker whose leases have expired. Runs that the worker's
+// next incarnation may have started still count until their own expiry.
+func (p *Pool) loseExpiredRuns(w *worker, expiredAt, now clock.Time) {
 	var lost []*run
 	for _, r := range sortedRuns(w) {
-		if until := max(lapsed, p.transferredRunExpiresAt(w, r)); now >= until && p.isOwnershipConfirmedSince(until) {
+		if until := max(expiredAt, p.transferredRunExpiresAt(w, r)); now >= until && p.isOwnershipConfirmedSince(until) {
 			lost = append(lost, r)
 		}
 	}
@@ -237,13 +250,15 @@
 	}
 }
 
-// loseRuns ends all runs of a worker without a word of it. What is kept in the store of their starts stays only for those in doubt.
+// loseRuns ends all runs of a worker whose ends were not reported. Stored starts are dropped, except
+// for unresolved ones.
 func (p *Pool) loseRuns(w *worker, now clock.Time) {
 	for _, r := range sortedRuns(w) {
 		p.loseRun(w, r, now)
 	}
 }
 
+// loseRun ends one run of a worker as lost.
 func (p *Pool) loseRun(w *worker, r *run, now clock.Time) {
 	if !w.unresolvedStarts.HasRun(r.task.id(), r.number) {
 		p.removeAttempt(r.task, r.number)
@@ -252,6 +267,7 @@
 	p.handleRunEnd(r, EndLost, "", now)
 }
 
+// sortedRuns lists the runs on a worker, sorted by task and run number.
 func sortedRuns(w *worker) []*run {
 	out := make([]*run, 0, len(w.runs))
 	for _, r := range w.runs {
@@ -263,8 +279,8 @@
 	return out
 }
 
-// expireWorker ends the runs of a worker that has been silent for so long that all its leases
-// have lapsed, and forgets one that left.
+// expireWorker ends the runs of a worker that has been silent for so long that all its leases have
+// expired, and forgets a worker that has left.
 func (p *Pool) expireWorker(w *worker, now clock.Time) {
 	if w.terminated {
 		if !w.hasEntry {
@@ -272,37 +288,37 @@
 		}
 		return
 	}
-	lapsed := w.leasesExpireAt()
-	if now.Sub(w.lastAnsweredAt) < answerTimeout || now < lapsed {
+	expiresAt := w.leasesExpireAt()
+	if now.Sub(w.lastAnsweredAt) < answerTimeout || now < expiresAt {
 		return
 	}
 	if len(w.runs) > 0 {
-		p.loseExpiredRuns(w, lapsed, now)
+		p.loseExpiredRuns(w, expiresAt, now)
 	}
-	if len(w.orphanAccounts) > 0 && p.isOwnershipConfirmedSince(lapsed) {
+	if len(w.orphanAccounts) > 0 && p.isOwnershipConfirmedSince(expiresAt) {
 		w.clearOrphans()
 	}
 	if !w.reported {
-		lapsed = max(lapsed, p.takeover.runsExpireAt)
+		expiresAt = max(expiresAt, p.takeover.runsExpireAt)
 	}
 	for _, r := range w.runs {
-		lapsed = max(lapsed, p.transferredRunExpiresAt(w, r))
+		expiresAt = max(expiresAt, p.transferredRunExpiresAt(w, r))
 	}
-	if !w.hasEntry && now >= lapsed && p.isOwnershipConfirmedSince(lapsed) {
-		p.terminateWorker(w, "left", now)
+	if !w.hasEntry && now >= expiresAt && p.isOwnershipConfirmedSince(expiresAt) {
+		p.terminateWorker(w, "entry gone and leases expired", now)
 	}
 }
 
-// forgetWorker drops a worker that has gone.
+// forgetWorker drops a terminated worker.
 func (p *Pool) forgetWorker(w *worker) {
 	delete(p.workers, w.info.ID)
 	w.history.forget(w)
 	p.sortedWorkers = nil
 }
 
-// recordWorkerResult counts the ends on a worker to leave out one that fails whatever it is given.
-func (p *Pool) recordWorkerResult(w *worker, r *run, how EndReason, now clock.Time) {
-	switch how {
+// recordWorkerResult counts failures on a worker, and suspends it when it fails whatever it is given.
+func (p *Pool) recordWorkerResult(w *worker, r *run, reason EndReason, now clock.Time) {
+	switch reason {
 	case EndDone:
 		w.failures, w.probation = 0, false
 	case EndFailed:
@@ -315,14 +331,14 @@
 			return
 		}
 		if w.failures >= suspendAfter || w.probation && w.failures > 0 {
-			p.suspendWorker(w, suspendFor, "failures", now)
+			p.suspendWorker(w, suspendFor, "repeated failures", now)
 			w.failures, w.probation = 0, true
 		}
 	}
 }
 
-// suspendWorker leaves a worker out for a time.
-func (p *Pool) suspendWorker(w *worker, d time.Duration, why string, now clock.Time) {
+// suspendWorker gives a worker no tasks for the given time.
+func (p *Pool) suspendWorker(w *worker, d time.Duration, reason string, now clock.Time) {
 	w.suspendedUntil = max(w.suspendedUntil, now.Add(d))
-	p.cfg.Log(Event{Name: "worker_suspended", Worker: w.info.ID, Detail: why})
+	p.cfg.Log(Event{Name: "worker_suspended", Worker: w.info.ID, Detail: reason})
 }
--- a/pkg/dispatch/worker_entries.go
+++ b/pkg/dispatch/worker_entries.go
@@ -2,26 +2,24 @@
 
 import "foldarch.dev/foldarch/pkg/clock"
 
-// What the store tells of workers: their own entries, and the roster.
-
-// UpsertWorker takes in a worker's entry, or that the roster names it. It says whether the worker is new, so that the
-// roster has to be written before it is used (Rostered).
-func (p *Pool) UpsertWorker(info WorkerInfo, listed bool, now clock.Time) bool {
-	l := p.historyOf(info.ID.Name())
-	if listed {
-		l.currentEntry, l.lastEntry, l.lastEntryAt = info.ID, info.ID, now
-		l.removeOtherEntries(now)
+// UpsertWorker records a worker from its entry (entryExists), or from the roster. It reports whether the
+// worker is new, so that the roster has to be written before the worker is used (MarkInRoster).
+func (p *Pool) UpsertWorker(info WorkerInfo, entryExists bool, now clock.Time) bool {
+	history := p.historyOf(info.ID.Name())
+	if entryExists {
+		history.currentEntry, history.lastEntry, history.lastEntryAt = info.ID, info.ID, now
+		history.removeOtherEntries(now)
 	}
-	if l.hasEnded(info.ID) {
+	if history.hasEnded(info.ID) {
 		return false
 	}
 	w, known := p.workers[info.ID]
 	if !known {
 		w = p.addWorker(info, now)
 	}
-	w.info, w.hasEntry = info, listed
+	w.info, w.hasEntry = info, entryExists
 	w.evacuated = p.isInEvacuatedHall(w)
-	if listed {
+	if entryExists {
 		w.entryRemovedAt, w.entryReplaced = 0, false
 	}
 	if info.Draining && w.leavesAt == 0 {
@@ -31,7 +29,7 @@
 	return !known
 }
 
-// MarkInRoster takes in that the roster of the store names workers, so that they may be given tasks.
+// MarkInRoster records that the stored roster has the given workers, so that they may be given tasks.
 func (p *Pool) MarkInRoster(ids []WorkerID) {
 	for _, id := range ids {
 		if w, ok := p.workers[id]; ok {
@@ -40,9 +38,9 @@
 	}
 }
 
-// RemoveEntry takes in that a worker's entry is gone. What runs there may go on, unless the
-// entry was fresh, that is, written too lately to have gone for want of heartbeats, and the
-// worker was to leave by now.
+// RemoveEntry records that a worker's entry is gone. Its runs may go on. But a worker whose leaving
+// time has come is terminated if its entry was fresh, that is, written so recently that it can't have
+// expired for lack of heartbeats.
 func (p *Pool) RemoveEntry(id WorkerID, fresh bool, now clock.Time) {
 	w, ok := p.workers[id]
 	if !ok {
@@ -53,40 +51,43 @@
 		w.history.currentEntry = ""
 	}
 	if fresh && w.leavesAt != 0 && now >= w.leavesAt.Add(-leaveSlack) {
-		p.terminateWorker(w, "left as it said", now)
+		p.terminateWorker(w, "left as announced", now)
 	}
 }
 
-// RemoveEntryByName takes in that the entry of a worker is gone, whichever life had written it; fresh is as in RemoveEntry.
+// RemoveEntryByName records that the entry of a worker is gone, whichever incarnation wrote it. fresh
+// has the same meaning as in RemoveEntry.
 func (p *Pool) RemoveEntryByName(name string, fresh bool, now clock.Time) {
-	l, ok := p.workerHistories[name]
+	history, ok := p.workerHistories[name]
 	if !ok {
 		return
 	}
-	id := l.currentEntry
-	l.currentEntry = ""
+	id := history.currentEntry
+	history.currentEntry = ""
 	p.RemoveEntry(id, fresh, now)
 }
 
-// MarkEntryInvalid takes in that the entry of a worker does not name one any more, whoever wrote it. What runs there goes on.
-// Unlike one whose entry has gone, it gets no task even if it answers: its own next heartbeat makes the entry good again.
+// MarkEntryInvalid records that the entry of a worker no longer describes a worker, whoever wrote it.
+// Its runs go on. Unlike a worker whose entry is gone, it gets no tasks even if it answers, until its
+// own next heartbeat corrects the entry.
 func (p *Pool) MarkEntryInvalid(name string) {
-	l, ok := p.workerHistories[name]
+	history, ok := p.workerHistories[name]
 	if !ok {
 		return
 	}
-	l.currentEntry = ""
-	for _, w := range l.incarnations {
+	history.currentEntry = ""
+	for _, w := range history.incarnations {
 		w.hasEntry, w.entryRemovedAt = false, 0
 	}
 }
 
-// HasEntry says that the entry of a worker stands in the store.
+// HasEntry reports whether the entry of a worker is in the store.
 func (p *Pool) HasEntry(id WorkerID) bool {
 	w, ok := p.workers[id]
 	return ok && w.hasEntry
 }
 
+// markEntryRemoved records that the worker's entry is gone.
 func (w *worker) markEntryRemoved(now clock.Time) {
 	if w.hasEntry {
 		w.hasEntry, w.entryRemovedAt = false, now
