--- a/pkg/dispatch/plan.go
+++ b/pkg/dispatch/plan.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// stopResendInterval is how long the end of a stopped run may take before the stop order is sent
-	// again.
+	// stopResendInterval is how long after a stop order the end of the run may take before the order is
+	// sent again.
 	stopResendInterval = 800 * time.Millisecond
 	// A run counts as stuck when its progress has not changed for minStuckTime plus stuckShare of its
 	// estimated duration. It is then stopped and started on another worker.
@@ -69,6 +69,8 @@
 	}
 }
 
+// inspectRun sends an unanswered stop order again, or restarts a run that is stuck or would end after
+// its worker leaves.
 func (p *Pool) inspectRun(w *worker, r *run, now clock.Time) {
 	if r.state != runActive {
 		return
--- a/pkg/dispatch/poll.go
+++ b/pkg/dispatch/poll.go
@@ -14,9 +14,10 @@
 	maxPollWait       = time.Second             // maximum while the worker has runs
 	maxIdlePollWait   = 1500 * time.Millisecond // maximum while the worker has no runs
 	referencePoolSize = 400
-	// probeWait is the wait while a task that was started alone has not survived yet, since other tasks
-	// wait for the worker. With it and a crash.SurvivalTime of 0.3 s in place of 0.5 s jobs earn 0.024
-	// more in a pool of 48 workers of which two crash each second (12 plays each).
+	// probeWait is the wait while a worker is claimed for a task that was started alone and has not
+	// survived yet: other tasks wait for the worker. With it and a crash.SurvivalTime of 0.3 s in place
+	// of 0.5 s jobs earn 0.024 more in a pool of 48 workers of which two crash each second (12 trials
+	// each).
 	probeWait = 100 * time.Millisecond
 )
 
--- a/pkg/dispatch/pool.go
+++ b/pkg/dispatch/pool.go
@@ -29,7 +29,8 @@
 	StopGrace time.Duration
 	// RestoreTime is how long a run takes to resume from a checkpoint.
 	RestoreTime time.Duration
-	// Token is the owner's fencing token. Tokens up to Token + MaxTokenIncrements belong to this owner.
+	// Token is the owner's fencing token. Tokens up to Token + MaxTokenIncrements also belong to this
+	// owner.
 	Token int64
 	// Term is the number of this owner's term; each owner has a higher one than the owners before it.
 	// No previous owner has started a job that was accepted in this term.
@@ -62,7 +63,7 @@
 	config   *queue.Config
 	// knownPools are the pools of workers that a configuration or the queue of a job has named so far.
 	knownPools     map[string]bool
-	evacuatedHalls []string // data halls
+	evacuatedHalls []string // data halls that are being evacuated
 	jobs           map[job.ID]*jobState
 	accounts       map[string]*account.Account // of customers, by name
 	outcomes       *outcome.Outcomes           // of jobs that have ended and been committed
--- a/pkg/dispatch/probe.go
+++ b/pkg/dispatch/probe.go
@@ -63,7 +63,8 @@
 	return false
 }
 
-// awaitsClaimant reports whether a worker is claimed for a step and the claim has not timed out.
+// awaitsClaimant reports whether a worker is claimed for an unfinished step and the claim has not
+// expired.
 func (w *worker) awaitsClaimant(now clock.Time) bool {
 	s := w.claim.step
 	return s != nil && now < w.claim.until && s.occurrence.job.outcome == "" && !s.finished()
--- a/pkg/dispatch/reports.go
+++ b/pkg/dispatch/reports.go
@@ -123,7 +123,7 @@
 		return
 	}
 	if t.current != nil && f.Reason == EndDone && !t.step.spec.Gang && !t.step.spec.LongRunning {
-		p.stopRun(t.current) // started elsewhere when this one seemed lost
+		p.stopRun(t.current) // a second run, started because this one seemed lost
 		p.completeTask(t)
 		p.updateWaitingSteps(t.step.occurrence)
 		return
--- a/pkg/dispatch/reservations.go
+++ b/pkg/dispatch/reservations.go
@@ -14,11 +14,12 @@
 	// it needs: under failures, one in five of them is lost or slow before the gang begins.
 	gangReservationFactor = 1.25
 	// maxNoValueGangs is the maximum number of gangs of a pool that reserve workers although their ends
-	// are worth nothing any more. With one, and the next one meanwhile, all of them begin in bounded
-	// time at little cost to jobs that are still worth something.
+	// are worth nothing any more. The first one collects its workers and the next one begins to
+	// meanwhile, so that all such gangs begin in bounded time at little cost to jobs that are still
+	// worth something.
 	maxNoValueGangs = 2
-	// maxGangReservedShare is the maximum share of a pool's workers that gangs reserve. Its value goes
-	// with that of maxBacklogShare.
+	// maxGangReservedShare is the maximum share of a pool's workers that gangs reserve. A good value
+	// depends on maxBacklogShare.
 	maxGangReservedShare = 0.15
 )
 
--- a/pkg/dispatch/waiting_queue.go
+++ b/pkg/dispatch/waiting_queue.go
@@ -17,7 +17,7 @@
 	stepCount  int
 	gangCount  int   // the number of gangs among the steps
 	lastSeq    int64 // the last seq that was assigned
-	hasRemoved bool  // since the last sort
+	hasRemoved bool  // steps were removed since the last sort
 	// nextRankChange is the earliest time at which the value class of a ranked step changes.
 	nextRankChange clock.Time
 }
--- a/pkg/dispatch/worker.go
+++ b/pkg/dispatch/worker.go
@@ -57,7 +57,7 @@
 	leavesAt         clock.Time // when a draining worker may leave; 0 if it is not draining
 	evacuated        bool       // its data hall is being evacuated
 	terminated       bool       // the incarnation has ended, or can't run anything any more
-	fenced           bool       // it has answered this owner
+	fenced           bool       // it has answered this owner, so it rejects orders of previous owners
 	reported         bool       // a complete report has been applied
 	reportIncomplete bool       // its last report may not list all its runs
 	hasPredecessor   bool       // it replaced an incarnation that this owner knew
@@ -108,11 +108,12 @@
 
 	pacing         pace.Control
 	suspendedUntil clock.Time // gets no tasks before this time
-	failures       int        // in a row
-	failedJob      job.ID     // of the last failure
+	failures       int        // not counting further ones of the same job
+	failedJob      job.ID     // the job of the last failure
 	probation      bool       // it was suspended for failures, and no run has succeeded since
 }
 
+// free returns the capacity that no run uses.
 func (w *worker) free() cell.Resources {
 	return w.info.Capacity.Sub(w.used)
 }
