--- a/pkg/dispatch/worker.go
+++ b/pkg/dispatch/worker.go
@@ -306,7 +306,7 @@
 		expiresAt = max(expiresAt, p.transferredRunExpiresAt(w, r))
 	}
 	if !w.hasEntry && now >= expiresAt && p.isOwnershipConfirmedSince(expiresAt) {
-		p.terminateWorker(w, "entry gone and leases expired", now)
+		p.terminateWorker(w, "left", now)
 	}
 }
 
@@ -332,7 +332,7 @@
 			return
 		}
 		if w.failures >= suspendAfter || w.probation && w.failures > 0 {
-			p.suspendWorker(w, suspendFor, "repeated failures", now)
+			p.suspendWorker(w, suspendFor, "failures", now)
 			w.failures, w.probation = 0, true
 		}
 	}
