--- a/pkg/dispatch/poll.go
+++ b/pkg/dispatch/poll.go
@@ -6,36 +6,39 @@
 	"foldarch.dev/foldarch/pkg/clock"
 )
 
-// The waits of holds: how long a worker lets a hold wait for an end. They grow with the pool,
-// so that the calls to workers don't grow as it does, and stay below answerTimeout and the
-// term of an owner's authority.
+// The waits of polls: how long a worker delays its answer to a poll while nothing has ended. They grow
+// with the pool, so that the rate of calls does not grow with it, and they stay below answerTimeout and
+// the term of an owner's authority.
 const (
 	pollWait          = 600 * time.Millisecond  // in pools of up to referencePoolSize workers
-	maxPollWait       = time.Second             // at most, while something runs there
-	maxIdlePollWait   = 1500 * time.Millisecond // at most, while nothing does
+	maxPollWait       = time.Second             // maximum while the worker has runs
+	maxIdlePollWait   = 1500 * time.Millisecond // maximum while the worker has no runs
 	referencePoolSize = 400
-	// probeWait is the wait while a task that was started alone is not proven: other tasks wait for the worker. With it and a
-	// crash.SurvivalTime of 0.3 s in place of 0.5 s jobs earn 0.024 more in a pool of 48 workers of which two crash each second (12 plays each).
+	// probeWait is the wait while a worker is claimed for a task that was started alone and has not
+	// survived yet: other tasks wait for the worker. With it and a crash.SurvivalTime of 0.3 s in place
+	// of 0.5 s jobs earn 0.024 more in a pool of 48 workers of which two crash each second (12 trials
+	// each).
 	probeWait = 100 * time.Millisecond
 )
 
-// PollWait is how long a worker is to let its next hold wait for an end.
+// PollWait returns how long a worker may delay its answer to the next poll while nothing has ended.
 func (p *Pool) PollWait(id WorkerID) time.Duration {
-	most := maxIdlePollWait
+	limit := maxIdlePollWait
 	w, known := p.workers[id]
 	if known && len(w.runs) > 0 {
-		most = maxPollWait
+		limit = maxPollWait
 	}
 	if known && w.claim.step != nil {
 		return probeWait
 	}
 	scaled := pollWait * time.Duration(len(p.workers)) / referencePoolSize
-	return min(max(scaled, pollWait), most)
+	return min(max(scaled, pollWait), limit)
 }
 
-// NewPoll returns the next hold for a worker; ok is false when there is none to be sent any
-// more. raise asks for a higher token, which settles lost answers.
-func (p *Pool) NewPoll(id WorkerID, raise, extend bool, now clock.Time) (h PollOrder, ok bool) {
+// NewPoll returns the next poll for a worker; ok is false when the worker is to be polled no more.
+// raise raises the token of the worker, so that starts whose answers were lost are resolved by the next
+// report. extend allows the poll to extend the worker's leases.
+func (p *Pool) NewPoll(id WorkerID, raise, extend bool, now clock.Time) (poll PollOrder, ok bool) {
 	w, known := p.workers[id]
 	if !known || w.terminated {
 		return PollOrder{}, false
@@ -44,16 +47,18 @@
 		w.history.raiseToken(p.cfg.Token)
 	}
 	w.recordPollSent(now)
-	h = PollOrder{Worker: id, Address: w.info.Address, Token: w.history.token, SentAt: now}
+	poll = PollOrder{Worker: id, Address: w.info.Address, Token: w.history.token, SentAt: now}
 	if w.mayBeReplaced() {
-		return h, true // the life that takes it may be another one, also seconds later: it is only asked
+		// Another incarnation may receive the poll, even seconds later, so it extends and acknowledges
+		// nothing.
+		return poll, true
 	}
 	if w.mayAcknowledge(now) {
-		h.AckedEnd = w.lastCommittedEnd
+		poll.AckedEnd = w.lastCommittedEnd
 	}
 	if w.fenced && extend && now.Sub(w.lastAnsweredAt) < leaseExtensionTimeout {
-		h.Deadline = w.leaseDeadline(now, p.cfg.LeaseDuration)
-		w.latestDeadline = max(w.latestDeadline, h.Deadline)
+		poll.Deadline = w.leaseDeadline(now, p.cfg.LeaseDuration)
+		w.latestDeadline = max(w.latestDeadline, poll.Deadline)
 	}
-	return h, true
+	return poll, true
 }
