--- a/pkg/dispatch/advice_targets_test.go
+++ b/pkg/dispatch/advice_targets_test.go
@@ -10,8 +10,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// fullPool has workers that are full until a time, and a step that waits for advice. A call takes a
-// fixed time and some for each worker.
+// newFullPool returns a pool whose workers have no room for the given time, and a step that waits for advice.
+// A call for advice takes a fixed time, base, and perWorker for each worker in it.
 func fullPool(t *testing.T, workers int, full time.Duration, base, perWorker time.Duration) *fixture {
 	f := newFixture(t, workers, nil)
 	f.reportAll(workers)
@@ -28,13 +28,13 @@
 	return f
 }
 
-// Seen on the market stalls: a step named only workers that had room at the moment, one a call, and
-// began after 18 calls and 49 s.
+// Guards against a step that asks only about workers with room at the moment, one in each call, although the
+// fixed time of a call is long: such a step started after 18 calls and 49 s.
 func TestWorkersWithoutRoomAreNamedWhenTheFixedPartOfACallIsLong(t *testing.T) {
 	f := fullPool(t, 10, time.Minute, 500*time.Millisecond, 10*time.Millisecond)
-	asks := f.plan().AdviceCalls
-	f.Expect(asks).To(HaveLen(1))
-	f.Expect(len(asks[0].Workers)).To(BeNumerically(">=", 4), "enough for a step that needs half a worker")
+	calls := f.plan().AdviceCalls
+	f.Expect(calls).To(HaveLen(1))
+	f.Expect(len(calls[0].Workers)).To(BeNumerically(">=", 4), "enough for a step that needs half a worker")
 }
 
 func TestWorkersWithoutRoomAreNotNamedWhenEachTakesLong(t *testing.T) {
@@ -53,7 +53,7 @@
 	f := fullPool(t, 1, 2*time.Second, 500*time.Millisecond, 10*time.Millisecond)
 	s := f.pool.jobs["a"].occurrences[0].steps[0]
 	s.advice.allowed = map[WorkerID]bool{"w0": true}
-	f.Expect(f.plan().AdviceCalls).To(BeEmpty(), "the room comes in two seconds")
+	f.Expect(f.plan().AdviceCalls).To(BeEmpty(), "the room is expected in 2 s")
 	f.pass(1600 * time.Millisecond)
 	f.report(0, Report{Active: activeRows(f)})
 	f.Expect(f.plan().AdviceCalls).To(HaveLen(1))
@@ -71,13 +71,12 @@
 		f.report(0, Report{Active: []ActiveRun{{Task: o.Task, Run: o.Run, Percent: percent}}})
 		f.pass(time.Second)
 	}
-	f.Expect(r.timeLeft(f.now)).To(BeNumerically("~", 2*time.Second, 20*time.Millisecond), "a quarter took one second, one has passed since")
+	f.Expect(r.timeLeft(f.now)).To(BeNumerically("~", 2*time.Second, 20*time.Millisecond), "a quarter took 1 s, and 1 s has passed since")
 	f.Expect(f.pool.workers["w0"].timeUntilRoom(&step{spec: &job.Step{Count: 1, Resources: testStep(1).Resources}}, f.now)).To(BeZero())
 }
 
-// Found by hunts of hanbit-ops-grown (trouble-3 622615977533 and six others: LOST): gangs of 29 to 35 members
-// counted on room that was expected, asked for tickets on a few workers more with each call, and never had
-// tickets and room on all of them together.
+// Guards against a wide gang that never starts: gangs of 29 to 35 members counted room that was only expected,
+// requested tickets on a few more workers with each call, and never had tickets and room on all of them at once.
 func TestWideGangIsNotAskedForByRoomThatIsOnlyExpected(t *testing.T) {
 	f := fullPool(t, 4, 2*time.Second, 500*time.Millisecond, 10*time.Millisecond)
 	s := f.pool.jobs["a"].occurrences[0].steps[0]
@@ -92,7 +91,7 @@
 	for n := range 4 {
 		f.pool.workers[workerID(n)].lastAnsweredAt = f.now
 	}
-	f.Expect(f.plan().AdviceCalls).To(BeEmpty(), "the room is expected in 0.4 s, and not there")
+	f.Expect(f.plan().AdviceCalls).To(BeEmpty(), "the room is expected in 0.4 s and not there yet")
 }
 
 func TestWorkersWithMostRoomComeFirst(t *testing.T) {
@@ -111,7 +110,8 @@
 	g.Expect(sortByRoom(nil)).To(BeEmpty())
 }
 
-// Guards against a step that waits for the room of a run which should have ended long ago, while other workers have room.
+// Guards against a step that waits for the room of a run which should have ended long ago, while other workers
+// have room.
 func TestStepDoesNotWaitForTheRoomOfARunThatIsOverdue(t *testing.T) {
 	f := fullPool(t, 1, time.Second, 10*time.Millisecond, 100*time.Microsecond)
 	f.pool.jobs["a"].occurrences[0].steps[0].tasks[0].setDone()
@@ -132,7 +132,8 @@
 	f.Expect(f.pool.workers["w1"].runs).To(HaveLen(1))
 }
 
-// answerAdvice plans, has the calls for advice answered that are made, with tickets for some workers, and the starts carried out.
+// planAndAnswerAdvice plans once, accepts the starts and answers the calls for advice with tickets for the allowed
+// workers.
 func (f *fixture) answerAdvice(allowed ...WorkerID) {
 	actions := f.plan()
 	for _, s := range actions.Starts {
--- a/pkg/dispatch/advice_test.go
+++ b/pkg/dispatch/advice_test.go
@@ -24,14 +24,14 @@
 	actions := f.plan()
 	f.Expect(actions.Starts).To(BeEmpty())
 	f.Expect(actions.AdviceCalls).To(HaveLen(1))
-	ask := actions.AdviceCalls[0]
+	call := actions.AdviceCalls[0]
 	f.Expect(f.plan().AdviceCalls).To(BeEmpty(), "one call a step")
 	f.pass(50 * time.Millisecond)
-	f.pool.HandleAdviceAnswer(ask.Number, []Ticket{{Worker: ask.Workers[0], Text: "t1"}}, true, f.now)
+	f.pool.HandleAdviceAnswer(call.Number, []Ticket{{Worker: call.Workers[0], Text: "t1"}}, true, f.now)
 	starts := f.plan().Starts
 	f.Expect(starts).To(HaveLen(2))
 	for _, s := range starts {
-		f.Expect(s.Worker).To(Equal(ask.Workers[0]))
+		f.Expect(s.Worker).To(Equal(call.Workers[0]))
 		f.Expect(s.Ticket).To(Equal("t1"))
 	}
 }
@@ -41,8 +41,8 @@
 	f.reportAll(1)
 	f.pool.AddAdviser("host")
 	f.add(advisedJob("a", testStep(5)))
-	ask := f.plan().AdviceCalls[0]
-	f.pool.HandleAdviceAnswer(ask.Number, []Ticket{{Worker: "w0", Text: "t1"}}, true, f.now)
+	call := f.plan().AdviceCalls[0]
+	f.pool.HandleAdviceAnswer(call.Number, []Ticket{{Worker: "w0", Text: "t1"}}, true, f.now)
 	starts := f.plan().Starts
 	f.Expect(starts).To(HaveLen(4))
 	for _, s := range starts {
@@ -51,7 +51,7 @@
 	f.pass(3 * time.Second)
 	f.report(0, f.end(starts[0], 1, EndDone))
 	actions := f.plan()
-	f.Expect(actions.Starts).To(BeEmpty(), "the ticket has lapsed")
+	f.Expect(actions.Starts).To(BeEmpty(), "the ticket has expired")
 	f.Expect(actions.AdviceCalls).To(HaveLen(1))
 }
 
@@ -59,7 +59,7 @@
 	expectLongCalls(t, []string{"a", "b", "c", "d"}, 2)
 }
 
-// With three hosts, two make long calls: one alone does not get through them.
+// Of three hosts, two make long calls: one alone would be too slow for them.
 func TestLongCallsOfFewHosts(t *testing.T) {
 	expectLongCalls(t, []string{"a", "b", "c"}, 2)
 	expectLongCalls(t, []string{"a", "b"}, 1)
@@ -81,10 +81,10 @@
 	f.Expect(f.plan().AdviceCalls).To(HaveLen(calls))
 }
 
-// A call with a long fixed time names so many workers that it most likely suffices; one
-// without names just enough.
+// A call with a long fixed time is about so many workers that it most likely yields enough tickets; a call without
+// a fixed time is about just enough workers.
 func TestCallsNameMoreWorkersWhenTheirFixedTimeIsLong(t *testing.T) {
-	named := func(base, perWorker time.Duration) int {
+	targetCount := func(base, perWorker time.Duration) int {
 		f := newFixture(t, 40, nil)
 		f.reportAll(40)
 		f.pool.AddAdviser("host")
@@ -95,12 +95,12 @@
 		return len(f.plan().AdviceCalls[0].Workers)
 	}
 	f := NewWithT(t)
-	f.Expect(named(400*time.Millisecond, 6*time.Millisecond)).To(BeNumerically(">", 15))
-	f.Expect(named(0, 300*time.Millisecond)).To(BeNumerically("<", 12))
+	f.Expect(targetCount(400*time.Millisecond, 6*time.Millisecond)).To(BeNumerically(">", 15))
+	f.Expect(targetCount(0, 300*time.Millisecond)).To(BeNumerically("<", 12))
 }
 
-// The members of a gang start together: a ticket that lapses before the next answer is of no
-// use beside it.
+// The members of a gang start together, so a ticket that expires before the next answer can't be used with the
+// tickets of that answer.
 func TestGangAsksAgainForTicketsThatLapseDuringTheCall(t *testing.T) {
 	f := newFixture(t, 6, nil)
 	f.reportAll(6)
@@ -133,7 +133,7 @@
 	f.pool.AddAdviser("other")
 	f.pass(time.Second)
 	f.report(0, Report{})
-	asks := f.plan().AdviceCalls
-	f.Expect(asks).To(HaveLen(1))
-	f.Expect(asks[0].Adviser).To(Equal("other"))
+	calls := f.plan().AdviceCalls
+	f.Expect(calls).To(HaveLen(1))
+	f.Expect(calls[0].Adviser).To(Equal("other"))
 }
--- a/pkg/dispatch/bench_test.go
+++ b/pkg/dispatch/bench_test.go
@@ -9,7 +9,7 @@
 	"foldarch.dev/foldarch/pkg/cell"
 )
 
-// BenchmarkPlan plans for 48 busy workers with 200 steps that wait for room or advice.
+// BenchmarkPlan measures a plan for 48 busy workers with 200 steps that wait for room or advice.
 func BenchmarkPlan(b *testing.B) {
 	f := newFixture(&testing.T{}, 48, nil)
 	f.reportAll(48)
@@ -39,7 +39,8 @@
 	}
 }
 
-// BenchmarkName lists the workers of a call for a gang in a pool of 3,000.
+// BenchmarkSelectAdviceTargets measures the selection of the workers for a call for advice, for a gang in a pool of
+// 3,000 workers.
 func BenchmarkName(b *testing.B) {
 	f := newFixture(&testing.T{}, 3000, nil)
 	f.reportAll(3000)
--- a/pkg/dispatch/busy_backlog_test.go
+++ b/pkg/dispatch/busy_backlog_test.go
@@ -10,18 +10,18 @@
 	"foldarch.dev/foldarch/pkg/job"
 )
 
-// backlogSteps are the sizes of the backlog that the benchmark measures.
+// backlogSizes are the numbers of waiting steps that the benchmark measures.
 var backlogSteps = []int{0, 500, 1000, 2000, 4000, 8000}
 
-// hotCustomers share the backlog, and otherCustomers what arrives besides.
+// The backlog is of backlogCustomers customers, and the jobs that arrive later are of arrivalCustomers others.
 const (
 	hotCustomers   = 2
 	otherCustomers = 18
 )
 
-// newBacklogPool returns a busy pool of 20 customers in which a number of steps wait, of two of them.
-func newBacklogPool(steps int, without DisabledMechanisms) *busyPool {
-	p := newBusyPool(busyKinds, without)
+// newBusyPoolWithBacklog returns a busy pool of 20 customers, two of which have the given number of steps waiting.
+func newBacklogPool(steps int, disabled DisabledMechanisms) *busyPool {
+	p := newBusyPool(busyKinds, disabled)
 	var hot []customer.Customer
 	for n := range hotCustomers + otherCustomers {
 		c := customer.Customer{Name: fmt.Sprintf("c%d", n), Weight: 10, Quota: cell.Resources{CPUMillis: busyWorkers * 16000 / 4}}
@@ -42,18 +42,19 @@
 	return p
 }
 
-// BenchmarkBusyPoolWithBacklog plays a second of 200 plans of a busy pool in which steps wait: what waits and can't start should cost next to nothing.
+// BenchmarkBusyPoolWithBacklog simulates one second, which is 200 plans, of a busy pool with a backlog. Waiting steps
+// that can't start should take next to no processor time.
 func BenchmarkBusyPoolWithBacklog(b *testing.B) {
 	for _, steps := range backlogSteps {
 		b.Run(fmt.Sprintf("steps=%d", steps), func(b *testing.B) {
 			p := newBacklogPool(steps, nil)
 			p.play(time.Second)
 			b.ResetTimer()
-			began := p.started
+			startsBefore := p.started
 			for b.Loop() {
 				p.play(time.Second)
 			}
-			b.ReportMetric(float64(p.started-began)/float64(b.N), "starts/op")
+			b.ReportMetric(float64(p.started-startsBefore)/float64(b.N), "starts/op")
 			b.ReportMetric(float64(p.pool.waitingSteps.stepCount), "ready")
 		})
 	}
--- a/pkg/dispatch/busy_pool_test.go
+++ b/pkg/dispatch/busy_pool_test.go
@@ -16,21 +16,22 @@
 	. "github.com/onsi/gomega"
 )
 
-// A busy pool: wide gangs, wide steps and urgent small jobs on 1,100 workers that are used to two thirds, with calls
-// for advice by 146 hosts. Everything but the pool's own processor time is simulated.
+// The busy pool has wide gangs, wide steps and small urgent jobs on 1,100 workers, two thirds of which are in use, and
+// 146 hosts that make calls for advice. Everything but the pool's own processor time is simulated.
 const (
 	busyWorkers  = 1100
 	busyAdvisers = 146
-	busyPlan     = 5 * time.Millisecond // between two plans
-	busyHold     = time.Second          // between two reports of a worker on which nothing ends
+	busyPlan     = 5 * time.Millisecond // time between two plans
+	busyHold     = time.Second          // time between two reports of a worker on which no run ends
 	busyStart    = 12 * time.Millisecond
 )
 
+// busyJobKind describes the jobs of one queue.
 type busyKind struct {
 	queue     queue.Queue
-	perSecond float64
+	perSecond float64 // jobs that arrive
 	step      job.Step
-	allowed   float64 // part of the workers
+	allowed   float64 // share of the workers that advice allows
 }
 
 var busyKinds = []busyKind{
@@ -59,6 +60,7 @@
 	do func()
 }
 
+// busyEvents is a heap of the events to come, the earliest first.
 type busyEvents []busyEvent
 
 func (e busyEvents) Len() int           { return len(e) }
@@ -71,7 +73,7 @@
 	return last
 }
 
-// busyPool drives a pool.
+// busyPool drives a pool with simulated workers, hosts and arriving jobs.
 type busyPool struct {
 	*fixture
 	rand    *rand.Rand
@@ -81,23 +83,23 @@
 	jobs    int
 	started int
 	allowed map[string]float64
-	// customers share the jobs; without any, they are nobody's.
+	// customers submit the jobs in turn; if empty, the jobs belong to no customer.
 	customers []customer.Customer
-	silent    bool // no more jobs arrive
-	// plan makes the plans, and planned is told of each; nil for none.
+	silent    bool // whether jobs no longer arrive
+	// plan makes the plans. afterPlan, unless nil, is called with each of them.
 	plan    func(now clock.Time, authority bool) Actions
 	planned func(Actions)
 }
 
-// newBusyPool returns a pool into which jobs of some kinds arrive.
-func newBusyPool(kinds []busyKind, without DisabledMechanisms) *busyPool {
-	return newBusyPoolOf(kinds, busyWorkers, busyAdvisers, 1, without)
+// newBusyPool returns a pool of busyWorkers workers and busyAdvisers hosts in which jobs of the given kinds arrive.
+func newBusyPool(kinds []busyKind, disabled DisabledMechanisms) *busyPool {
+	return newBusyPoolOf(kinds, busyWorkers, busyAdvisers, 1, disabled)
 }
 
-// newBusyPoolOf returns one with a number of workers and of hosts that make calls for advice.
-func newBusyPoolOf(kinds []busyKind, workers, advisers int, seed uint64, without DisabledMechanisms) *busyPool {
+// newBusyPoolWithSize is newBusyPool with other numbers of workers and of hosts that make calls for advice.
+func newBusyPoolOf(kinds []busyKind, workers, advisers int, seed uint64, disabled DisabledMechanisms) *busyPool {
 	b := &busyPool{
-		fixture: newFixture(&testing.T{}, 0, func(c *Config) { c.Log, c.Disabled = func(Event) {}, without }), rand: rand.New(rand.NewPCG(seed, 2)),
+		fixture: newFixture(&testing.T{}, 0, func(c *Config) { c.Log, c.Disabled = func(Event) {}, disabled }), rand: rand.New(rand.NewPCG(seed, 2)),
 		numbers: map[WorkerID]int64{}, active: map[WorkerID]map[job.TaskID]StartOrder{}, allowed: map[string]float64{},
 	}
 	b.plan = b.pool.Plan
@@ -120,7 +122,7 @@
 	return b
 }
 
-// configure puts the queues of some kinds in force.
+// configureQueues puts a configuration with the queues of the given kinds in force.
 func (b *busyPool) configure(version int64, kinds []busyKind) {
 	var queues []queue.Queue
 	for _, k := range kinds {
@@ -133,7 +135,8 @@
 	heap.Push(&b.events, busyEvent{b.now.Add(in), do})
 }
 
-// arrive hands in jobs of a kind, at a steady rate.
+// scheduleArrival schedules the next job of a kind, which in turn schedules the one after it: jobs of a kind arrive at
+// a constant rate until arrivals are stopped.
 func (b *busyPool) arrive(k busyKind) {
 	b.at(time.Duration(float64(time.Second)/k.perSecond), func() {
 		if b.silent {
@@ -151,12 +154,13 @@
 	})
 }
 
-// holdAgain has a worker report what runs there.
+// pollPeriodically has a worker report its active runs, now and every busyPollInterval.
 func (b *busyPool) holdAgain(id WorkerID) {
 	b.tell(id, nil)
 	b.at(busyHold, func() { b.holdAgain(id) })
 }
 
+// answerPoll has a worker report its active runs and the given ended ones.
 func (b *busyPool) tell(id WorkerID, ended []FinishedRun) {
 	h, ok := b.pool.NewPoll(id, false, true, b.now)
 	if !ok {
@@ -169,7 +173,7 @@
 	b.pool.HandlePollAnswer(h, Answer{Verdict: VerdictDone, Clock: b.workerClock}, report, b.now)
 }
 
-// start has a worker carry out a start, and end the task by its estimate.
+// executeStart has a worker start a task, and schedules its end as done after the step's estimate.
 func (b *busyPool) start(s StartOrder) {
 	b.started++
 	b.active[s.Worker][s.Task] = s
@@ -181,15 +185,16 @@
 	b.at(t.step.spec.Estimate, func() { b.end(s, EndDone) })
 }
 
-func (b *busyPool) end(s StartOrder, how EndReason) {
-	if held, ok := b.active[s.Worker][s.Task]; !ok || held.Run != s.Run {
+func (b *busyPool) end(s StartOrder, reason EndReason) {
+	if started, ok := b.active[s.Worker][s.Task]; !ok || started.Run != s.Run {
 		return
 	}
 	delete(b.active[s.Worker], s.Task)
 	b.numbers[s.Worker]++
-	b.tell(s.Worker, []FinishedRun{{Number: b.numbers[s.Worker], Task: s.Task, Run: s.Run, Reason: how}})
+	b.tell(s.Worker, []FinishedRun{{Number: b.numbers[s.Worker], Task: s.Task, Run: s.Run, Reason: reason}})
 }
 
+// answerAdviceCall answers a call for advice with tickets for the allowed ones of its workers.
 func (b *busyPool) answer(a AdviceCall) {
 	s := b.pool.advice.pendingCalls[a.Number]
 	if s == nil {
@@ -205,14 +210,15 @@
 	b.pool.HandleAdviceAnswer(a.Number, tickets, true, b.now)
 }
 
-// allowed is below the share of allowed workers if a step may run on a worker.
+// allowedDraw returns a number from 0 to 1 for a step and a worker. Advice allows the worker to the step when it is
+// below the allowed share of the step's queue.
 func allowed(s job.StepID, w WorkerID) float64 {
 	h := fnv.New64a()
 	_, _ = fmt.Fprint(h, s, w)
-	return rand.New(rand.NewPCG(h.Sum64(), 0)).Float64() // the hash alone is alike for like names
+	return rand.New(rand.NewPCG(h.Sum64(), 0)).Float64() // the hash alone is similar for similar names
 }
 
-// play goes on for a time, with a plan every busyPlan.
+// simulate lets the given time pass, with a plan every busyPlanInterval.
 func (b *busyPool) play(d time.Duration) {
 	for end := b.now.Add(d); b.now < end; {
 		b.pass(busyPlan)
@@ -238,21 +244,22 @@
 	}
 }
 
-// BenchmarkBusyPool plays a second of the busy pool at a time: its time is what the owner's decisions
-// take of a core.
+// BenchmarkBusyPool simulates one second of the busy pool. The time per operation is the share of a core that the
+// owner's decisions take.
 func BenchmarkBusyPool(b *testing.B) {
 	p := newBusyPool(busyKinds, nil)
 	p.play(5 * time.Second)
 	b.ResetTimer()
-	began := p.started
+	startsBefore := p.started
 	for b.Loop() {
 		p.play(time.Second)
 	}
-	b.ReportMetric(float64(p.started-began)/float64(b.N), "starts/op")
+	b.ReportMetric(float64(p.started-startsBefore)/float64(b.N), "starts/op")
 	b.Logf("%+v", p.pool.Status(p.now))
 }
 
-// BenchmarkBusyPoolOfCustomers plays it with 20 customers that share the jobs. With a quota each, a plan goes over what waits more often.
+// BenchmarkBusyPoolOfCustomers is BenchmarkBusyPool with the jobs spread over 20 customers. As each of them has a
+// quota, a plan goes over the waiting steps more often.
 func BenchmarkBusyPoolOfCustomers(b *testing.B) {
 	p := newBusyPool(busyKinds, nil)
 	for n := range 20 {
@@ -276,21 +283,21 @@
 	g.Expect(s.Used.CPUMillis).To(BeNumerically(">", s.Capacity.CPUMillis/4))
 }
 
-// A gang of 240 members of which two fit on a worker needs 120 allowed workers, of whom it learns when 400 are
-// named. A call that names 100 takes 0.95 s.
+// A gang of 240 members, two of which fit on a worker, needs 120 allowed workers. With the allowed share of 0.3 it has
+// to ask about 400, and a call about 100 takes 0.95 s.
 func TestGangThatNeedsMoreWorkersThanACallNamesStartsSoon(t *testing.T) {
 	gangs := busyKinds[0]
 	gangs.perSecond = 0.1
 	gangs.step.Resources.CPUMillis = 7000
 	for name, c := range map[string]struct {
-		without DisabledMechanisms
-		starts  int
+		disabled DisabledMechanisms
+		starts   int
 	}{
-		"calls in parts":     {nil, 240},
+		"parallel calls":     {nil, 240},
 		"one call at a time": {only(ParallelAdvice), 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newBusyPool([]busyKind{gangs}, c.without)
+			p := newBusyPool([]busyKind{gangs}, c.disabled)
 			s := gangs.step
 			s.Count = 240
 			p.add(job.Record{Job: job.Job{ID: "00000000000000a1", Steps: []job.Step{s}}, Queue: gangs.queue})
--- a/pkg/dispatch/capacity_test.go
+++ b/pkg/dispatch/capacity_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// resize has a worker say that it holds another amount of processors now.
+// setCPU changes the processor capacity in a worker's entry, in thousandths of a core.
 func (f *fixture) resize(n int, cpu int64) {
 	info := f.pool.workers[workerID(n)].info
 	info.Capacity = cell.Resources{CPUMillis: cpu, MemoryMB: 8000}
@@ -27,16 +27,16 @@
 	}
 	f.resize(0, 2000)
 	f.report(0, f.endFirst(starts, 1))
-	f.Expect(f.plan().Starts).To(BeEmpty(), "three run where two have room")
+	f.Expect(f.plan().Starts).To(BeEmpty(), "three run where two fit")
 	f.report(0, f.endFirst(starts, 2))
-	f.Expect(f.plan().Starts).To(BeEmpty(), "two run where two have room")
+	f.Expect(f.plan().Starts).To(BeEmpty(), "two run where two fit")
 	f.report(0, f.endFirst(starts, 3))
 	f.Expect(f.plan().Starts).To(HaveLen(1))
 	f.resize(0, 4000)
 	f.Expect(f.plan().Starts).To(HaveLen(1), "the last one")
 }
 
-// endFirst is a report by which the first n of the starts have ended and the others run.
+// reportFirstDone returns a report in which run n of the starts has ended as done and those after it are active.
 func (f *fixture) endFirst(starts []StartOrder, n int) Report {
 	r := f.end(starts[n-1], int64(n), EndDone)
 	for _, s := range starts[n:] {
@@ -57,7 +57,8 @@
 	f.Expect(f.plan().Starts).To(HaveLen(8))
 }
 
-// A start that has to be stored waits for the store. The worker may shrink meanwhile, crash, drain or lose its ticket, and the job may be cancelled.
+// A start that has to be stored first is ordered after its commit. Meanwhile the worker may shrink, crash, drain or
+// lose its ticket, and the job may be cancelled.
 func TestStoredStartIsNotOrderedWhereItNoLongerFits(t *testing.T) {
 	for name, change := range map[string]func(*fixture){
 		"shrunk":   func(f *fixture) { f.resize(0, 500) },
@@ -70,7 +71,7 @@
 			f := newFixture(t, 1, nil)
 			f.reportAll(1)
 			f.pool.AddJob(testJob("a", testStep(1)), crashedOnce(), true, 0, f.now)
-			f.Expect(f.plan().Starts).To(BeEmpty(), "the start is not in the store")
+			f.Expect(f.plan().Starts).To(BeEmpty(), "the start is not committed")
 			c := f.pool.PrepareCommit()
 			f.Expect(c.HasStarts()).To(BeTrue())
 			f.Expect(c.Changes[0].Progress.Tasks[0].Attempts).To(HaveLen(1))
@@ -82,7 +83,7 @@
 	}
 }
 
-// The order of a stored start is the same as that of any other, once the store has it.
+// After its commit, a stored start is ordered like any other.
 func TestStoredStartIsOrderedWhenTheStoreHasIt(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.reportAll(1)
@@ -100,7 +101,7 @@
 	f.Expect(c.Changes[0].Progress.Tasks).To(BeEmpty(), "the worker has survived the start")
 }
 
-// crashedOnce is the progress of a task under which a worker has crashed.
+// progressWithOneCrash returns the progress of a job whose task has crashed a worker.
 func crashedOnce() job.Progress {
 	return job.Progress{Tasks: []job.TaskProgress{{Crashes: []job.Crash{{Run: 1, Worker: "gone"}}}}}
 }
@@ -111,7 +112,8 @@
 	f.pool.UpsertWorker(info, true, f.now)
 }
 
-// A worker is lost while the store takes a start on it. The start was never ordered, so a later owner must not find it.
+// Guards against an attempt that stays in the store although its start was never ordered: the worker was lost during
+// the commit. A later owner must not find the attempt.
 func TestStoredStartOnAWorkerThatIsLostLeavesNothingOpen(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.reportAll(1)
@@ -123,13 +125,13 @@
 	f.pool.HandlePollAnswer(h, Answer{Verdict: VerdictWrongWorker}, Report{}, f.now)
 	f.pool.ApplyCommit(c)
 	f.Expect(f.plan().Starts).To(BeEmpty())
-	after := f.pool.PrepareCommit()
-	f.Expect(after.Changes).To(HaveLen(1))
-	f.Expect(after.Changes[0].Progress.Tasks[0].Attempts).To(BeEmpty())
-	f.Expect(after.Changes[0].Progress.Tasks[0].Crashes).To(HaveLen(1), "the one before")
+	next := f.pool.PrepareCommit()
+	f.Expect(next.Changes).To(HaveLen(1))
+	f.Expect(next.Changes[0].Progress.Tasks[0].Attempts).To(BeEmpty())
+	f.Expect(next.Changes[0].Progress.Tasks[0].Crashes).To(HaveLen(1), "the earlier crash")
 }
 
-// Two answers of a worker overtake each other. The older one tells that the worker lives, but not what it runs now.
+// An answer of a worker is overtaken by a newer one. It shows that the worker is responsive, but not what it runs now.
 func TestOvertakenAnswerDoesNotSettleWhatBeganOnAWorker(t *testing.T) {
 	f := newFixture(t, 1, afterFormerOwner)
 	progress := job.Progress{Tasks: []job.TaskProgress{{Attempts: []job.Attempt{{Run: 1, Worker: "w0"}}}}}
--- a/pkg/dispatch/config_test.go
+++ b/pkg/dispatch/config_test.go
@@ -7,9 +7,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// Symptom: an owner places jobs by an older configuration than it had. Sequence: a host takes over and reads the configuration in
-// force; a newer one is put in force and told to the new owner; then the one that was read before is. Cause: the pool took
-// whatever it was told last.
+// Guards against an owner that goes back to an older configuration. When a host takes over, it reads the configuration
+// in force; the new owner may be sent a newer one before it gets the one that was read.
 func TestOlderConfigurationIsNotPutInForce(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	moved := testQueue
@@ -18,5 +17,5 @@
 	f.pool.SetConfig(queue.NewConfig(2, []queue.Queue{testQueue}, nil))
 	f.reportAll(1)
 	f.add(testJob("a", testStep(1)))
-	f.Expect(f.plan().Starts).To(BeEmpty(), "the worker is of the pool that the queue has left")
+	f.Expect(f.plan().Starts).To(BeEmpty(), "the worker is in the pool that the queue was moved out of")
 }
--- a/pkg/dispatch/crash_test.go
+++ b/pkg/dispatch/crash_test.go
@@ -16,24 +16,18 @@
 	. "github.com/onsi/gomega"
 )
 
-// mostCrashes is how many crashes in a row give a task up whatever else crashed.
+// maxConsecutiveCrashes is the number of consecutive crashes after which a task is given up whatever else crashed.
 const mostCrashes = crash.MaxConsecutiveCrashes
 
-// A task may crash each worker that starts it. The worker is silent from 10 ms after the start on, and seconds later
-// another incarnation answers at its address. An owner took that for a run like one on a worker that was cut off, ended
-// it as lost and started the task on the next worker, every 3.2 s for as long as the job was there:
-//
-//	35.5742 run_ended detail=lost run=6 task=77710613cd16242a.0.0.0 worker=i-c94f429b7c
-//	35.5742 worker_gone detail="another incarnation answers" worker=i-c94f429b7c
-//	35.5959 run_ordered run=7 task=77710613cd16242a.0.0.0 worker=i-b03e2f95d5
-//
-// With eight such tasks at a time a pool of 48 workers lost 69 of them in a minute, and 609 runs. Nothing counted the crashes, since
-// only runs that end as failed count against a task's attempts.
+// Guards against a task that crashes one worker after the other. The worker stops answering 10 ms after the start, and
+// seconds later another incarnation answers at its address. If the owner treats the run as lost, as on an unreachable
+// worker, it starts the task on the next worker, every 3.2 s without end: only runs that end as failed count against a
+// task's attempts. Eight such tasks cost a pool of 48 workers 69 workers and 609 runs in a minute.
 func TestTaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	t.Run("one task", givesUpOneTask)
 	t.Run("gang", givesUpGang)
 	t.Run("wide step", givesUpWideStep)
-	t.Run("lasting task", givesUpLastingTask)
+	t.Run("service", givesUpLastingTask)
 }
 
 func givesUpOneTask(t *testing.T) {
@@ -42,13 +36,13 @@
 	m.crashes["bad"] = true
 	m.play(60 * time.Second)
 	m.Expect(m.outcome("bad")).To(Equal(job.Failed))
-	m.Expect(m.lost).To(BeNumerically("<=", 3), "workers lost to the task")
+	m.Expect(m.lost).To(BeNumerically("<=", 3), "workers crashed by the task")
 }
 
-// mostLost is how many workers one task may take down: after three it may be started twice more.
+// maxWorkersLostToATask is how many workers one task may crash: after three it may be started twice more.
 const mostLost = 5
 
-// What runs beside a task that crashes its worker is lost with it, time and again, and none of that is its fault.
+// Runs beside a task that crashes its worker are lost with it, repeatedly, and must not be blamed for the crashes.
 func TestNothingIsGivenUpForWhatRanBesideIt(t *testing.T) {
 	m := newMachines(t, 4)
 	m.add(testJob("bad", testStep(1)))
@@ -64,9 +58,9 @@
 	}
 }
 
-// An owner knows of a start that it has ordered, and of a crash when it finds the worker gone. When it ends between the
-// two, or before it has written what it found, the next owner knows neither. Here each owner ends a given time after a start of
-// the task, so that no owner sees two crashes.
+// An owner knows of a start that it has ordered, and of a crash when it finds the worker terminated. If the owner ends
+// between the two, or before it has committed what it found, the next owner knows neither. In this test each owner ends
+// a given time after a start of the task, so that no owner sees two crashes.
 func TestCrashesAreCountedThoughTheOwnerChangesBetweenThem(t *testing.T) {
 	for _, after := range []time.Duration{
 		0, 5 * time.Millisecond, 12 * time.Millisecond, 50 * time.Millisecond, 500 * time.Millisecond, time.Second,
@@ -100,10 +94,11 @@
 	m.play(90 * time.Second)
 	m.Expect(m.outcome("bad")).To(Equal(job.Failed))
 	m.Expect(m.outcome("good")).To(Equal(job.Completed))
-	m.Expect(m.most()).To(BeNumerically("<=", 3), "workers lost to one member")
+	m.Expect(m.most()).To(BeNumerically("<=", 3), "workers crashed by one member")
 }
 
-// All tasks of a wide step crash their workers. What can be known of the second round is learned from one worker, not from all.
+// All tasks of a wide step crash their workers. After the first round, the step must be tried again on one worker and
+// not on all of them.
 func givesUpWideStep(t *testing.T) {
 	const workers = 8
 	m := newMachines(t, workers)
@@ -121,11 +116,11 @@
 	m.crashes["bad"] = true
 	m.play(60 * time.Second)
 	m.Expect(m.outcome("bad")).To(Equal(job.Failed))
-	m.Expect(m.outcome("good")).To(BeEmpty(), "it goes on")
+	m.Expect(m.outcome("good")).To(BeEmpty(), "it continues")
 	m.Expect(m.most()).To(BeNumerically("<=", mostLost))
 }
 
-// Workers crash on their own, one after the other, some of them shortly after a start. No task is to blame.
+// Workers crash for reasons of their own, one after the other, some of them shortly after a start. No task is the cause.
 func TestNothingIsGivenUpForWorkersThatCrashOnTheirOwn(t *testing.T) {
 	m := newMachines(t, 6)
 	for n := range 20 {
@@ -140,7 +135,7 @@
 	}
 }
 
-// Drawn parts of the pool crash at drawn moments, each worker every ten seconds or so, under jobs of all kinds.
+// Random parts of the pool crash at random times, each worker about every ten seconds, with jobs of all kinds running.
 func TestNothingIsGivenUpInAStormOfCrashes(t *testing.T) {
 	gang := testStep(4)
 	gang.Gang = true
@@ -172,7 +167,7 @@
 	}
 }
 
-// Each time that the task has begun, all workers crash, as in a room without power.
+// All workers crash each time that the task has started, as in a power failure.
 func TestNothingIsGivenUpForWorkersThatCrashTogether(t *testing.T) {
 	m := newMachines(t, 6)
 	m.add(testJob("good", testStep(1)))
@@ -190,7 +185,7 @@
 	m.Expect(m.outcome("good")).To(Equal(job.Completed))
 }
 
-// Workers that are only cut off are no sign of a crash, however often that happens after a start.
+// Workers that are only unreachable don't count as crashed, however often that happens after a start.
 func TestNothingIsGivenUpForWorkersThatAreCutOff(t *testing.T) {
 	m := newMachines(t, 6)
 	m.add(testJob("good", testStep(1)))
@@ -206,8 +201,8 @@
 	m.Expect(m.outcome("good")).To(Equal(job.Completed))
 }
 
-// Owners change at drawn moments, a few seconds apart, while tasks of each kind crash their workers beside others. Each may hide a
-// crash that nobody has counted.
+// Owners change at random times, a few seconds apart, while tasks of each kind crash their workers beside other tasks.
+// Each change may hide a crash that has not been counted.
 func TestCrashesAreCountedWhileOwnersChangeAtAnyMoment(t *testing.T) {
 	gang := testStep(3)
 	gang.Gang = true
@@ -216,7 +211,7 @@
 	after := testStep(2)
 	after.After = []int{0}
 	kinds := map[string][]job.Step{
-		"one": {testStep(1)}, "wide": {testStep(20)}, "gang": {gang}, "spread gang": {spread}, "lasting": {servingStep(2)}, "second step": {testStep(1), after},
+		"one": {testStep(1)}, "wide": {testStep(20)}, "gang": {gang}, "spread gang": {spread}, "service": {servingStep(2)}, "second step": {testStep(1), after},
 	}
 	for name, steps := range kinds {
 		t.Run(name, func(t *testing.T) {
@@ -242,12 +237,10 @@
 	}
 }
 
-// ---------------------------------------------------------------- the machines of these tests
-
-// machine is where one incarnation of a worker after the other runs.
+// crashMachine runs the incarnations of a worker, one after the other.
 type machine struct {
 	life    int
-	downAt  clock.Time // when the present life ended; 0 while it goes on
+	downAt  clock.Time // when the current incarnation ended; 0 while it runs
 	cut     bool
 	runs    map[job.TaskID]machineRun
 	ends    []FinishedRun
@@ -259,7 +252,8 @@
 	endsAt clock.Time
 }
 
-// machines are workers on machines, a store and its owners, without any other trouble: each call is answered at once.
+// crashCluster simulates workers on machines, a store and successive owners. Each call to a worker that is up and
+// reachable is answered at once.
 type machines struct {
 	*WithT
 	now      clock.Time
@@ -273,11 +267,11 @@
 	asked    []clock.Time
 	timers   []call
 	crashes  map[job.ID]bool // jobs whose tasks crash their workers
-	lost     int             // workers that such tasks have crashed
+	lost     int             // workers crashed by such tasks
 	under    map[job.TaskID]int
-	begun    func(job.TaskID)
-	at       int // the machine of the task that has begun
-	elected  bool
+	begun    func(job.TaskID) // called after each start of a task
+	at       int              // machine of the last start
+	elected  bool             // whether another owner takes over after this step
 }
 
 const (
@@ -316,12 +310,12 @@
 	m.timers = append(m.timers, call{at: m.now.Add(d), do: do})
 }
 
-// elect has another owner take over before the next step.
+// changeOwner has another owner take over before the next step.
 func (m *machines) elect() {
 	m.elected = true
 }
 
-// newOwner makes an owner from what the store has. The former one has certainly ended.
+// createOwner replaces the owner by one that loads its state from the store. The previous one has certainly ended.
 func (m *machines) newOwner() {
 	m.term++
 	m.pool = New(Config{
@@ -373,7 +367,7 @@
 	return m.outcomes[id]
 }
 
-// most is how many workers one task has crashed.
+// maxCrashesByTask is the largest number of workers that one task has crashed.
 func (m *machines) most() int {
 	most := 0
 	for _, n := range m.under {
@@ -411,7 +405,7 @@
 	}
 }
 
-// crash ends the life of a worker; the next one begins later.
+// crash ends the current incarnation of a worker; the next one starts after machineRestartTime.
 func (m *machines) crash(n int) {
 	w := m.workers[n]
 	if w.downAt != 0 {
@@ -428,6 +422,7 @@
 	})
 }
 
+// endDueRuns ends the runs of a machine that have run for machineRunTime, except those of services.
 func (m *machines) advance(n int) {
 	w := m.workers[n]
 	for id, r := range w.runs {
@@ -437,41 +432,41 @@
 	}
 }
 
-// end ends a run; the worker lists that until it is noted.
-func (m *machines) end(n int, id job.TaskID, how EndReason) {
+// endRun ends a run; the worker reports the end until it is acknowledged.
+func (m *machines) end(n int, id job.TaskID, reason EndReason) {
 	w := m.workers[n]
 	w.lastEnd++
-	w.ends = append(w.ends, FinishedRun{Number: w.lastEnd, Task: id, Run: w.runs[id].number, Reason: how})
+	w.ends = append(w.ends, FinishedRun{Number: w.lastEnd, Task: id, Run: w.runs[id].number, Reason: reason})
 	delete(w.runs, id)
 }
 
-// find tells on which machine a worker is, and in which of its lives.
-func (m *machines) find(id WorkerID) (n, life int) {
-	_, _ = fmt.Sscanf(string(id), "m%d-%d", &n, &life)
-	return n, life
+// locate returns the machine of a worker and the number of its incarnation.
+func (m *machines) find(id WorkerID) (n, incarnation int) {
+	_, _ = fmt.Sscanf(string(id), "m%d-%d", &n, &incarnation)
+	return n, incarnation
 }
 
-// hold asks a worker, and each former life at its address of which the owner still thinks.
+// poll polls a worker, and the earlier incarnations at its address that the owner still knows.
 func (m *machines) hold(n int) {
 	w := m.workers[n]
 	if m.now < m.asked[n] {
 		return
 	}
 	m.asked[n] = m.now.Add(holdEvery)
-	for life := max(1, w.life-2); life <= w.life; life++ {
-		id := WorkerID(fmt.Sprintf("m%d-%d", n, life))
-		h, ok := m.pool.NewPoll(id, false, true, m.now)
+	for incarnation := max(1, w.life-2); incarnation <= w.life; incarnation++ {
+		id := WorkerID(fmt.Sprintf("m%d-%d", n, incarnation))
+		order, ok := m.pool.NewPoll(id, false, true, m.now)
 		switch {
 		case !ok || w.downAt != 0 || w.cut:
-		case life < w.life:
-			m.pool.HandlePollAnswer(h, Answer{Verdict: VerdictWrongWorker}, Report{}, m.now)
+		case incarnation < w.life:
+			m.pool.HandlePollAnswer(order, Answer{Verdict: VerdictWrongWorker}, Report{}, m.now)
 		default:
-			w.ends = slices.DeleteFunc(w.ends, func(f FinishedRun) bool { return f.Number <= h.AckedEnd })
+			w.ends = slices.DeleteFunc(w.ends, func(f FinishedRun) bool { return f.Number <= order.AckedEnd })
 			report := Report{Finished: slices.Clone(w.ends)}
 			for id, r := range w.runs {
 				report.Active = append(report.Active, ActiveRun{Task: id, Run: r.number, Percent: 50})
 			}
-			m.pool.HandlePollAnswer(h, Answer{Verdict: VerdictDone, Clock: int64(m.now)}, report, m.now)
+			m.pool.HandlePollAnswer(order, Answer{Verdict: VerdictDone, Clock: int64(m.now)}, report, m.now)
 		}
 	}
 }
@@ -486,9 +481,9 @@
 		}
 	}
 	for _, s := range actions.Starts {
-		n, life := m.find(s.Worker)
+		n, incarnation := m.find(s.Worker)
 		w := m.workers[n]
-		if w.downAt != 0 || w.cut || life != w.life {
+		if w.downAt != 0 || w.cut || incarnation != w.life {
 			m.pool.HandleStartAnswer(s, Answer{}, fmt.Errorf("no answer"), m.now)
 			continue
 		}
--- a/pkg/dispatch/customer_limits_test.go
+++ b/pkg/dispatch/customer_limits_test.go
@@ -13,18 +13,18 @@
 	. "github.com/onsi/gomega"
 )
 
-// customersLoad hands in jobs of customers, of which one sends many times its usual.
+// customerLoad submits jobs of several customers, one of which sends hotCustomerFactor times its usual rate.
 type customersLoad struct {
 	*adviceLoad
-	handed  map[string]int // jobs taken in by customer
-	refused map[string]int
+	handed  map[string]int // jobs by customer
+	refused map[string]int // jobs by customer
 }
 
 const (
-	usualPerS  = 2.0 // jobs of a customer
+	usualPerS  = 2.0 // jobs of one customer
 	weightPerS = 2 * usualPerS
 	hotTimes   = 15
-	// beatEvery is the time between two heartbeats of the owner.
+	// heartbeatInterval is the time between two heartbeats of the owner, at which it sets the limits.
 	beatEvery = 250 * time.Millisecond
 )
 
@@ -36,7 +36,8 @@
 	return out
 }
 
-// newCustomersLoad has workers with room for 96 tasks of a second; the usual jobs of all customers take 40 of it.
+// newCustomerLoad returns a load on workers with room for 96 tasks of a second. The jobs of all customers at their
+// usual rate take 40 of these.
 func newCustomersLoad(t *testing.T) *customersLoad {
 	l := newAdviceLoad(t)
 	l.fixture = newFixture(t, loadWorkers, nil)
@@ -47,20 +48,21 @@
 	return &customersLoad{l, map[string]int{}, map[string]int{}}
 }
 
-// play hands jobs in for loadTime, with the one customer hot for all of it, and goes on until what became of them is asked.
-func (l *customersLoad) play(heeded bool) {
+// simulate submits jobs for loadTime, with one customer above its usual rate throughout, and continues until the jobs
+// have to be done. Jobs above the limits are refused if enforced is set.
+func (l *customersLoad) play(enforced bool) {
 	stop := l.now.Add(loadTime)
 	var limits []admission.Limit
-	told := l.now
+	limitsAt := l.now
 	for l.last = l.now; l.now < stop.Add(askedAfter); l.pass(loadTick) {
-		if l.now.Sub(told) >= beatEvery {
-			limits, told = l.pool.CustomerLimits(l.now), l.now
+		if l.now.Sub(limitsAt) >= beatEvery {
+			limits, limitsAt = l.pool.CustomerLimits(l.now), l.now
 		}
 		passed := l.now.Sub(l.last).Seconds()
 		for _, c := range loadCustomers() {
 			for range l.arrivals(c, passed) {
 				if l.now < stop {
-					l.handInOf(c, limits, heeded)
+					l.handInOf(c, limits, enforced)
 				}
 			}
 		}
@@ -69,18 +71,18 @@
 	}
 }
 
-// arrivals draws how many jobs of a customer come in some seconds.
+// drawArrivals returns a random number of jobs that a customer submits in the given time.
 func (l *customersLoad) arrivals(c customer.Customer, seconds float64) int {
-	perS := usualPerS
+	rate := usualPerS
 	if c.Name == "hot" {
-		perS *= hotTimes
+		rate *= hotTimes
 	}
-	return int(perS*seconds + l.rand.Float64())
+	return int(rate*seconds + l.rand.Float64())
 }
 
-func (l *customersLoad) handInOf(c customer.Customer, limits []admission.Limit, heeded bool) {
+func (l *customersLoad) handInOf(c customer.Customer, limits []admission.Limit, enforced bool) {
 	n := slices.IndexFunc(limits, func(x admission.Limit) bool { return x.Customer == c.Name })
-	if n >= 0 && heeded && l.rand.Float64() >= limits[n].Queues[0].Share {
+	if n >= 0 && enforced && l.rand.Float64() >= limits[n].Queues[0].Share {
 		l.refused[c.Name]++
 		return
 	}
@@ -90,7 +92,7 @@
 	l.add(r)
 }
 
-// left counts the jobs that have not ended.
+// unfinishedJobs counts the jobs that have not ended.
 func (l *customersLoad) left() int {
 	n := 0
 	for _, j := range l.pool.jobs {
@@ -101,8 +103,8 @@
 	return n
 }
 
-// One customer sends fifteen times its usual, more than there is room for. Without limits its jobs are not carried out by the time that they are
-// asked for; others' jobs are taken in with and without.
+// One customer sends fifteen times its usual rate, more than there is room for. Without limits its jobs are not done in
+// time. The jobs of the other customers are accepted with and without limits.
 func TestHotCustomerIsLimitedToItsWeightAndOthersAreTakenIn(t *testing.T) {
 	l := newCustomersLoad(t)
 	l.play(true)
@@ -115,10 +117,11 @@
 	l.Expect(l.handed["hot"]).To(BeNumerically(">=", weightPerS*loadTime.Seconds()))
 	ignored := newCustomersLoad(t)
 	ignored.play(false)
-	ignored.Expect(ignored.left()).NotTo(BeZero(), "the load is not more than what is got through")
+	ignored.Expect(ignored.left()).NotTo(BeZero(), "the load does not exceed the capacity")
 }
 
-// excess has a customer's jobs wait for longer than their objective allows, in a pool of four tasks at a time.
+// newOverloadedFixture returns a pool with room for four tasks, in which the jobs of one customer wait for longer than
+// their objective allows.
 func excess(t *testing.T) *fixture {
 	f := newFixture(t, 1, nil)
 	hot := customer.Customer{Name: "hot", Weight: 1}
@@ -134,7 +137,7 @@
 	return f
 }
 
-// limited asks for the limits until they have had time to come into force.
+// customerLimitsInForce returns the limits after the excess has lasted long enough for them to come into force.
 func (f *fixture) limited() []admission.Limit {
 	f.pool.CustomerLimits(f.now)
 	f.pass(admission.MinExcessTime)
@@ -155,10 +158,10 @@
 	f.Expect(demands[0].Queues).To(HaveLen(1))
 	f.Expect(demands[0].Queues[0].Running).To(Equal(1.0))
 	f.Expect(demands[0].Queues[0].WorkPerJob).To(Equal(500 * time.Millisecond))
-	f.Expect(demands[0].Queues[0].Waiting).To(Equal(9*time.Second), "36 tasks of a second, four at a time")
-	f.Expect(demands[0].Queues[0].Slack).To(Equal(2*time.Second), "an extension of 1 s, and the target")
+	f.Expect(demands[0].Queues[0].Waiting).To(Equal(9*time.Second), "36 tasks of 1 s, four at a time")
+	f.Expect(demands[0].Queues[0].Slack).To(Equal(2*time.Second), "an extension of 1 s and the target latency")
 	f.Expect(demands[1].OverShare).To(BeFalse())
-	f.Expect(demands[1].Queues[0].Waiting).To(Equal(750*time.Millisecond), "also what comes after")
+	f.Expect(demands[1].Queues[0].Waiting).To(Equal(750*time.Millisecond), "later steps count, too")
 	f.Expect(customerNames(f.limited())).To(Equal([]string{"hot"}))
 }
 
@@ -191,7 +194,7 @@
 	f.Expect(f.limited()).To(BeEmpty())
 }
 
-// Work that waits for its customer's quota waits, too.
+// Work that waits for its customer's quota counts as waiting.
 func TestCustomerThatWaitsForItsQuotaIsLimited(t *testing.T) {
 	f := newFixture(t, 2, nil)
 	f.configure(2, north(1000))
@@ -203,5 +206,5 @@
 	f.Expect(f.plan().Starts).To(HaveLen(1))
 	f.Expect(customerNames(f.limited())).To(Equal([]string{"north"}))
 	f.Expect(f.pool.accounts["north"].Used()).To(Equal(cell.Resources{CPUMillis: 1000, MemoryMB: 1000}))
-	f.Expect(f.pool.jobs).To(HaveKey(job.ID("q19")), "what was accepted stays")
+	f.Expect(f.pool.jobs).To(HaveKey(job.ID("q19")), "accepted jobs stay")
 }
--- a/pkg/dispatch/deferred_ends_takeover_test.go
+++ b/pkg/dispatch/deferred_ends_takeover_test.go
@@ -7,12 +7,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// A takeover that takes long ends by time: what former owners have started must have lapsed by then. But the new owner extends the leases of all workers
-// that answer it, also while it reads the jobs and takes in nothing of what they list, and while their lists are not whole. What runs there has not lapsed,
-// and what ended there may have ended as done; still its tasks are started again if the store's confirmation comes before the worker's next lists. Found by
-// a review of the takeover's end, without a play of it.
-
-// holdsOn has the fixture's workers answer for so long that everything of former owners would have lapsed without the holds.
+// reportFor10s has the workers answer polls for so long that all leases of previous owners would have expired without
+// these polls.
 func (f *fixture) holdsOn(reports ...Report) {
 	for elapsed := time.Duration(0); elapsed < 10*time.Second; elapsed += 500 * time.Millisecond {
 		f.pass(500 * time.Millisecond)
@@ -22,7 +18,10 @@
 	}
 }
 
-// The store is slow, and the list of jobs takes 10 s. The first lists after it come from one worker before the other.
+// Guards against a takeover that times out, and restarts tasks, while their runs go on. The time-out counts on the
+// expiry of the leases of previous owners, but the new owner extends the leases of all workers that answer its polls,
+// also while it loads the jobs and applies no reports. Here the store takes 10 s to list the jobs, and one worker
+// reports after that before the other.
 func TestTakeoverIsNotOverByTimeWhileAWorkerIsHeldOn(t *testing.T) {
 	f := newFixture(t, 2, afterFormerOwner)
 	f.pool.jobsLoaded = false
@@ -33,21 +32,23 @@
 	f.Expect(f.plan().Starts).To(BeEmpty(), "w0 runs a.0 and answered half a second ago")
 }
 
-// The store can't be written to for 10 s, and a worker has as many ends as it lists at once.
+// The takeover must not time out while a worker's reports are truncated either: the run may have ended as done. Here
+// the store can't be written to for 10 s, and a worker has more ends than one report holds.
 func TestTakeoverIsNotOverByTimeWhileAWorkerHasMoreEnds(t *testing.T) {
 	f := newFixture(t, 2, afterFormerOwner)
 	f.add(testJob("a", testStep(1)))
 	f.storeAway = true
 	f.holdsOn(Report{Finished: []FinishedRun{endOf(1, "b", 0)}, Truncated: true}, Report{})
 	f.storeAway = false
-	f.Expect(f.plan().Starts).To(BeEmpty(), "the end of a.0 may be among those that w0 has not listed")
+	f.Expect(f.plan().Starts).To(BeEmpty(), "the end of a.0 may be among those that w0 has not reported")
 }
 
-// A worker's first lists are not whole; what runs there is adopted from them. Then it is cut off, while its entry stands. Nothing of it is ever held
-// for lost, since that is left to workers whose whole lists were seen.
+// Guards against runs that never expire. The first report of a worker is truncated, and its runs are adopted from it.
+// Then the worker becomes unreachable, while its entry stays. Missing runs are taken for lost only on workers of which
+// a whole report was received, so these runs have to end with their leases.
 func TestRunsOfAWorkerWhoseFirstListsWereNotWholeLapse(t *testing.T) {
 	f := newFixture(t, 2, afterFormerOwner)
 	f.add(testJob("a", testStep(1)))
 	f.report(0, Report{Active: running(0), Finished: []FinishedRun{endOf(1, "b", 0)}, Truncated: true})
-	f.Expect(f.startedAgain(1).Task).To(Equal(taskOf("a", 0)), "every lease on w0 has lapsed")
+	f.Expect(f.startedAgain(1).Task).To(Equal(taskOf("a", 0)), "every lease on w0 has expired")
 }
--- a/pkg/dispatch/deferred_ends_test.go
+++ b/pkg/dispatch/deferred_ends_test.go
@@ -9,18 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// Tasks ran again after their ends as done. A planned stop had moved the pool to a new owner, which had adopted the runs, and their worker listed their
-// ends; but before these it listed the end of a job that a host had accepted for the former owner after the new one had listed the jobs of the store. The
-// new owner read the ends up to that one only, found the runs behind it no longer among the active ones, and after two such reports, a few ms apart, held
-// them for lost. Half a second later it knew the job, read the ends, and stopped what it had started again. One of the tasks, of which both runs were on
-// one worker (s):
-//
-//	13.295 to 14.140 run 1: done
-//	14.147 to 14.719 run 2001: stopped
-//
-// Every end of a report is read now; those of jobs that are not known are kept until they are (unknown_jobs.go).
-
-// stranger is a job that a host has accepted for the former owner, and that the new one has not been told of.
+// unknownJob returns a job that a host has accepted for the previous owner and of which the new one does not know.
 func stranger() job.Record {
 	r := testJob("x", testStep(1))
 	r.Term = 1
@@ -31,12 +20,12 @@
 	return job.TaskID{StepID: job.StepID{Job: id}, Index: n}
 }
 
-// endOf is an end as done of the first run of a task.
+// firstRunDone returns the end as done of the first run of a task.
 func endOf(number int64, id job.ID, n int) FinishedRun {
 	return FinishedRun{Number: number, Task: taskOf(id, n), Run: 1, Reason: EndDone}
 }
 
-// running lists the first runs of tasks of job a.
+// activeFirstRuns lists the first runs of tasks of job a as active.
 func running(tasks ...int) []ActiveRun {
 	var rows []ActiveRun
 	for _, n := range tasks {
@@ -45,20 +34,20 @@
 	return rows
 }
 
-// reportsAgain has worker 0 report the same twice, and a plan follow each; nothing may start.
-func (f *fixture) reportsAgain(r Report, why string) {
+// expectNoStartsAfterReports has worker 0 report the same twice, and plans after each report; nothing may start.
+func (f *fixture) reportsAgain(r Report, reason string) {
 	for range 2 {
 		f.report(0, r)
-		f.Expect(f.plan().Starts).To(BeEmpty(), why)
+		f.Expect(f.plan().Starts).To(BeEmpty(), reason)
 	}
 }
 
-// commits has the store take what the pool wants written.
+// commit commits to the store what the pool has to write.
 func (f *fixture) commits() {
 	f.pool.ApplyCommit(f.pool.PrepareCommit())
 }
 
-// noted is up to which number a worker is told that its ends are noted.
+// ackedEnd commits, and returns the number up to which the next poll of a worker acknowledges its ends.
 func (f *fixture) noted(n int) int64 {
 	f.commits()
 	h, ok := f.pool.NewPoll(workerID(n), false, true, f.now)
@@ -67,7 +56,8 @@
 	return h.AckedEnd
 }
 
-// newOwnerOf returns an owner that is done with its takeover from another one: the first of its two workers runs all tasks of a job.
+// newOwnerAfterTakeover returns an owner that has completed its takeover from another one. The first of its two workers
+// runs all tasks of a job.
 func newOwnerOf(t *testing.T, r job.Record, runs []ActiveRun) *fixture {
 	f := newFixture(t, 2, afterFormerOwner)
 	f.add(r)
@@ -78,12 +68,16 @@
 	return f
 }
 
+// Guards against tasks that run again after their ends as done. A worker listed ends of runs that a new owner had
+// adopted, but before them the end of a job that a host had accepted for the previous owner after the new one had
+// listed the jobs in the store. The new owner applied no end from that one on, found the runs no longer active, and
+// took them for lost after two such reports, a few ms apart. It learned of the job half a second later.
 func TestEndsBehindThatOfAnUnknownJobCount(t *testing.T) {
 	f := newOwnerOf(t, testJob("a", testStep(2)), running(0, 1))
 	f.reportsAgain(Report{Active: running(1), Finished: []FinishedRun{endOf(1, "x", 0), endOf(2, "a", 0)}}, "a.0 is done")
 	f.reportsAgain(Report{Finished: []FinishedRun{endOf(1, "x", 0), endOf(2, "a", 0), endOf(3, "a", 1)}}, "a.1 is done, too")
 	state, _, _ := f.pool.JobState("a")
-	f.Expect(state).To(Equal(job.Running), "its end is not committed")
+	f.Expect(state).To(Equal(job.Running), "the end of the job is not committed")
 	f.Expect(f.noted(0)).To(BeZero(), "the first end is of a job that may become known")
 	state, _, _ = f.pool.JobState("a")
 	f.Expect(state).To(Equal(job.Completed))
@@ -106,12 +100,13 @@
 	f.pool.HandleStartAnswer(s, Answer{}, errors.New("no answer"), f.now)
 	h, _ := f.pool.NewPoll(s.Worker, true, true, f.now)
 	f.pass(time.Millisecond)
-	unread := Report{Finished: []FinishedRun{endOf(1, "x", 0), {Number: 2, Task: s.Task, Run: s.Run, Reason: EndDone}}}
-	f.pool.HandlePollAnswer(h, Answer{Verdict: VerdictDone, Clock: f.workerClock}, unread, f.now)
-	f.Expect(f.plan().Starts).To(BeEmpty(), "it was carried out, and its task is done")
+	deferred := Report{Finished: []FinishedRun{endOf(1, "x", 0), {Number: 2, Task: s.Task, Run: s.Run, Reason: EndDone}}}
+	f.pool.HandlePollAnswer(h, Answer{Verdict: VerdictDone, Clock: f.workerClock}, deferred, f.now)
+	f.Expect(f.plan().Starts).To(BeEmpty(), "the start was carried out, and its task is done")
 }
 
-// A job becomes known half a second after a worker has listed a run of it. A plan that comes between that and the next report would start it again.
+// Guards against a plan that starts a task again between the moment when its job becomes known, half a second after a
+// worker reported a run of it, and the worker's next report.
 func TestJobThatBecomesKnownHasTheRunsThatWorkersListed(t *testing.T) {
 	f := newOwnerOf(t, testJob("a", testStep(1)), running(0))
 	f.report(0, Report{Active: append(running(0), ActiveRun{Task: taskOf("x", 0), Run: 1})})
@@ -119,7 +114,7 @@
 	f.Expect(f.plan().Starts).To(BeEmpty(), "x.0 runs on w0")
 }
 
-// The same of a run that has ended by then.
+// The same as the test above, with a run that has ended by then.
 func TestJobThatBecomesKnownHasTheEndsThatWorkersListed(t *testing.T) {
 	f := newOwnerOf(t, testJob("a", testStep(1)), running(0))
 	f.report(0, Report{Active: running(0), Finished: []FinishedRun{endOf(1, "x", 0)}})
@@ -130,8 +125,8 @@
 	f.Expect(state).To(Equal(job.Completed))
 }
 
-// The store is away for longer than it usually takes to be told of a job. Its end must not be noted before the jobs were looked through once more, and
-// what runs of it must not be stopped.
+// The store is unreachable for longer than it usually takes until the owner knows a job. Until the owner has looked the
+// job up, it must not acknowledge ends of the job and must not stop its runs.
 func TestEndOfAnUnknownJobWaitsUntilTheJobsWereLookedThrough(t *testing.T) {
 	f := newOwnerOf(t, testJob("a", testStep(1)), running(0))
 	r := Report{Active: append(running(0), ActiveRun{Task: taskOf("y", 0), Run: 1}), Finished: []FinishedRun{endOf(1, "x", 0)}}
@@ -144,7 +139,7 @@
 	f.Expect(f.plan().Starts).To(BeEmpty(), "x.0 is done")
 }
 
-// An end of a job of which the store has no record is noted, and what runs of one is stopped: its outcome was dropped long ago.
+// Of a job without a record in the store, ends are acknowledged and runs stopped: its outcome was dropped long ago.
 func TestWhatIsListedOfAForgottenJobIsNotedAndStopped(t *testing.T) {
 	f := newOwnerOf(t, testJob("a", testStep(1)), running(0))
 	r := Report{Active: append(running(0), ActiveRun{Task: taskOf("y", 0), Run: 1}), Finished: []FinishedRun{endOf(1, "x", 0)}}
@@ -154,18 +149,18 @@
 	f.pool.MarkJobAbsent("y")
 	f.Expect(f.pool.UnknownJobs()).To(BeEmpty())
 	f.report(0, r)
-	f.Expect(f.plan().Stops).To(HaveLen(1), "nobody knows job y")
-	f.Expect(f.noted(0)).To(Equal(int64(1)), "nobody knows job x")
+	f.Expect(f.plan().Stops).To(HaveLen(1), "the store has no record of job y")
+	f.Expect(f.noted(0)).To(Equal(int64(1)), "the store has no record of job x")
 }
 
-// A worker lists 500 ends at once; what stands behind them is listed when these are noted.
+// A worker lists at most 500 ends in a report, and later ones only after these are acknowledged.
 func TestRunWhoseEndIsNotListedYetIsNotLost(t *testing.T) {
 	f := newOwnerOf(t, testJob("a", testStep(2)), running(0, 1))
 	more := Report{Finished: []FinishedRun{endOf(1, "a", 0)}, Truncated: true}
 	f.reportsAgain(more, "the end of a.1 may be among those that are to come")
 }
 
-// A takeover does not settle on it, either.
+// Guards against a takeover that ends by a truncated report: the ends that it leaves out would not be applied.
 func TestFirstReportWithoutAllEndsTellsNothing(t *testing.T) {
 	f := newFixture(t, 2, afterFormerOwner)
 	f.add(testJob("a", testStep(2)))
@@ -175,7 +170,8 @@
 	f.Expect(f.plan().Starts).To(BeEmpty(), "a.0 is done")
 }
 
-// A start of this owner was answered after the worker's lists were made, and that answer came first. The lists are old, but the first ones all the same.
+// A stop by this owner was answered after the worker had made its first report, and the answer arrived before the
+// report. Although the report is outdated, its runs must count in the takeover.
 func TestFirstReportThatWasOvertakenTellsNothing(t *testing.T) {
 	f := newFixture(t, 2, afterFormerOwner)
 	f.add(testJob("a", testStep(1)))
--- a/pkg/dispatch/delayed_advice_test.go
+++ b/pkg/dispatch/delayed_advice_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// adviceJob is a job of a queue whose calls for advice take a time.
+// jobWithAdviceTime returns a job of a queue of its own whose calls for advice take the given time.
 func adviceJob(id string, priority int, call time.Duration) job.Record {
 	r := testJob(id, testStep(1))
 	r.Queue.Name, r.Queue.Priority = "queue of "+id, priority
@@ -19,7 +19,7 @@
 	return r
 }
 
-// asked plans once and returns the jobs for which calls for advice are made.
+// jobsWithAdviceCalls plans once and returns the jobs for which calls for advice are made.
 func (f *fixture) asked() []job.ID {
 	var out []job.ID
 	for _, a := range f.plan().AdviceCalls {
@@ -28,8 +28,8 @@
 	return out
 }
 
-// Found on copies of the market stalls with one host a hall: jobs past their worth found no free process
-// for a call before the end of the day (LOST, 5 to 17 times a day).
+// Guards against jobs of low rank that never get a call for advice: with one host in each hall, jobs that were late
+// found no host free for a call until the end of a day, 5 to 17 times a day.
 func TestJobOfTheLastPriorityIsAskedForInTime(t *testing.T) {
 	f := newFixture(t, 4, nil)
 	f.reportAll(4)
@@ -66,7 +66,8 @@
 	f.Expect(f.asked()).To(Equal([]job.ID{"lasts"}))
 }
 
-// A plan chooses workers for a few steps only. Starving steps that wait for their customer's quota, and can't be given any, took all of these turns.
+// Guards against delayed steps that wait for their customer's quota and use up all selections of advice targets that a
+// plan makes (maxAdviceSelectionsPerPlan), although they can't start.
 func TestStepsThatWaitForTheirQuotaTakeNoTurnsForAdvice(t *testing.T) {
 	f := quotaFixture(t)
 	f.pool.AddAdviser("host")
@@ -83,7 +84,7 @@
 	f.Expect(f.asked()).To(Equal([]job.ID{"new"}))
 }
 
-// fillPool has nobody's tasks run on a part of the pool's room of 16 cores.
+// fillPool runs tasks that belong to no customer on a number of the pool's 16 cores.
 func (f *fixture) fillPool(cores int) {
 	f.add(testJob("fills", testStep(cores)))
 	for _, s := range f.plan().Starts {
@@ -91,15 +92,16 @@
 	}
 }
 
-// After a burst, each step of the backlog has waited for longer than a new urgent one. With the longest waiting first, all processes that make
-// calls for advice were busy for steps that could only end late (45 of 45 calls, 600 to 770 steps waiting for 30 s after the burst, 4 of 223
-// jobs in time in the two seconds from 18 s on), and the new ones got their advice as late.
+// Guards against a backlog that makes new jobs late, too. After a burst, each step of the backlog has waited for longer
+// than a new urgent one. With the longest waiting first, all hosts made calls for steps that could only end late (45 of
+// 45 calls, with 600 to 770 steps waiting for 30 s after the burst), so new steps got their advice as late: 4 of 223
+// jobs were in time in the two seconds from 18 s on.
 func TestStepsThatStarveTakeTheirTurnsInAPoolThatIsWellUsed(t *testing.T) {
 	for name, test := range map[string]struct {
 		cores int
 		want  job.ID
 	}{
-		"well used":   {11, "new"},
+		"mostly used": {11, "new"},
 		"little used": {7, "old"},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/pkg/dispatch/evacuation_test.go
+++ b/pkg/dispatch/evacuation_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// inHalls spreads the fixture's workers over halls, by turns.
+// assignHalls assigns the workers to the halls in turn.
 func (f *fixture) inHalls(halls ...string) {
 	for n, w := range f.pool.Workers() {
 		w.Zone = halls[n%len(halls)]
@@ -21,7 +21,7 @@
 	f.inHalls("a", "b")
 	f.reportAll(2)
 	f.pool.SetEvacuatedHalls([]string{"a", "no such hall"})
-	f.add(testJob("j", testStep(8))) // two workers hold them
+	f.add(testJob("j", testStep(8))) // needs both workers
 	starts := f.plan().Starts
 	f.Expect(starts).NotTo(BeEmpty())
 	for _, s := range starts {
@@ -77,7 +77,7 @@
 	f.Expect(f.plan().Starts).To(BeEmpty())
 }
 
-// The start was decided before the evacuation, and waits for its turn to be sent.
+// The start was decided before the evacuation and has not been sent yet.
 func TestStartThatWasNotSentBeforeTheEvacuationGoesElsewhere(t *testing.T) {
 	f := newFixture(t, 2, nil)
 	f.inHalls("a", "b")
@@ -95,7 +95,7 @@
 	f.Expect(again[0].Run).To(BeNumerically(">", s.Run))
 }
 
-// A gang whose members were decided on two halls is completed in the other one, or not at all.
+// A gang whose members were placed in two halls, one of which is evacuated, is completed in the other or not at all.
 func TestGangIsNotCompletedInAnEvacuatedHall(t *testing.T) {
 	f := newFixture(t, 3, nil)
 	f.inHalls("a", "b", "b")
@@ -119,7 +119,7 @@
 	}
 }
 
-// What is stored before it is ordered meets the evacuation in between.
+// The evacuation begins while a start is being stored, before it is ordered.
 func TestStoredStartIsNotOrderedInAnEvacuatedHall(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.inHalls("a")
--- a/pkg/dispatch/explain_test.go
+++ b/pkg/dispatch/explain_test.go
@@ -36,7 +36,8 @@
 	f.Expect(e.Blocked).To(ContainSubstring("former owner"))
 }
 
-// A step that waits for long in a pool with room is told of with its reason; not one whose job runs, nor while the pool is busy.
+// A step that waits for long in a pool with room is reported with its reason, unless its job has runs or the pool is
+// busy.
 func TestLongWaitsAreTold(t *testing.T) {
 	f := newFixture(t, 2, nil)
 	f.reportAll(2)
@@ -54,7 +55,8 @@
 	f.Expect(f.pool.DelayedSteps(3*time.Second, 0, f.now)).To(BeEmpty())
 }
 
-// A gang that waits tells what it lacks at once, so that a log shows whether its customer's quota, tickets or room hold it up.
+// The wait reason of a gang lists all that it lacks, so that a log shows whether the gang waits for its customer's
+// quota, for tickets or for room.
 func TestExplanationTellsWhatAGangLacks(t *testing.T) {
 	t.Run("quota", func(t *testing.T) {
 		f := quotaFixture(t)
@@ -68,10 +70,10 @@
 		waits := f.pool.DelayedSteps(3*time.Second, 5, f.now)
 		f.Expect(waits).To(HaveLen(1))
 		f.Expect(waits[0].WaitReason).To(And(ContainSubstring("cpu=2000m"), ContainSubstring("2 members need cpu=2000m"), ContainSubstring("cpu=2000m mem=2000MB acc=0 is kept for it")))
-		f.Expect(waits[0].WaitReason).NotTo(ContainSubstring("is kept for steps"), "nothing is kept for others")
+		f.Expect(waits[0].WaitReason).NotTo(ContainSubstring("is kept for steps"), "no quota is reserved for other steps")
 		f.Expect(waits[0].TimeLeft).To(BeNumerically("<", testQueue.TargetLatency), "its objective has begun to pass")
 	})
-	t.Run("quota that is kept for a gang", func(t *testing.T) {
+	t.Run("quota reserved for a gang", func(t *testing.T) {
 		f := quotaFixture(t)
 		f.add(of(north(0), testJob("runs", testStep(2))))
 		for _, s := range f.plan().Starts {
--- a/pkg/dispatch/gang_promotion_test.go
+++ b/pkg/dispatch/gang_promotion_test.go
@@ -8,13 +8,13 @@
 	. "github.com/onsi/gomega"
 )
 
-// starvingGang has a gang wait for its customer's quota in a pool of 8 cores. Another job of the customer takes some of
-// the quota for a minute.
+// gangWaitingForQuota returns a pool of 8 cores in which a gang waits for its customer's quota, since another job of the
+// customer uses some of the quota for a minute.
 func starvingGang(t *testing.T, quotaCores, othersRun, members int) *fixture {
 	return starvingGangOn(t, 2, quotaCores, othersRun, members)
 }
 
-// starvingGangOn is the same in a pool of a number of workers with 4 cores each.
+// gangWaitingForQuotaOn is gangWaitingForQuota in a pool with the given number of workers, which have 4 cores each.
 func starvingGangOn(t *testing.T, workers, quotaCores, othersRun, members int) *fixture {
 	f := newFixture(t, workers, nil)
 	f.configure(2, north(int64(quotaCores)*1000))
@@ -33,7 +33,7 @@
 	return f
 }
 
-// wait passes a time in which the workers go on to run the others.
+// passWithReports lets time pass, has all workers report their runs as active, and plans.
 func (f *fixture) wait(d time.Duration) Actions {
 	f.pass(d)
 	reports := map[int]Report{}
@@ -54,7 +54,7 @@
 	return f.plan()
 }
 
-// answer answers calls for advice: all workers that they name are allowed.
+// allowAllTargets answers calls for advice with tickets for all their targets.
 func (f *fixture) answer(actions Actions) {
 	for _, a := range actions.AdviceCalls {
 		var tickets []Ticket
@@ -67,10 +67,10 @@
 
 func TestStarvingGangIsAskedForWhileItWaitsForItsQuota(t *testing.T) {
 	f := starvingGang(t, 4, 2, 3)
-	f.Expect(f.plan().AdviceCalls).To(BeEmpty(), "it does not starve yet")
-	asks := f.wait(adviceDelayLimit + 100*time.Millisecond).AdviceCalls
-	f.Expect(asks).To(HaveLen(1))
-	f.Expect(asks[0].Step.Job).To(Equal(job.ID("gang")))
+	f.Expect(f.plan().AdviceCalls).To(BeEmpty(), "it has not waited for long yet")
+	calls := f.wait(adviceDelayLimit + 100*time.Millisecond).AdviceCalls
+	f.Expect(calls).To(HaveLen(1))
+	f.Expect(calls[0].Step.Job).To(Equal(job.ID("gang")))
 }
 
 func TestStarvingGangKeepsItsCustomersQuotaFromUrgentSteps(t *testing.T) {
@@ -87,15 +87,15 @@
 func TestGangTakesItsTurnWhereItsCustomersQuotaIsWellUsed(t *testing.T) {
 	f := starvingGang(t, 4, 3, 3)
 	f.Expect(f.wait(adviceDelayLimit + 100*time.Millisecond).AdviceCalls).To(BeEmpty())
-	f.Expect(f.wait(maxGangWait).AdviceCalls).To(HaveLen(1), "it has starved for long")
+	f.Expect(f.wait(maxGangWait).AdviceCalls).To(HaveLen(1), "it has waited for longer than maxGangWait")
 }
 
-// A run of a customer whose quota is little used is stopped for a gang that lacks nothing else.
+// Runs of a customer whose quota is little used are stopped for a gang that lacks nothing but quota.
 func TestRunsOfALittleUsedQuotaAreStoppedForAGang(t *testing.T) {
 	f := starvingGang(t, 5, 2, 4)
 	f.answer(f.wait(adviceDelayLimit + 100*time.Millisecond))
 	f.Expect(f.wait(maxLowQuotaTime / 2).Stops).To(BeEmpty())
-	f.Expect(f.wait(maxLowQuotaTime).Stops).To(HaveLen(1), "the other run may go on")
+	f.Expect(f.wait(maxLowQuotaTime).Stops).To(HaveLen(1), "the other run may continue")
 }
 
 func TestRunsOfAWellUsedQuotaGoOnBesideAGangThatWaits(t *testing.T) {
@@ -104,7 +104,7 @@
 	f.Expect(f.wait(2 * maxLowQuotaTime).Stops).To(BeEmpty())
 }
 
-// A gang for which no workers have room does not keep its customer's quota unused for long.
+// A gang for which no workers have room must not keep its customer's quota unused for long.
 func TestGangThatCanNotStartGivesUpItsFirstTurn(t *testing.T) {
 	f := starvingGang(t, 20, 2, 19) // the pool has 8 cores
 	f.wait(adviceDelayLimit + 100*time.Millisecond)
@@ -113,7 +113,7 @@
 	f.Expect(f.wait(maxPromotionTime).Starts).To(HaveLen(2))
 }
 
-// A quota that was little used in an earlier turn is no reason to stop runs at the beginning of the next one.
+// A quota that was little used during an earlier promotion is no reason to stop runs at the start of the next one.
 func TestTimeOfALittleUsedQuotaBeginsAnewWithEachTurn(t *testing.T) {
 	f := starvingGang(t, 5, 2, 4)
 	f.answer(f.wait(adviceDelayLimit + 100*time.Millisecond))
--- a/pkg/dispatch/gang_quota_wait_test.go
+++ b/pkg/dispatch/gang_quota_wait_test.go
@@ -13,7 +13,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// calmKinds are the jobs of one customer that uses a part of its quota, in a pool that is little used.
+// quotaWaitJobKinds are the jobs of one customer that uses a part of its quota, in a pool that is little used.
 var calmKinds = []busyKind{
 	{
 		queue.Queue{Name: "gangs", Pool: "pool", Priority: 1, MaxAttempts: 2, Extension: 2.2, TargetLatency: time.Second, Advice: &queue.AdviceCost{
@@ -35,26 +35,27 @@
 	},
 }
 
-// lostAfter is for how long a job may have nothing running while there is room, by the rules of the platform.
+// maxIdleJobTime is for how long a job may have no runs while there is room. The platform counts it as lost after that.
 const lostAfter = 3 * time.Second
 
-// calmPool is a pool with much room whose only customer has a quota that it seldom uses up. It watches how long jobs
-// stand still.
+// idleJobPool is a pool with much room, in which the customer seldom uses up its quota. It records for how long jobs
+// are idle: without runs although they could run.
 type calmPool struct {
 	*busyPool
-	since map[job.ID]clock.Time    // when a job began to stand still
-	lost  map[job.ID]time.Duration // how long jobs stood still that did so for lostAfter
+	since map[job.ID]clock.Time    // since when jobs are idle
+	lost  map[job.ID]time.Duration // idle time of the jobs that were idle for maxIdleJobTime
 }
 
+// newQuotaWaitPool returns a pool of one customer, with the jobs of quotaWaitJobKinds at a share of their rates.
 func newCalmPool(seed uint64, load float64) *calmPool {
 	return newCalmPoolOf(calmKinds, customer.Customer{Name: "north", Weight: 10, Quota: cell.Resources{CPUMillis: 480_000, MemoryMB: 1_730_000}}, seed, load)
 }
 
-// newCalmPoolOf returns one with jobs of some kinds, by a part of their rates.
-func newCalmPoolOf(of []busyKind, c customer.Customer, seed uint64, load float64) *calmPool {
+// newIdleJobPool returns a pool with jobs of the given kinds. Their rates are multiplied by load.
+func newCalmPoolOf(base []busyKind, c customer.Customer, seed uint64, load float64) *calmPool {
 	const workers = 350
-	kinds := make([]busyKind, len(of))
-	for i, k := range of {
+	kinds := make([]busyKind, len(base))
+	for i, k := range base {
 		k.perSecond *= load
 		kinds[i] = k
 	}
@@ -68,7 +69,7 @@
 	return p
 }
 
-// watch goes on for a time and looks at all jobs a few times a second.
+// simulateAndCheck lets the given time pass and checks every 50 ms which jobs are idle.
 func (p *calmPool) watch(d time.Duration) {
 	for end := p.now.Add(d); p.now < end; {
 		p.play(50 * time.Millisecond)
@@ -78,6 +79,7 @@
 	}
 }
 
+// checkIdle updates for how long a job has been idle.
 func (p *calmPool) look(j *jobState) {
 	if j.outcome != "" || j.hasRuns() || !p.couldRun(j) {
 		delete(p.since, j.job.ID)
@@ -86,12 +88,12 @@
 	if p.since[j.job.ID] == 0 {
 		p.since[j.job.ID] = p.now
 	}
-	if still := p.now.Sub(p.since[j.job.ID]); still >= lostAfter {
-		p.lost[j.job.ID] = still
+	if idle := p.now.Sub(p.since[j.job.ID]); idle >= lostAfter {
+		p.lost[j.job.ID] = idle
 	}
 }
 
-// handInWideGang hands in a gang that takes a large part of its customer's quota.
+// addWideGang adds a gang that takes a large part of its customer's quota. Its job was accepted the given time ago.
 func (p *calmPool) handInWideGang(members int, age time.Duration) {
 	s := calmKinds[0].step
 	s.Count, s.Resources = members, cell.Resources{CPUMillis: 6000, MemoryMB: 60_000}
@@ -100,8 +102,8 @@
 	}, job.Progress{}, false, age, p.now)
 }
 
-// couldRun says that a job's customer and the pool have less than half in use, and that the workers allowed have twice
-// the room for what is to start at once.
+// couldRun reports whether less than half of the pool and of the quota of a job's customer is in use, and the allowed
+// workers have at least twice the room that the job needs to start.
 func (p *calmPool) couldRun(j *jobState) bool {
 	load, used, quota := p.pool.poolLoad("pool"), j.account.Used(), j.account.Customer().Quota
 	if load.used.DominantShare(load.capacity) >= 0.5 || used.DominantShare(quota) >= 0.5 {
@@ -121,10 +123,10 @@
 	return room >= 2*atOnce
 }
 
-// A wide gang needs most of its customer's quota at once. While it waited, its customer's other jobs waited for it or
-// took its room, with more than half of the quota and of the pool free.
+// Guards against jobs that are idle while more than half of their customer's quota and of the pool is free. A wide gang
+// needs most of the quota at once; either the customer's other jobs waited for it, or they took its room.
 func TestGangsStandStillBehindTheirCustomersQuota(t *testing.T) {
-	for _, age := range []time.Duration{0, time.Minute} { // in time, and past what it is worth
+	for _, age := range []time.Duration{0, time.Minute} { // in time, and so late that its end has no value
 		for _, members := range []int{18, 24} {
 			for _, load := range []float64{0.35, 0.5, 0.75} {
 				for seed := range uint64(2) {
--- a/pkg/dispatch/history_call_test.go
+++ b/pkg/dispatch/history_call_test.go
@@ -5,12 +5,10 @@
 	"time"
 )
 
-// The calls of the random histories: they are delayed, lost, answered late or carried out seconds later.
-
-// relayLimit is how long an answer to a hold that waits may be on its way over a relay.
+// relayedAnswerTimeout is how long the answer to a poll may take on its way over a relay.
 const relayLimit = 1400 * time.Millisecond
 
-// answerTime is how long an answer is on its way.
+// answerDelay returns a random time that an answer takes on its way.
 func (w *world) answerTime() time.Duration {
 	if w.relayed && w.chance(0.1) {
 		return w.between(30*time.Millisecond, relayLimit)
@@ -18,13 +16,14 @@
 	return w.between(time.Millisecond, 30*time.Millisecond)
 }
 
-// send has a call carried out by a worker and its answer taken in, unless one of them is lost or the
-// answer comes after the limit. A call without an answer may be carried out seconds later. carryOut returns nil when nothing arrived.
+// sendCall has a worker carry out a call and delivers its answer, after random delays. It calls unanswered instead if
+// the call or its answer is lost or the answer takes longer than the limit. A call without an answer may be carried out
+// seconds later. carryOut returns nil if nothing arrived.
 func (w *world) send(m *modelWorker, limit time.Duration, carryOut func() (answer func()), unanswered func()) {
 	w.sendUnless(m, limit, carryOut, unanswered, func() bool { return false })
 }
 
-// sendUnless is send for a call that is not carried out late when dropped says so.
+// sendCallUnless is sendCall for a call that is not carried out late if dropped returns true.
 func (w *world) sendUnless(m *modelWorker, limit time.Duration, carryOut func() (answer func()), unanswered func(), dropped func() bool) {
 	lost := m.cut || m.dead || w.chance(0.03)
 	if lost {
@@ -50,12 +49,12 @@
 			w.later(callLimit, unanswered)
 			return
 		}
-		took := w.answerTime()
-		if took > limit {
+		delay := w.answerTime()
+		if delay > limit {
 			w.later(limit, unanswered)
 			return
 		}
-		w.later(took, answer)
+		w.later(delay, answer)
 	})
 }
 
@@ -63,8 +62,9 @@
 	w.calls = append(w.calls, call{at: w.now.Add(d), do: do})
 }
 
-// sendStart sends a start as platform.Workers do: only over a connection over which the life that is meant has answered. With that life the connection ends, so
-// another one gets no start from the network. It may carry one out late that the former life held back.
+// sendStart sends a start as platform.Workers does: only over a connection on which the addressed incarnation of the
+// worker has answered. The connection ends with that incarnation, so a later one receives no start from the network.
+// It may still carry out late a start that the earlier incarnation had delayed.
 func (w *world) sendStart(o *modelOwner, s StartOrder) {
 	w.checkOrdered(o, s)
 	m := w.worker[numberOf(s.Worker)]
@@ -77,9 +77,9 @@
 		w.later(callLimit/2, func() { o.pool.HandleStartAnswer(s, Answer{}, ErrNotSent, w.now) })
 		return
 	}
-	sentAt, born := w.now, m.born
+	sentAt, incarnationStart := w.now, m.born
 	w.sendUnless(m, callLimit, func() func() {
-		if m.born != born && !w.late {
+		if m.born != incarnationStart && !w.late {
 			return nil
 		}
 		a := w.start(m, s)
@@ -87,7 +87,7 @@
 			w.checkNotShown(m, s)
 		}
 		return func() { o.pool.HandleStartAnswer(s, a, nil, w.now) }
-	}, func() { o.pool.HandleStartAnswer(s, Answer{}, fmt.Errorf("no answer"), w.now) }, func() bool { return m.born != born && o != w.present() && !w.awaited(m, s) })
+	}, func() { o.pool.HandleStartAnswer(s, Answer{}, fmt.Errorf("no answer"), w.now) }, func() bool { return m.born != incarnationStart && o != w.present() && !w.awaited(m, s) })
 }
 
 func (w *world) sendStop(o *modelOwner, s StopOrder) {
@@ -98,15 +98,15 @@
 	}, func() {})
 }
 
-func (w *world) sendHold(o *modelOwner, id WorkerID, raise bool) {
-	h, ok := o.pool.NewPoll(id, raise, true, w.now)
+func (w *world) sendHold(o *modelOwner, id WorkerID, raiseToken bool) {
+	order, ok := o.pool.NewPoll(id, raiseToken, true, w.now)
 	if !ok {
 		return
 	}
 	m := w.worker[numberOf(id)]
 	if m.replaced {
 		a := Answer{Verdict: VerdictWrongWorker}
-		w.later(callLimit/2, func() { o.pool.HandlePollAnswer(h, a, Report{}, w.now) })
+		w.later(callLimit/2, func() { o.pool.HandlePollAnswer(order, a, Report{}, w.now) })
 		return
 	}
 	pause := w.between(historyTick, 300*time.Millisecond)
@@ -115,14 +115,14 @@
 	}
 	o.holding[id] = w.now.Add(callLimit + pause)
 	w.send(m, relayLimit, func() func() {
-		a, report := w.hold(m, h)
+		a, report := w.hold(m, order)
 		return func() {
-			o.pool.HandlePollAnswer(h, a, report, w.now)
+			o.pool.HandlePollAnswer(order, a, report, w.now)
 			w.holdAnswered(o, id, report)
 		}
 	}, func() {
 		o.pool.HandlePollFailure(id, w.now)
-		if raise {
+		if raiseToken {
 			w.sendHold(o, id, true)
 		}
 	})
