--- a/pkg/dispatch/advice_targets_test.go
+++ b/pkg/dispatch/advice_targets_test.go
@@ -75,8 +75,9 @@
 	f.Expect(f.pool.workers["w0"].timeUntilRoom(&step{spec: &job.Step{Count: 1, Resources: testStep(1).Resources}}, f.now)).To(BeZero())
 }
 
-// Guards against a wide gang that never starts: gangs of 29 to 35 members counted room that was only expected,
-// requested tickets on a few more workers with each call, and never had tickets and room on all of them at once.
+// Guards against a wide gang that never starts: gangs of 29 to 35 members counted room that was only
+// expected, requested tickets on a few more workers with each call, and never had tickets and room on all of
+// them at once.
 func TestWideGangIsNotAskedForByRoomThatIsOnlyExpected(t *testing.T) {
 	f := fullPool(t, 4, 2*time.Second, 500*time.Millisecond, 10*time.Millisecond)
 	s := f.pool.jobs["a"].occurrences[0].steps[0]
@@ -110,8 +111,8 @@
 	g.Expect(sortByRoom(nil)).To(BeEmpty())
 }
 
-// Guards against a step that waits for the room of a run which should have ended long ago, while other workers
-// have room.
+// Guards against a step that waits for the room of a run which should have ended long ago, while other
+// workers have room.
 func TestStepDoesNotWaitForTheRoomOfARunThatIsOverdue(t *testing.T) {
 	f := fullPool(t, 1, time.Second, 10*time.Millisecond, 100*time.Microsecond)
 	f.pool.jobs["a"].occurrences[0].steps[0].tasks[0].setDone()
@@ -132,8 +133,8 @@
 	f.Expect(f.pool.workers["w1"].runs).To(HaveLen(1))
 }
 
-// planAndAnswerAdvice plans once, accepts the starts and answers the calls for advice with tickets for the allowed
-// workers.
+// planAndAnswerAdvice plans once, accepts the starts and answers the calls for advice with tickets for the
+// allowed workers.
 func (f *fixture) answerAdvice(allowed ...WorkerID) {
 	actions := f.plan()
 	for _, s := range actions.Starts {
--- a/pkg/dispatch/advice_test.go
+++ b/pkg/dispatch/advice_test.go
@@ -81,8 +81,8 @@
 	f.Expect(f.plan().AdviceCalls).To(HaveLen(calls))
 }
 
-// A call with a long fixed time is about so many workers that it most likely yields enough tickets; a call without
-// a fixed time is about just enough workers.
+// A call with a long fixed time is about so many workers that it most likely yields enough tickets; a call
+// without a fixed time is about just enough workers.
 func TestCallsNameMoreWorkersWhenTheirFixedTimeIsLong(t *testing.T) {
 	targetCount := func(base, perWorker time.Duration) int {
 		f := newFixture(t, 40, nil)
@@ -99,8 +99,8 @@
 	f.Expect(targetCount(0, 300*time.Millisecond)).To(BeNumerically("<", 12))
 }
 
-// The members of a gang start together, so a ticket that expires before the next answer can't be used with the
-// tickets of that answer.
+// The members of a gang start together, so a ticket that expires before the next answer can't be used with
+// the tickets of that answer.
 func TestGangAsksAgainForTicketsThatLapseDuringTheCall(t *testing.T) {
 	f := newFixture(t, 6, nil)
 	f.reportAll(6)
--- a/pkg/dispatch/bench_test.go
+++ b/pkg/dispatch/bench_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// BenchmarkSelectAdviceTargets measures the selection of the workers for a call for advice, for a gang in a pool of
-// 3,000 workers.
+// BenchmarkSelectAdviceTargets measures the selection of the workers for a call for advice, for a gang in a
+// pool of 3,000 workers.
 func BenchmarkName(b *testing.B) {
 	f := newFixture(&testing.T{}, 3000, nil)
 	f.reportAll(3000)
--- a/pkg/dispatch/busy_backlog_test.go
+++ b/pkg/dispatch/busy_backlog_test.go
@@ -13,13 +13,15 @@
 // backlogSizes are the numbers of waiting steps that the benchmark measures.
 var backlogSteps = []int{0, 500, 1000, 2000, 4000, 8000}
 
-// The backlog is of backlogCustomers customers, and the jobs that arrive later are of arrivalCustomers others.
+// The backlog is of backlogCustomers customers, and the jobs that arrive later are of arrivalCustomers
+// others.
 const (
 	hotCustomers   = 2
 	otherCustomers = 18
 )
 
-// newBusyPoolWithBacklog returns a busy pool of 20 customers, two of which have the given number of steps waiting.
+// newBusyPoolWithBacklog returns a busy pool of 20 customers, two of which have the given number of steps
+// waiting.
 func newBacklogPool(steps int, disabled DisabledMechanisms) *busyPool {
 	p := newBusyPool(busyKinds, disabled)
 	var hot []customer.Customer
@@ -42,8 +44,8 @@
 	return p
 }
 
-// BenchmarkBusyPoolWithBacklog simulates one second, which is 200 plans, of a busy pool with a backlog. Waiting steps
-// that can't start should take next to no processor time.
+// BenchmarkBusyPoolWithBacklog simulates one second, which is 200 plans, of a busy pool with a backlog.
+// Waiting steps that can't start should take next to no processor time.
 func BenchmarkBusyPoolWithBacklog(b *testing.B) {
 	for _, steps := range backlogSteps {
 		b.Run(fmt.Sprintf("steps=%d", steps), func(b *testing.B) {
--- a/pkg/dispatch/busy_pool_test.go
+++ b/pkg/dispatch/busy_pool_test.go
@@ -16,8 +16,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// The busy pool has wide gangs, wide steps and small urgent jobs on 1,100 workers, two thirds of which are in use, and
-// 146 hosts that make calls for advice. Everything but the pool's own processor time is simulated.
+// The busy pool has wide gangs, wide steps and small urgent jobs on 1,100 workers, two thirds of which are in
+// use, and 146 hosts that make calls for advice. Everything but the pool's own processor time is simulated.
 const (
 	busyWorkers  = 1100
 	busyAdvisers = 146
@@ -91,7 +91,8 @@
 	planned func(Actions)
 }
 
-// newBusyPool returns a pool of busyWorkers workers and busyAdvisers hosts in which jobs of the given kinds arrive.
+// newBusyPool returns a pool of busyWorkers workers and busyAdvisers hosts in which jobs of the given kinds
+// arrive.
 func newBusyPool(kinds []busyKind, disabled DisabledMechanisms) *busyPool {
 	return newBusyPoolOf(kinds, busyWorkers, busyAdvisers, 1, disabled)
 }
@@ -135,8 +136,8 @@
 	heap.Push(&b.events, busyEvent{b.now.Add(in), do})
 }
 
-// scheduleArrival schedules the next job of a kind, which in turn schedules the one after it: jobs of a kind arrive at
-// a constant rate until arrivals are stopped.
+// scheduleArrival schedules the next job of a kind, which in turn schedules the one after it: jobs of a kind
+// arrive at a constant rate until arrivals are stopped.
 func (b *busyPool) arrive(k busyKind) {
 	b.at(time.Duration(float64(time.Second)/k.perSecond), func() {
 		if b.silent {
@@ -210,8 +211,8 @@
 	b.pool.HandleAdviceAnswer(a.Number, tickets, true, b.now)
 }
 
-// allowedDraw returns a number from 0 to 1 for a step and a worker. Advice allows the worker to the step when it is
-// below the allowed share of the step's queue.
+// allowedDraw returns a number from 0 to 1 for a step and a worker. Advice allows the worker to the step when
+// it is below the allowed share of the step's queue.
 func allowed(s job.StepID, w WorkerID) float64 {
 	h := fnv.New64a()
 	_, _ = fmt.Fprint(h, s, w)
@@ -244,8 +245,8 @@
 	}
 }
 
-// BenchmarkBusyPool simulates one second of the busy pool. The time per operation is the share of a core that the
-// owner's decisions take.
+// BenchmarkBusyPool simulates one second of the busy pool. The time per operation is the share of a core that
+// the owner's decisions take.
 func BenchmarkBusyPool(b *testing.B) {
 	p := newBusyPool(busyKinds, nil)
 	p.play(5 * time.Second)
@@ -258,8 +259,8 @@
 	b.Logf("%+v", p.pool.Status(p.now))
 }
 
-// BenchmarkBusyPoolOfCustomers is BenchmarkBusyPool with the jobs spread over 20 customers. As each of them has a
-// quota, a plan goes over the waiting steps more often.
+// BenchmarkBusyPoolOfCustomers is BenchmarkBusyPool with the jobs spread over 20 customers. As each of them
+// has a quota, a plan goes over the waiting steps more often.
 func BenchmarkBusyPoolOfCustomers(b *testing.B) {
 	p := newBusyPool(busyKinds, nil)
 	for n := range 20 {
@@ -283,8 +284,8 @@
 	g.Expect(s.Used.CPUMillis).To(BeNumerically(">", s.Capacity.CPUMillis/4))
 }
 
-// A gang of 240 members, two of which fit on a worker, needs 120 allowed workers. With the allowed share of 0.3 it has
-// to ask about 400, and a call about 100 takes 0.95 s.
+// A gang of 240 members, two of which fit on a worker, needs 120 allowed workers. With the allowed share of
+// 0.3 it has to ask about 400, and a call about 100 takes 0.95 s.
 func TestGangThatNeedsMoreWorkersThanACallNamesStartsSoon(t *testing.T) {
 	gangs := busyKinds[0]
 	gangs.perSecond = 0.1
--- a/pkg/dispatch/cancel_test.go
+++ b/pkg/dispatch/cancel_test.go
@@ -9,8 +9,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// Guards against a run that goes on after its job was cancelled: a worker may carry out a start that it has not
-// answered seconds later.
+// Guards against a run that goes on after its job was cancelled: a worker may carry out a start that it has
+// not answered seconds later.
 func TestRunThatBeginsLongAfterItsJobWasCancelledIsStopped(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.reportAll(1)
@@ -27,8 +27,8 @@
 	f.Expect(stoppedRuns(f.plan())).To(ConsistOf(s.Run))
 }
 
-// Guards against a run of a previous owner that goes on because its job was cancelled before the new owner received
-// a report of the run.
+// Guards against a run of a previous owner that goes on because its job was cancelled before the new owner
+// received a report of the run.
 func TestRunOfAFormerOwnerIsStoppedWhenItsJobIsCancelled(t *testing.T) {
 	f := newFixture(t, 1, afterFormerOwner)
 	f.add(testJob("a", testStep(1)))
--- a/pkg/dispatch/capacity_test.go
+++ b/pkg/dispatch/capacity_test.go
@@ -36,7 +36,8 @@
 	f.Expect(f.plan().Starts).To(HaveLen(1), "the last one")
 }
 
-// reportFirstDone returns a report in which run n of the starts has ended as done and those after it are active.
+// reportFirstDone returns a report in which run n of the starts has ended as done and those after it are
+// active.
 func (f *fixture) endFirst(starts []StartOrder, n int) Report {
 	r := f.end(starts[n-1], int64(n), EndDone)
 	for _, s := range starts[n:] {
@@ -57,8 +58,8 @@
 	f.Expect(f.plan().Starts).To(HaveLen(8))
 }
 
-// A start that has to be stored first is ordered after its commit. Meanwhile the worker may shrink, crash, drain or
-// lose its ticket, and the job may be cancelled.
+// A start that has to be stored first is ordered after its commit. Meanwhile the worker may shrink, crash,
+// drain or lose its ticket, and the job may be cancelled.
 func TestStoredStartIsNotOrderedWhereItNoLongerFits(t *testing.T) {
 	for name, change := range map[string]func(*fixture){
 		"shrunk":   func(f *fixture) { f.resize(0, 500) },
@@ -112,8 +113,8 @@
 	f.pool.UpsertWorker(info, true, f.now)
 }
 
-// Guards against an attempt that stays in the store although its start was never ordered: the worker was lost during
-// the commit. A later owner must not find the attempt.
+// Guards against an attempt that stays in the store although its start was never ordered: the worker was lost
+// during the commit. A later owner must not find the attempt.
 func TestStoredStartOnAWorkerThatIsLostLeavesNothingOpen(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.reportAll(1)
@@ -131,7 +132,8 @@
 	f.Expect(next.Changes[0].Progress.Tasks[0].Crashes).To(HaveLen(1), "the earlier crash")
 }
 
-// An answer of a worker is overtaken by a newer one. It shows that the worker is responsive, but not what it runs now.
+// An answer of a worker is overtaken by a newer one. It shows that the worker is responsive, but not what it
+// runs now.
 func TestOvertakenAnswerDoesNotSettleWhatBeganOnAWorker(t *testing.T) {
 	f := newFixture(t, 1, afterFormerOwner)
 	progress := job.Progress{Tasks: []job.TaskProgress{{Attempts: []job.Attempt{{Run: 1, Worker: "w0"}}}}}
--- a/pkg/dispatch/config_test.go
+++ b/pkg/dispatch/config_test.go
@@ -7,8 +7,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// Guards against an owner that goes back to an older configuration. When a host takes over, it reads the configuration
-// in force; the new owner may be sent a newer one before it gets the one that was read.
+// Guards against an owner that goes back to an older configuration. When a host takes over, it reads the
+// configuration in force; the new owner may be sent a newer one before it gets the one that was read.
 func TestOlderConfigurationIsNotPutInForce(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	moved := testQueue
--- a/pkg/dispatch/crash_test.go
+++ b/pkg/dispatch/crash_test.go
@@ -16,13 +16,15 @@
 	. "github.com/onsi/gomega"
 )
 
-// maxConsecutiveCrashes is the number of consecutive crashes after which a task is given up whatever else crashed.
+// maxConsecutiveCrashes is the number of consecutive crashes after which a task is given up whatever else
+// crashed.
 const mostCrashes = crash.MaxConsecutiveCrashes
 
-// Guards against a task that crashes one worker after the other. The worker stops answering 10 ms after the start, and
-// seconds later another incarnation answers at its address. If the owner treats the run as lost, as on an unreachable
-// worker, it starts the task on the next worker, every 3.2 s without end: only runs that end as failed count against a
-// task's attempts. Eight such tasks cost a pool of 48 workers 69 workers and 609 runs in a minute.
+// Guards against a task that crashes one worker after the other. The worker stops answering 10 ms after the
+// start, and seconds later another incarnation answers at its address. If the owner treats the run as lost,
+// as on an unreachable worker, it starts the task on the next worker, every 3.2 s without end: only runs that
+// end as failed count against a task's attempts. Eight such tasks cost a pool of 48 workers 69 workers and
+// 609 runs in a minute.
 func TestTaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	t.Run("one task", givesUpOneTask)
 	t.Run("gang", givesUpGang)
@@ -42,7 +44,8 @@
 // maxWorkersLostToATask is how many workers one task may crash: after three it may be started twice more.
 const mostLost = 5
 
-// Runs beside a task that crashes its worker are lost with it, repeatedly, and must not be blamed for the crashes.
+// Runs beside a task that crashes its worker are lost with it, repeatedly, and must not be blamed for the
+// crashes.
 func TestNothingIsGivenUpForWhatRanBesideIt(t *testing.T) {
 	m := newMachines(t, 4)
 	m.add(testJob("bad", testStep(1)))
@@ -58,9 +61,9 @@
 	}
 }
 
-// An owner knows of a start that it has ordered, and of a crash when it finds the worker terminated. If the owner ends
-// between the two, or before it has committed what it found, the next owner knows neither. In this test each owner ends
-// a given time after a start of the task, so that no owner sees two crashes.
+// An owner knows of a start that it has ordered, and of a crash when it finds the worker terminated. If the
+// owner ends between the two, or before it has committed what it found, the next owner knows neither. In this
+// test each owner ends a given time after a start of the task, so that no owner sees two crashes.
 func TestCrashesAreCountedThoughTheOwnerChangesBetweenThem(t *testing.T) {
 	for _, after := range []time.Duration{
 		0, 5 * time.Millisecond, 12 * time.Millisecond, 50 * time.Millisecond, 500 * time.Millisecond, time.Second,
@@ -97,8 +100,8 @@
 	m.Expect(m.most()).To(BeNumerically("<=", 3), "workers crashed by one member")
 }
 
-// All tasks of a wide step crash their workers. After the first round, the step must be tried again on one worker and
-// not on all of them.
+// All tasks of a wide step crash their workers. After the first round, the step must be tried again on one
+// worker and not on all of them.
 func givesUpWideStep(t *testing.T) {
 	const workers = 8
 	m := newMachines(t, workers)
@@ -120,7 +123,8 @@
 	m.Expect(m.most()).To(BeNumerically("<=", mostLost))
 }
 
-// Workers crash for reasons of their own, one after the other, some of them shortly after a start. No task is the cause.
+// Workers crash for reasons of their own, one after the other, some of them shortly after a start. No task is
+// the cause.
 func TestNothingIsGivenUpForWorkersThatCrashOnTheirOwn(t *testing.T) {
 	m := newMachines(t, 6)
 	for n := range 20 {
@@ -135,7 +139,8 @@
 	}
 }
 
-// Random parts of the pool crash at random times, each worker about every ten seconds, with jobs of all kinds running.
+// Random parts of the pool crash at random times, each worker about every ten seconds, with jobs of all kinds
+// running.
 func TestNothingIsGivenUpInAStormOfCrashes(t *testing.T) {
 	gang := testStep(4)
 	gang.Gang = true
@@ -201,8 +206,8 @@
 	m.Expect(m.outcome("good")).To(Equal(job.Completed))
 }
 
-// Owners change at random times, a few seconds apart, while tasks of each kind crash their workers beside other tasks.
-// Each change may hide a crash that has not been counted.
+// Owners change at random times, a few seconds apart, while tasks of each kind crash their workers beside
+// other tasks. Each change may hide a crash that has not been counted.
 func TestCrashesAreCountedWhileOwnersChangeAtAnyMoment(t *testing.T) {
 	gang := testStep(3)
 	gang.Gang = true
@@ -252,8 +257,8 @@
 	endsAt clock.Time
 }
 
-// crashCluster simulates workers on machines, a store and successive owners. Each call to a worker that is up and
-// reachable is answered at once.
+// crashCluster simulates workers on machines, a store and successive owners. Each call to a worker that is up
+// and reachable is answered at once.
 type machines struct {
 	*WithT
 	now      clock.Time
@@ -315,7 +320,8 @@
 	m.elected = true
 }
 
-// createOwner replaces the owner by one that loads its state from the store. The previous one has certainly ended.
+// createOwner replaces the owner by one that loads its state from the store. The previous one has certainly
+// ended.
 func (m *machines) newOwner() {
 	m.term++
 	m.pool = New(Config{
--- a/pkg/dispatch/customer_limits_test.go
+++ b/pkg/dispatch/customer_limits_test.go
@@ -36,8 +36,8 @@
 	return out
 }
 
-// newCustomerLoad returns a load on workers with room for 96 tasks of a second. The jobs of all customers at their
-// usual rate take 40 of these.
+// newCustomerLoad returns a load on workers with room for 96 tasks of a second. The jobs of all customers at
+// their usual rate take 40 of these.
 func newCustomersLoad(t *testing.T) *customersLoad {
 	l := newAdviceLoad(t)
 	l.fixture = newFixture(t, loadWorkers, nil)
@@ -48,8 +48,8 @@
 	return &customersLoad{l, map[string]int{}, map[string]int{}}
 }
 
-// simulate submits jobs for loadTime, with one customer above its usual rate throughout, and continues until the jobs
-// have to be done. Jobs above the limits are refused if enforced is set.
+// simulate submits jobs for loadTime, with one customer above its usual rate throughout, and continues until
+// the jobs have to be done. Jobs above the limits are refused if enforced is set.
 func (l *customersLoad) play(enforced bool) {
 	stop := l.now.Add(loadTime)
 	var limits []admission.Limit
@@ -103,8 +103,8 @@
 	return n
 }
 
-// One customer sends fifteen times its usual rate, more than there is room for. Without limits its jobs are not done in
-// time. The jobs of the other customers are accepted with and without limits.
+// One customer sends fifteen times its usual rate, more than there is room for. Without limits its jobs are
+// not done in time. The jobs of the other customers are accepted with and without limits.
 func TestHotCustomerIsLimitedToItsWeightAndOthersAreTakenIn(t *testing.T) {
 	l := newCustomersLoad(t)
 	l.play(true)
@@ -120,8 +120,8 @@
 	ignored.Expect(ignored.left()).NotTo(BeZero(), "the load does not exceed the capacity")
 }
 
-// newOverloadedFixture returns a pool with room for four tasks, in which the jobs of one customer wait for longer than
-// their objective allows.
+// newOverloadedFixture returns a pool with room for four tasks, in which the jobs of one customer wait for
+// longer than their objective allows.
 func excess(t *testing.T) *fixture {
 	f := newFixture(t, 1, nil)
 	hot := customer.Customer{Name: "hot", Weight: 1}
@@ -137,7 +137,8 @@
 	return f
 }
 
-// customerLimitsInForce returns the limits after the excess has lasted long enough for them to come into force.
+// customerLimitsInForce returns the limits after the excess has lasted long enough for them to come into
+// force.
 func (f *fixture) limited() []admission.Limit {
 	f.pool.CustomerLimits(f.now)
 	f.pass(admission.MinExcessTime)
--- a/pkg/dispatch/deferred_ends_loss_test.go
+++ b/pkg/dispatch/deferred_ends_loss_test.go
@@ -2,19 +2,21 @@
 
 import "testing"
 
-// playWithInformedOwner plays one random history in which hosts take the previous owner for the owner, so that it is
-// informed of jobs. Each of the seeds below once violated a check; docs/incidents/random-histories.md describes how.
+// playWithInformedOwner plays one random history in which hosts take the previous owner for the owner, so
+// that it is informed of jobs. Each of the seeds below once violated a check;
+// docs/incidents/random-histories.md describes how.
 func playTold(t *testing.T, seed uint64, change func(*world)) {
 	playSeeds(t, []uint64{seed}, told(change))
 }
 
-// Guards against adopted runs that are taken for lost because a worker lists their ends after that of an unknown job.
+// Guards against adopted runs that are taken for lost because a worker lists their ends after that of an
+// unknown job.
 func TestAdoptedRunsBehindAnUnknownEndAreNotLost(t *testing.T) {
 	playTold(t, 9000119, func(*world) {})
 }
 
-// Guards against runs that the owner has started itself and takes for lost because a worker lists their ends after
-// that of an unknown job.
+// Guards against runs that the owner has started itself and takes for lost because a worker lists their ends
+// after that of an unknown job.
 func TestOwnRunsBehindAnUnknownEndAreNotLost(t *testing.T) {
 	playTold(t, 9000007, func(*world) {})
 }
@@ -24,7 +26,8 @@
 	playTold(t, 9000376, func(*world) {})
 }
 
-// Guards against a job that is found and then planned as if none of the runs existed that workers had reported of it.
+// Guards against a job that is found and then planned as if none of the runs existed that workers had
+// reported of it.
 func TestJobIsFoundWithTheRunsThatWereListed(t *testing.T) {
 	playTold(t, 9000022, func(*world) {})
 }
@@ -39,7 +42,8 @@
 	playTold(t, 9000414, func(*world) {})
 }
 
-// Guards against a time limit that counts from an earlier unknown run of the worker instead of from the end itself.
+// Guards against a time limit that counts from an earlier unknown run of the worker instead of from the end
+// itself.
 func TestEndThatWasListedLatelyIsNotNoted(t *testing.T) {
 	playTold(t, 9000051, func(*world) {})
 }
@@ -54,7 +58,8 @@
 	playTold(t, 9000574, func(w *world) { w.quotas = newModelQuotas() })
 }
 
-// Guards against a quota that does not count what a previous owner may still start on workers that only it can reach.
+// Guards against a quota that does not count what a previous owner may still start on workers that only it
+// can reach.
 func TestQuotaHoldsWhileTheFormerOwnerStartsAJob(t *testing.T) {
 	playTold(t, 9020536, func(w *world) { w.quotas, w.reborn = newModelQuotas(), true })
 }
--- a/pkg/dispatch/deferred_ends_takeover_test.go
+++ b/pkg/dispatch/deferred_ends_takeover_test.go
@@ -7,8 +7,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// reportFor10s has the workers answer polls for so long that all leases of previous owners would have expired without
-// these polls.
+// reportFor10s has the workers answer polls for so long that all leases of previous owners would have expired
+// without these polls.
 func (f *fixture) holdsOn(reports ...Report) {
 	for elapsed := time.Duration(0); elapsed < 10*time.Second; elapsed += 500 * time.Millisecond {
 		f.pass(500 * time.Millisecond)
@@ -18,10 +18,10 @@
 	}
 }
 
-// Guards against a takeover that times out, and restarts tasks, while their runs go on. The time-out counts on the
-// expiry of the leases of previous owners, but the new owner extends the leases of all workers that answer its polls,
-// also while it loads the jobs and applies no reports. Here the store takes 10 s to list the jobs, and one worker
-// reports after that before the other.
+// Guards against a takeover that times out, and restarts tasks, while their runs go on. The time-out counts
+// on the expiry of the leases of previous owners, but the new owner extends the leases of all workers that
+// answer its polls, also while it loads the jobs and applies no reports. Here the store takes 10 s to list
+// the jobs, and one worker reports after that before the other.
 func TestTakeoverIsNotOverByTimeWhileAWorkerIsHeldOn(t *testing.T) {
 	f := newFixture(t, 2, afterFormerOwner)
 	f.pool.jobsLoaded = false
@@ -32,8 +32,8 @@
 	f.Expect(f.plan().Starts).To(BeEmpty(), "w0 runs a.0 and answered half a second ago")
 }
 
-// The takeover must not time out while a worker's reports are truncated either: the run may have ended as done. Here
-// the store can't be written to for 10 s, and a worker has more ends than one report holds.
+// The takeover must not time out while a worker's reports are truncated either: the run may have ended as
+// done. Here the store can't be written to for 10 s, and a worker has more ends than one report holds.
 func TestTakeoverIsNotOverByTimeWhileAWorkerHasMoreEnds(t *testing.T) {
 	f := newFixture(t, 2, afterFormerOwner)
 	f.add(testJob("a", testStep(1)))
@@ -43,9 +43,9 @@
 	f.Expect(f.plan().Starts).To(BeEmpty(), "the end of a.0 may be among those that w0 has not reported")
 }
 
-// Guards against runs that never expire. The first report of a worker is truncated, and its runs are adopted from it.
-// Then the worker becomes unreachable, while its entry stays. Missing runs are taken for lost only on workers of which
-// a whole report was received, so these runs have to end with their leases.
+// Guards against runs that never expire. The first report of a worker is truncated, and its runs are adopted
+// from it. Then the worker becomes unreachable, while its entry stays. Missing runs are taken for lost only
+// on workers of which a whole report was received, so these runs have to end with their leases.
 func TestRunsOfAWorkerWhoseFirstListsWereNotWholeLapse(t *testing.T) {
 	f := newFixture(t, 2, afterFormerOwner)
 	f.add(testJob("a", testStep(1)))
--- a/pkg/dispatch/deferred_ends_test.go
+++ b/pkg/dispatch/deferred_ends_test.go
@@ -9,7 +9,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// unknownJob returns a job that a host has accepted for the previous owner and of which the new one does not know.
+// unknownJob returns a job that a host has accepted for the previous owner and of which the new one does not
+// know.
 func stranger() job.Record {
 	r := testJob("x", testStep(1))
 	r.Term = 1
@@ -34,7 +35,8 @@
 	return rows
 }
 
-// expectNoStartsAfterReports has worker 0 report the same twice, and plans after each report; nothing may start.
+// expectNoStartsAfterReports has worker 0 report the same twice, and plans after each report; nothing may
+// start.
 func (f *fixture) reportsAgain(r Report, reason string) {
 	for range 2 {
 		f.report(0, r)
@@ -42,7 +44,7 @@
 	}
 }
 
-// commit commits to the store what the pool has to write.
+// commit writes to the store what the pool has to write.
 func (f *fixture) commits() {
 	f.pool.ApplyCommit(f.pool.PrepareCommit())
 }
@@ -56,8 +58,8 @@
 	return h.AckedEnd
 }
 
-// newOwnerAfterTakeover returns an owner that has completed its takeover from another one. The first of its two workers
-// runs all tasks of a job.
+// newOwnerAfterTakeover returns an owner that has completed its takeover from another one. The first of its
+// two workers runs all tasks of a job.
 func newOwnerOf(t *testing.T, r job.Record, runs []ActiveRun) *fixture {
 	f := newFixture(t, 2, afterFormerOwner)
 	f.add(r)
@@ -68,10 +70,11 @@
 	return f
 }
 
-// Guards against tasks that run again after their ends as done. A worker listed ends of runs that a new owner had
-// adopted, but before them the end of a job that a host had accepted for the previous owner after the new one had
-// listed the jobs in the store. The new owner applied no end from that one on, found the runs no longer active, and
-// took them for lost after two such reports, a few ms apart. It learned of the job half a second later.
+// Guards against tasks that run again after their ends as done. A worker listed ends of runs that a new owner
+// had adopted, but before them the end of a job that a host had accepted for the previous owner after the new
+// one had listed the jobs in the store. The new owner applied no end from that one on, found the runs no
+// longer active, and took them for lost after two such reports, a few ms apart. It learned of the job half a
+// second later.
 func TestEndsBehindThatOfAnUnknownJobCount(t *testing.T) {
 	f := newOwnerOf(t, testJob("a", testStep(2)), running(0, 1))
 	f.reportsAgain(Report{Active: running(1), Finished: []FinishedRun{endOf(1, "x", 0), endOf(2, "a", 0)}}, "a.0 is done")
@@ -105,8 +108,8 @@
 	f.Expect(f.plan().Starts).To(BeEmpty(), "the start was carried out, and its task is done")
 }
 
-// Guards against a plan that starts a task again between the moment when its job becomes known, half a second after a
-// worker reported a run of it, and the worker's next report.
+// Guards against a plan that starts a task again between the moment when its job becomes known, half a second
+// after a worker reported a run of it, and the worker's next report.
 func TestJobThatBecomesKnownHasTheRunsThatWorkersListed(t *testing.T) {
 	f := newOwnerOf(t, testJob("a", testStep(1)), running(0))
 	f.report(0, Report{Active: append(running(0), ActiveRun{Task: taskOf("x", 0), Run: 1})})
@@ -125,8 +128,8 @@
 	f.Expect(state).To(Equal(job.Completed))
 }
 
-// The store is unreachable for longer than it usually takes until the owner knows a job. Until the owner has looked the
-// job up, it must not acknowledge ends of the job and must not stop its runs.
+// The store is unreachable for longer than it usually takes until the owner knows a job. Until the owner has
+// looked the job up, it must not acknowledge ends of the job and must not stop its runs.
 func TestEndOfAnUnknownJobWaitsUntilTheJobsWereLookedThrough(t *testing.T) {
 	f := newOwnerOf(t, testJob("a", testStep(1)), running(0))
 	r := Report{Active: append(running(0), ActiveRun{Task: taskOf("y", 0), Run: 1}), Finished: []FinishedRun{endOf(1, "x", 0)}}
@@ -139,7 +142,8 @@
 	f.Expect(f.plan().Starts).To(BeEmpty(), "x.0 is done")
 }
 
-// Of a job without a record in the store, ends are acknowledged and runs stopped: its outcome was dropped long ago.
+// Of a job without a record in the store, ends are acknowledged and runs stopped: its outcome was dropped
+// long ago.
 func TestWhatIsListedOfAForgottenJobIsNotedAndStopped(t *testing.T) {
 	f := newOwnerOf(t, testJob("a", testStep(1)), running(0))
 	r := Report{Active: append(running(0), ActiveRun{Task: taskOf("y", 0), Run: 1}), Finished: []FinishedRun{endOf(1, "x", 0)}}
@@ -160,7 +164,8 @@
 	f.reportsAgain(more, "the end of a.1 may be among those that are to come")
 }
 
-// Guards against a takeover that ends by a truncated report: the ends that it leaves out would not be applied.
+// Guards against a takeover that ends by a truncated report: the ends that it leaves out would not be
+// applied.
 func TestFirstReportWithoutAllEndsTellsNothing(t *testing.T) {
 	f := newFixture(t, 2, afterFormerOwner)
 	f.add(testJob("a", testStep(2)))
@@ -170,8 +175,8 @@
 	f.Expect(f.plan().Starts).To(BeEmpty(), "a.0 is done")
 }
 
-// A stop by this owner was answered after the worker had made its first report, and the answer arrived before the
-// report. Although the report is outdated, its runs must count in the takeover.
+// A stop by this owner was answered after the worker had made its first report, and the answer arrived before
+// the report. Although the report is outdated, its runs must count in the takeover.
 func TestFirstReportThatWasOvertakenTellsNothing(t *testing.T) {
 	f := newFixture(t, 2, afterFormerOwner)
 	f.add(testJob("a", testStep(1)))
--- a/pkg/dispatch/delayed_advice_test.go
+++ b/pkg/dispatch/delayed_advice_test.go
@@ -28,8 +28,8 @@
 	return out
 }
 
-// Guards against jobs of low rank that never get a call for advice: with one host in each hall, jobs that were late
-// found no host free for a call until the end of a day, 5 to 17 times a day.
+// Guards against jobs of low rank that never get a call for advice: with one host in each hall, jobs that
+// were late found no host free for a call until the end of a day, 5 to 17 times a day.
 func TestJobOfTheLastPriorityIsAskedForInTime(t *testing.T) {
 	f := newFixture(t, 4, nil)
 	f.reportAll(4)
@@ -66,8 +66,8 @@
 	f.Expect(f.asked()).To(Equal([]job.ID{"lasts"}))
 }
 
-// Guards against delayed steps that wait for their customer's quota and use up all selections of advice targets that a
-// plan makes (maxAdviceSelectionsPerPlan), although they can't start.
+// Guards against delayed steps that wait for their customer's quota and use up all selections of advice
+// targets that a plan makes (maxAdviceSelectionsPerPlan), although they can't start.
 func TestStepsThatWaitForTheirQuotaTakeNoTurnsForAdvice(t *testing.T) {
 	f := quotaFixture(t)
 	f.pool.AddAdviser("host")
@@ -92,10 +92,10 @@
 	}
 }
 
-// Guards against a backlog that makes new jobs late, too. After a burst, each step of the backlog has waited for longer
-// than a new urgent one. With the longest waiting first, all hosts made calls for steps that could only end late (45 of
-// 45 calls, with 600 to 770 steps waiting for 30 s after the burst), so new steps got their advice as late: 4 of 223
-// jobs were in time in the two seconds from 18 s on.
+// Guards against a backlog that makes new jobs late, too. After a burst, each step of the backlog has waited
+// for longer than a new urgent one. With the longest waiting first, all hosts made calls for steps that could
+// only end late (45 of 45 calls, with 600 to 770 steps waiting for 30 s after the burst), so new steps got
+// their advice as late: 4 of 223 jobs were in time in the two seconds from 18 s on.
 func TestStepsThatStarveTakeTheirTurnsInAPoolThatIsWellUsed(t *testing.T) {
 	for name, test := range map[string]struct {
 		cores int
--- a/pkg/dispatch/evacuation_test.go
+++ b/pkg/dispatch/evacuation_test.go
@@ -95,7 +95,8 @@
 	f.Expect(again[0].Run).To(BeNumerically(">", s.Run))
 }
 
-// A gang whose members were placed in two halls, one of which is evacuated, is completed in the other or not at all.
+// A gang whose members were placed in two halls, one of which is evacuated, is completed in the other or not
+// at all.
 func TestGangIsNotCompletedInAnEvacuatedHall(t *testing.T) {
 	f := newFixture(t, 3, nil)
 	f.inHalls("a", "b", "b")
--- a/pkg/dispatch/explain_test.go
+++ b/pkg/dispatch/explain_test.go
@@ -36,8 +36,8 @@
 	f.Expect(e.Blocked).To(ContainSubstring("former owner"))
 }
 
-// A step that waits for long in a pool with room is reported with its reason, unless its job has runs or the pool is
-// busy.
+// A step that waits for long in a pool with room is reported with its reason, unless its job has runs or the
+// pool is busy.
 func TestLongWaitsAreTold(t *testing.T) {
 	f := newFixture(t, 2, nil)
 	f.reportAll(2)
@@ -55,8 +55,8 @@
 	f.Expect(f.pool.DelayedSteps(3*time.Second, 0, f.now)).To(BeEmpty())
 }
 
-// The wait reason of a gang lists all that it lacks, so that a log shows whether the gang waits for its customer's
-// quota, for tickets or for room.
+// The wait reason of a gang lists all that it lacks, so that a log shows whether the gang waits for its
+// customer's quota, for tickets or for room.
 func TestExplanationTellsWhatAGangLacks(t *testing.T) {
 	t.Run("quota", func(t *testing.T) {
 		f := quotaFixture(t)
--- a/pkg/dispatch/gang_promotion_test.go
+++ b/pkg/dispatch/gang_promotion_test.go
@@ -8,13 +8,14 @@
 	. "github.com/onsi/gomega"
 )
 
-// gangWaitingForQuota returns a pool of 8 cores in which a gang waits for its customer's quota, since another job of the
-// customer uses some of the quota for a minute.
+// gangWaitingForQuota returns a pool of 8 cores in which a gang waits for its customer's quota, since another
+// job of the customer uses some of the quota for a minute.
 func starvingGang(t *testing.T, quotaCores, othersRun, members int) *fixture {
 	return starvingGangOn(t, 2, quotaCores, othersRun, members)
 }
 
-// gangWaitingForQuotaOn is gangWaitingForQuota in a pool with the given number of workers, which have 4 cores each.
+// gangWaitingForQuotaOn is gangWaitingForQuota in a pool with the given number of workers, which have 4 cores
+// each.
 func starvingGangOn(t *testing.T, workers, quotaCores, othersRun, members int) *fixture {
 	f := newFixture(t, workers, nil)
 	f.configure(2, north(int64(quotaCores)*1000))
@@ -113,7 +114,8 @@
 	f.Expect(f.wait(maxPromotionTime).Starts).To(HaveLen(2))
 }
 
-// A quota that was little used during an earlier promotion is no reason to stop runs at the start of the next one.
+// A quota that was little used during an earlier promotion is no reason to stop runs at the start of the next
+// one.
 func TestTimeOfALittleUsedQuotaBeginsAnewWithEachTurn(t *testing.T) {
 	f := starvingGang(t, 5, 2, 4)
 	f.answer(f.wait(adviceDelayLimit + 100*time.Millisecond))
--- a/pkg/dispatch/gang_quota_wait_test.go
+++ b/pkg/dispatch/gang_quota_wait_test.go
@@ -13,7 +13,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// quotaWaitJobKinds are the jobs of one customer that uses a part of its quota, in a pool that is little used.
+// quotaWaitJobKinds are the jobs of one customer that uses a part of its quota, in a pool that is little
+// used.
 var calmKinds = []busyKind{
 	{
 		queue.Queue{Name: "gangs", Pool: "pool", Priority: 1, MaxAttempts: 2, Extension: 2.2, TargetLatency: time.Second, Advice: &queue.AdviceCost{
@@ -35,18 +36,20 @@
 	},
 }
 
-// maxIdleJobTime is for how long a job may have no runs while there is room. The platform counts it as lost after that.
+// maxIdleJobTime is for how long a job may have no runs while there is room. The platform counts it as lost
+// after that.
 const lostAfter = 3 * time.Second
 
-// idleJobPool is a pool with much room, in which the customer seldom uses up its quota. It records for how long jobs
-// are idle: without runs although they could run.
+// idleJobPool is a pool with much room, in which the customer seldom uses up its quota. It records for how
+// long jobs are idle: without runs although they could run.
 type calmPool struct {
 	*busyPool
 	since map[job.ID]clock.Time    // since when jobs are idle
 	lost  map[job.ID]time.Duration // idle time of the jobs that were idle for maxIdleJobTime
 }
 
-// newQuotaWaitPool returns a pool of one customer, with the jobs of quotaWaitJobKinds at a share of their rates.
+// newQuotaWaitPool returns a pool of one customer, with the jobs of quotaWaitJobKinds at a share of their
+// rates.
 func newCalmPool(seed uint64, load float64) *calmPool {
 	return newCalmPoolOf(calmKinds, customer.Customer{Name: "north", Weight: 10, Quota: cell.Resources{CPUMillis: 480_000, MemoryMB: 1_730_000}}, seed, load)
 }
@@ -93,7 +96,8 @@
 	}
 }
 
-// addWideGang adds a gang that takes a large part of its customer's quota. Its job was accepted the given time ago.
+// addWideGang adds a gang that takes a large part of its customer's quota. Its job was accepted the given
+// time ago.
 func (p *calmPool) handInWideGang(members int, age time.Duration) {
 	s := calmKinds[0].step
 	s.Count, s.Resources = members, cell.Resources{CPUMillis: 6000, MemoryMB: 60_000}
@@ -102,8 +106,8 @@
 	}, job.Progress{}, false, age, p.now)
 }
 
-// couldRun reports whether less than half of the pool and of the quota of a job's customer is in use, and the allowed
-// workers have at least twice the room that the job needs to start.
+// couldRun reports whether less than half of the pool and of the quota of a job's customer is in use, and the
+// allowed workers have at least twice the room that the job needs to start.
 func (p *calmPool) couldRun(j *jobState) bool {
 	load, used, quota := p.pool.poolLoad("pool"), j.account.Used(), j.account.Customer().Quota
 	if load.used.DominantShare(load.capacity) >= 0.5 || used.DominantShare(quota) >= 0.5 {
@@ -123,8 +127,9 @@
 	return room >= 2*atOnce
 }
 
-// Guards against jobs that are idle while more than half of their customer's quota and of the pool is free. A wide gang
-// needs most of the quota at once; either the customer's other jobs waited for it, or they took its room.
+// Guards against jobs that are idle while more than half of their customer's quota and of the pool is free. A
+// wide gang needs most of the quota at once; either the customer's other jobs waited for it, or they took its
+// room.
 func TestGangsStandStillBehindTheirCustomersQuota(t *testing.T) {
 	for _, age := range []time.Duration{0, time.Minute} { // in time, and so late that its end has no value
 		for _, members := range []int{18, 24} {
--- a/pkg/dispatch/gang_test.go
+++ b/pkg/dispatch/gang_test.go
@@ -64,8 +64,8 @@
 	f.Expect(again[0].Run).To(Equal(2))
 }
 
-// One end as done counts for all members of a gang. Members whose ends have not been reported yet have ended as well
-// and must not be stopped.
+// One end as done counts for all members of a gang. Members whose ends have not been reported yet have ended
+// as well and must not be stopped.
 func TestMembersOfADoneGangAreNotStopped(t *testing.T) {
 	f := newFixture(t, 2, nil)
 	f.reportAll(2)
--- a/pkg/dispatch/history_call_test.go
+++ b/pkg/dispatch/history_call_test.go
@@ -16,9 +16,9 @@
 	return w.between(time.Millisecond, 30*time.Millisecond)
 }
 
-// sendCall has a worker carry out a call and delivers its answer, after random delays. It calls unanswered instead if
-// the call or its answer is lost or the answer takes longer than the limit. A call without an answer may be carried out
-// seconds later. carryOut returns nil if nothing arrived.
+// sendCall has a worker carry out a call and delivers its answer, after random delays. It calls unanswered
+// instead if the call or its answer is lost or the answer takes longer than the limit. A call without an
+// answer may be carried out seconds later. carryOut returns nil if nothing arrived.
 func (w *world) send(m *modelWorker, limit time.Duration, carryOut func() (answer func()), unanswered func()) {
 	w.sendUnless(m, limit, carryOut, unanswered, func() bool { return false })
 }
@@ -62,9 +62,9 @@
 	w.calls = append(w.calls, call{at: w.now.Add(d), do: do})
 }
 
-// sendStart sends a start as platform.Workers does: only over a connection on which the addressed incarnation of the
-// worker has answered. The connection ends with that incarnation, so a later one receives no start from the network.
-// It may still carry out late a start that the earlier incarnation had delayed.
+// sendStart sends a start as platform.Workers does: only over a connection on which the addressed incarnation
+// of the worker has answered. The connection ends with that incarnation, so a later one receives no start
+// from the network. It may still carry out late a start that the earlier incarnation had delayed.
 func (w *world) sendStart(o *modelOwner, s StartOrder) {
 	w.checkOrdered(o, s)
 	m := w.worker[numberOf(s.Worker)]
@@ -77,9 +77,9 @@
 		w.later(callLimit/2, func() { o.pool.HandleStartAnswer(s, Answer{}, ErrNotSent, w.now) })
 		return
 	}
-	sentAt, incarnationStart := w.now, m.born
+	sentAt, startedAt := w.now, m.born
 	w.sendUnless(m, callLimit, func() func() {
-		if m.born != incarnationStart && !w.late {
+		if m.born != startedAt && !w.late {
 			return nil
 		}
 		a := w.start(m, s)
@@ -87,7 +87,7 @@
 			w.checkNotShown(m, s)
 		}
 		return func() { o.pool.HandleStartAnswer(s, a, nil, w.now) }
-	}, func() { o.pool.HandleStartAnswer(s, Answer{}, fmt.Errorf("no answer"), w.now) }, func() bool { return m.born != incarnationStart && o != w.present() && !w.awaited(m, s) })
+	}, func() { o.pool.HandleStartAnswer(s, Answer{}, fmt.Errorf("no answer"), w.now) }, func() bool { return m.born != startedAt && o != w.present() && !w.awaited(m, s) })
 }
 
 func (w *world) sendStop(o *modelOwner, s StopOrder) {
