--- a/pkg/dispatch/history_early_takeover_test.go
+++ b/pkg/dispatch/history_early_takeover_test.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// Histories in which the owner changes soon after what a later owner has to learn from others: a cancel, the end of a task, a crash, a lowered
-// quota. Some workers are cut off as that happens, so that they can't tell, and jobs are handed in that may begin at once. Most of what broke a
-// promise did so in the first lease after one of these. With what runs of an ended job left out of the count, seed 138 with quotas breaks.
-
 const (
-	// soonChance is the probability that the owner changes soon after one of these.
+	// earlyTakeoverChance is the probability that the owner changes soon after an event that a later
+	// owner has to learn of (withEarlyTakeover).
 	soonChance = 0.1
-	// soonCut is the probability of each worker to be cut off then, so that the next owner does not hear what runs there.
+	// earlyTakeoverIsolationChance is the probability that a worker becomes unreachable then, so that the
+	// next owner does not learn what runs there.
 	soonCut = 0.5
-	// soonCancels is the probability of a cancel at a tick.
+	// earlyTakeoverCancelChance is the probability of a cancellation at a tick.
 	soonCancels = 0.005
-	// soonJobs is how many jobs are handed in soon after the owner has changed: only these may begin at once. The others are handed in at any
-	// time, a third of all.
+	// jobsAfterEarlyTakeover is how many jobs are submitted soon after the owner has changed: only these
+	// may start at once. The others, a third of all jobs, are submitted at any time.
 	soonJobs   = 2
 	soonOthers = historyJobs / 3
-	// soonMost is how long after it at most: a little more than a lease.
+	// maxEarlyTakeoverDelay is how long after the event the owner changes at most: a little more than a
+	// lease.
 	soonMost = 7 * time.Second
 )
 
-// ownerMayChange draws whether the owner changes soon after something that has happened, in histories about that.
+// maybeScheduleTakeover draws whether the owner changes soon after an event, in histories with
+// earlyTakeover.
 func (w *world) ownerMayChange() {
 	if !w.soon || w.changing || w.now >= w.troubleUntil || !w.chance(soonChance) {
 		return
@@ -52,7 +52,7 @@
 	})
 }
 
-// jobsAtAnyTime is how many jobs are handed in whatever happens.
+// jobsAtRandomTimes is how many jobs are submitted at random times, independent of other events.
 func (w *world) jobsAtAnyTime() int {
 	if w.soon || w.told {
 		return soonOthers
@@ -60,7 +60,11 @@
 	return historyJobs
 }
 
-// soon has the owner change soon after an end, beside what else a kind of history is about.
+// withEarlyTakeover adds changes of the owner soon after an event that a later owner has to learn of: a
+// cancellation, the end of a task, a crash or a lowered quota. Some workers become unreachable at that
+// moment, so that they cannot report, and jobs are submitted that may start at once. Most violations
+// occurred within the first lease after such an event. If runs of an ended job are left out of the quota
+// count, seed 138 with quotas fails.
 func soon(change func(*world)) func(*world) {
 	return func(w *world) {
 		w.soon = true
@@ -71,18 +75,18 @@
 func TestPromisesHoldWhenTheOwnerChangesSoonAfterAnEnd(t *testing.T) {
 	t.Run("on their own", func(t *testing.T) { playDrawn(t, fifth, soon(func(*world) {})) })
 	t.Run("behind relays", func(t *testing.T) { playDrawn(t, fifth, soon(func(w *world) { w.relayed = true })) })
-	t.Run("with workers that start again", func(t *testing.T) { playDrawn(t, fifth, soon(func(w *world) { w.reborn = true })) })
+	t.Run("with workers that restart", func(t *testing.T) { playDrawn(t, fifth, soon(func(w *world) { w.reborn = true })) })
 	t.Run("with quotas", func(t *testing.T) { playDrawn(t, fifth, soon(func(w *world) { w.quotas = newModelQuotas() })) })
 	t.Run("with quotas behind relays", func(t *testing.T) {
 		playDrawn(t, fifth, soon(func(w *world) { w.quotas, w.relayed = newModelQuotas(), true }))
 	})
-	t.Run("with quotas and workers that start again", func(t *testing.T) {
+	t.Run("with quotas and workers that restart", func(t *testing.T) {
 		playDrawn(t, fifth, soon(func(w *world) { w.quotas, w.reborn = newModelQuotas(), true }))
 	})
 	t.Run("with tasks that crash workers", func(t *testing.T) { playDrawn(t, fifth, soon(crashingWorld)) })
 }
 
-// crashingWorld has tasks crash their workers, of which there are twice as many.
+// withCrashingTasks has tasks crash their workers, and doubles the number of workers.
 func crashingWorld(w *world) {
 	w.crashing = true
 	for range historyWorkers {
--- a/pkg/dispatch/history_incarnations_test.go
+++ b/pkg/dispatch/history_incarnations_test.go
@@ -9,20 +9,17 @@
 	"foldarch.dev/foldarch/pkg/job"
 )
 
-// Workers of the random histories that start again under the id that they had, and the entries that they write.
-
 const (
-	// leastDowntime is how long a worker takes to start again at least.
+	// minDowntime is the shortest time from a worker's crash to its next start.
 	leastDowntime = 550 * time.Millisecond
-	// briefDowntime is how long it takes at least in histories with short restarts.
+	// minShortDowntime is that time in histories with shortDowntime.
 	briefDowntime = 50 * time.Millisecond
-	// entryBeat is how often a worker writes its entry.
-	entryBeat = 1500 * time.Millisecond
-	// entryLife is after how long an entry goes that is not written.
+	entryBeat     = 1500 * time.Millisecond
+	// entryTimeToLive is for how long an entry stays in the store after its last write.
 	entryLife = 3 * entryBeat
 )
 
-// modelEntry is the entry of a worker in the store.
+// modelEntry is a worker's entry in the store.
 type modelEntry struct {
 	info    WorkerInfo
 	gone    bool
@@ -30,7 +27,7 @@
 	written clock.Time
 }
 
-// downtime is how long a worker takes to start again.
+// drawDowntime draws how long a worker takes to start again.
 func (w *world) downtime() time.Duration {
 	if w.brief {
 		return w.between(briefDowntime, leastDowntime)
@@ -38,16 +35,17 @@
 	return w.between(leastDowntime, 4*time.Second)
 }
 
-// bear begins the next life of a worker. It may end again before it has written its entry.
+// startIncarnation starts the next incarnation of a worker, under the name that the worker had. It may
+// crash again before it has written its entry.
 func (w *world) bear(m *modelWorker) {
-	m.born = 1_700_000_000_000 + w.rand.Int64N(1_000_000) // by its own time of day, which may have been stepped
+	m.born = 1_700_000_000_000 + w.rand.Int64N(1_000_000) // by the worker's own wall clock, which may have been stepped
 	m.rate, m.origin = 0.98+0.02*w.rand.Float64(), float64(w.rand.IntN(500_000))
 	m.token, m.lease, m.lapsedAt, m.lastEnd, m.ended = 0, 0, 0, 0, nil
 	clear(m.endedAt)
 	clear(m.highest)
 	m.capacity = cell.Resources{CPUMillis: 3000 + 1000*w.rand.Int64N(2), MemoryMB: 8000}
 	m.dead, m.draining = false, false
-	w.note("%s begins life %d", m.id, m.born)
+	w.note("%s starts incarnation %d", m.id, m.born)
 	if w.chance(0.15) {
 		w.later(w.between(100*time.Millisecond, time.Second), func() {
 			if !m.dead {
@@ -58,20 +56,21 @@
 	w.beat(m, w.between(0, 300*time.Millisecond))
 }
 
-// beat has a life write its entry after a time, and again and again until it ends. The last write may be carried out late.
+// scheduleEntryWrites has an incarnation write its entry after a delay, and periodically until it ends.
+// Its last write may be carried out late.
 func (w *world) beat(m *modelWorker, after time.Duration) {
-	born := m.born
+	startedAt := m.born
 	w.later(after, func() {
-		late := m.dead && w.chance(0.1) || m.born != born && w.chance(0.05)
-		if (m.dead || m.born != born) && !late {
+		late := m.dead && w.chance(0.1) || m.born != startedAt && w.chance(0.05)
+		if (m.dead || m.born != startedAt) && !late {
 			return
 		}
 		info := w.infoOf(m)
-		info.ID = lifeID(numberOf(m.id), born)
-		if m.entry.gone || m.entry.info.ID.StartedAt() != born {
+		info.ID = lifeID(numberOf(m.id), startedAt)
+		if m.entry.gone || m.entry.info.ID.StartedAt() != startedAt {
 			m.entry.info, m.entry.gone = info, false
 			m.entry.version++
-			w.note("%s: the entry of life %d is written", m.id, born)
+			w.note("%s: the entry of incarnation %d is written", m.id, startedAt)
 		}
 		m.entry.written = w.now
 		if !late {
@@ -84,7 +83,7 @@
 	return WorkerInfo{ID: lifeID(numberOf(m.id), m.born), Pool: "pool", Address: m.address, Capacity: m.capacity, Draining: m.draining}
 }
 
-// expireEntries has entries go that are not written any more.
+// expireEntries removes entries that have not been written for entryTimeToLive.
 func (w *world) expireEntries() {
 	for _, m := range w.worker {
 		if !m.entry.gone && m.entry.version > 0 && w.now.Sub(m.entry.written) > entryLife {
@@ -117,7 +116,7 @@
 	}
 }
 
-// readRoster has a new owner read which workers the former one used.
+// readRoster has a new owner read which workers its predecessors used.
 func (w *world) readRoster(o *modelOwner) {
 	known := o.pool.Workers()
 	for _, info := range w.roster {
@@ -131,7 +130,7 @@
 	}
 }
 
-// writeRoster has the present owner write the roster, which it has to before it uses a worker.
+// writeRoster has the present owner write the roster, which it must do before it uses a worker.
 func (w *world) writeRoster(o *modelOwner) {
 	if o != w.present() || o.ended || w.now < o.storeAwayUntil {
 		return
@@ -145,7 +144,7 @@
 	o.pool.MarkInRoster(ids)
 }
 
-// keepUnanswered keeps the starts without an answer of which a change tells the store.
+// recordUnansweredStarts remembers the starts without an answer that a commit writes to the store.
 func (w *world) keepUnanswered(c JobChange) {
 	for _, row := range c.Progress.Tasks {
 		t := job.TaskID{StepID: job.StepID{Job: c.Job, Time: row.Time, Step: row.Step}, Index: row.Index}
@@ -155,8 +154,10 @@
 	}
 }
 
-// awaited says that the present owner still counts with a start on a worker, or that the store was told that it got no answer. That owner knows nothing of other
-// starts of former owners, so it can't prevent that the next life of their worker, which has seen no token, carries them out beside or after what it has started.
+// isStartExpected reports whether the present owner still counts on a start on a worker, or whether the
+// store has it as unanswered. That owner knows nothing of other starts of previous owners, so it cannot
+// prevent that the worker's next incarnation, which has seen no token, carries them out beside or after
+// what it has started itself.
 func (w *world) awaited(m *modelWorker, s StartOrder) bool {
 	if w.unanswered[runKey{s.Task, s.Run}] {
 		return true
--- a/pkg/dispatch/history_owner_test.go
+++ b/pkg/dispatch/history_owner_test.go
@@ -8,9 +8,7 @@
 	"foldarch.dev/foldarch/pkg/job"
 )
 
-// The owners of the random histories, and the store that they share.
-
-// elect makes a new owner; the former one goes on for a while.
+// elect elects a new owner; the previous one goes on for up to ownerTerm.
 func (w *world) elect() {
 	w.term++
 	for _, o := range w.owners {
@@ -43,7 +41,7 @@
 	w.elected(o)
 }
 
-// listWorkers has a new owner read the entries and the roster.
+// loadWorkers has a new owner read the entries and the roster.
 func (w *world) listWorkers(o *modelOwner) {
 	if w.reborn {
 		w.readEntries(o)
@@ -66,8 +64,8 @@
 	}
 }
 
-// meet takes in a worker's entry. Only the present owner can put a worker into the roster, since
-// that is a write on condition of the owner's record.
+// addEntry has an owner read a worker's entry. Only the present owner can put a worker into the roster,
+// since that write is conditional on the owner's record.
 func (w *world) meet(o *modelOwner, m *modelWorker) {
 	o.pool.UpsertWorker(WorkerInfo{ID: m.id, Pool: "pool", Address: m.address, Capacity: m.capacity, Draining: m.draining}, true, w.now)
 	if o == w.present() {
@@ -75,7 +73,7 @@
 	}
 }
 
-// sessions lists the workers that an owner asks.
+// polledWorkers returns the workers that an owner polls.
 func (w *world) sessions(o *modelOwner) []WorkerID {
 	var out []WorkerID
 	if w.reborn {
@@ -90,7 +88,7 @@
 	return out
 }
 
-// copied is progress as an owner reads it from the store, which no other owner changes.
+// copyProgress returns progress as an owner reads it from the store: a copy that no other owner changes.
 func copied(p job.Progress) job.Progress {
 	out := job.Progress{Tasks: slices.Clone(p.Tasks), Unended: p.Unended, Workers: slices.Clone(p.Workers)}
 	for i := range out.Tasks {
@@ -101,7 +99,7 @@
 	return out
 }
 
-// jobs lists the jobs of the store, in order.
+// jobIDs returns the jobs of the store, in order.
 func (w *world) jobs() []job.ID {
 	var ids []job.ID
 	for id := range w.store {
@@ -115,7 +113,7 @@
 	return w.owners[len(w.owners)-1]
 }
 
-// act lets an owner plan, commit and call workers.
+// advanceOwner has an owner plan, commit and call workers.
 func (w *world) act(o *modelOwner) {
 	if o.ended || o.pool.IsFenced() || o.until != 0 && w.now >= o.until {
 		o.ended = true
@@ -152,7 +150,7 @@
 	}
 }
 
-// holdAll has an owner ask the workers whose turn has come.
+// pollDueWorkers has an owner poll the workers whose next poll is due.
 func (w *world) holdAll(o *modelOwner) {
 	for _, id := range w.sessions(o) {
 		if w.now >= o.holding[id] {
@@ -161,7 +159,7 @@
 	}
 }
 
-// confirm asks the store, which may be away, who the owner is.
+// confirmOwnership has an owner ask the store, which may be unreachable, who the owner is.
 func (w *world) confirm(o *modelOwner) {
 	sentAt := w.now
 	if o.confirming || w.chance(0.1) || w.now < o.storeAwayUntil {
@@ -169,10 +167,10 @@
 	}
 	o.confirming = true
 	w.later(w.between(time.Millisecond, 30*time.Millisecond), func() {
-		named := o == w.present()
+		isOwner := o == w.present()
 		w.later(w.between(time.Millisecond, 30*time.Millisecond), func() {
 			o.confirming = false
-			if !named {
+			if !isOwner {
 				o.ended = true
 				return
 			}
@@ -181,7 +179,7 @@
 	})
 }
 
-// commit writes what an owner has decided; a former owner's commit fails and ends it.
+// commit writes what an owner has decided; the commit of a previous owner fails and ends it.
 func (w *world) commit(o *modelOwner) {
 	if w.now < o.storeAwayUntil {
 		return
--- a/pkg/dispatch/history_previous_owner_test.go
+++ b/pkg/dispatch/history_previous_owner_test.go
@@ -8,25 +8,23 @@
 	"foldarch.dev/foldarch/pkg/job"
 )
 
-// Random histories in which owners do not know all jobs: a host tells a former owner of a job that it has accepted after the new one has read the jobs of
-// the store, and a new owner may need long to read them. Without the first, no history had an end of a job that is not known; and without the check of
-// ends that are noted after a task began again (checkNotBegunAgain), none would have shown what it does.
-
 const (
-	// findWithin is how long it takes until an owner finds a job of which it was not told, and readWithin until it has read a record.
+	// maxJobFindDelay is how long it takes at most until an owner finds a job that was not announced to
+	// it, and maxRecordReadTime until it has read a record.
 	findWithin = 1500 * time.Millisecond
 	readWithin = 600 * time.Millisecond
-	// mostLoading is how long a new owner needs to read the jobs at most: longer than what former owners have started may go on.
+	// maxJobLoadTime is how long a new owner takes at most to read the jobs: longer than the leases of
+	// what previous owners have started.
 	mostLoading = 14 * time.Second
 )
 
-// storedAt is what a new owner reads of a job.
+// jobSnapshot is what a new owner reads of a job.
 type storedAt struct {
 	id job.ID
 	storedJob
 }
 
-// stored lists what the store has of all jobs.
+// snapshotJobs returns what the store holds of all jobs.
 func (w *world) stored() []storedAt {
 	var out []storedAt
 	for _, id := range w.jobs() {
@@ -37,7 +35,7 @@
 	return out
 }
 
-// load has an owner take in the jobs of the store.
+// loadJobs has an owner load the jobs of the store.
 func (o *modelOwner) load(w *world, jobs []storedAt) {
 	for _, s := range jobs {
 		o.take(w, s.id, &s.storedJob)
@@ -46,7 +44,7 @@
 	o.loading = false
 }
 
-// take has an owner take in what the store has of a job.
+// loadJob has an owner load what the store holds of a job.
 func (o *modelOwner) take(w *world, id job.ID, s *storedJob) {
 	if s.outcome != "" {
 		o.pool.AddOutcome(id, job.Record{Outcome: s.outcome, Customer: s.record.Customer, Unended: s.unended, LateStart: s.lateStart}, w.now)
@@ -58,7 +56,8 @@
 	}
 }
 
-// loadLate has a new owner take in the jobs a while after it has read them, and look for those that came meanwhile.
+// scheduleJobLoad has a new owner load the jobs some time after it has read them, and then find those
+// that were stored meanwhile.
 func (w *world) loadLate(o *modelOwner) {
 	o.loading = true
 	jobs := w.stored()
@@ -67,14 +66,15 @@
 			return
 		}
 		o.load(w, jobs)
-		w.note("owner %d has read the jobs", o.term)
+		w.note("owner %d has loaded the jobs", o.term)
 		for _, id := range w.jobs() {
 			w.later(w.between(0, findWithin), func() { w.find(o, id) })
 		}
 	})
 }
 
-// hearsOfJobs is the owner that is told of a job: a former one that still gives orders, where hosts tell these, or the present one.
+// ownerToInform returns the owner to which a job is announced: a previous one that still acts, in
+// histories with announceToPrevious, or the present one.
 func (w *world) hearsOfJobs() *modelOwner {
 	for _, o := range w.owners {
 		if w.tellsFormer && !o.ended && !o.loading && o.until != 0 && w.now < o.until && !o.pool.IsFenced() {
@@ -84,14 +84,14 @@
 	return w.present()
 }
 
-// findLater has all owners find a job of which they may not be told.
+// scheduleFinds has all owners find a job that may not be announced to them.
 func (w *world) findLater(id job.ID) {
 	for _, o := range w.owners {
 		w.later(w.between(0, findWithin), func() { w.find(o, id) })
 	}
 }
 
-// find has an owner read a job's record, and says whether there is one.
+// findJob has an owner read a job's record, and reports whether there is one.
 func (w *world) find(o *modelOwner, id job.ID) bool {
 	s, found := w.store[id]
 	switch {
@@ -106,7 +106,7 @@
 	return true
 }
 
-// readUnknownJobs has an owner read the jobs that workers list and that it does not know.
+// readUnknownJobs has an owner read the jobs that workers report and that it does not know.
 func (w *world) readUnknownJobs(o *modelOwner) {
 	for _, id := range o.pool.UnknownJobs() {
 		if o.reading[id] || w.now < o.storeAwayUntil {
@@ -125,21 +125,27 @@
 	}
 }
 
-// toldSeeds are seeds of such histories that break a promise when ends are read up to the first one of a job that is not known only.
+// announcementSeeds are seeds of such histories that violate an invariant if ends are applied only up to
+// the first one of an unknown job.
 var toldSeeds = []uint64{85, 98, 150, 358, 560}
 
+// Simulates histories in which a host announces a job to a previous owner after the new one has read the
+// jobs of the store. Without these, no history had an end of an unknown job; and without
+// checkNotBegunAfterAckedEnd, none would have shown the consequences.
 func TestPromisesHoldWhenFormerOwnersAreToldOfJobs(t *testing.T) {
 	playSeeds(t, append(slices.Clone(toldSeeds), drawnSeeds(t, all)...), func(w *world) { w.tellsFormer = true })
 }
 
-// Seed 1, for one. A new owner that needs longer to read the jobs than what former owners have started may go on holds the takeover for over
-// before the workers, which it has held on all the time, have told it anything that it takes in. It starts again what has ended there as done.
+// Guards against tasks that run again after they are done, for instance in seed 1. A new owner needs
+// longer to read the jobs than the leases of what previous owners have started. It takes the takeover for
+// over before the workers, whose leases it extends all the time, have reported anything that it applies.
 func TestPromisesHoldWhenReadingTheJobsTakesLong(t *testing.T) {
 	playDrawn(t, all, func(w *world) { w.tellsFormer, w.slow = true, true })
 }
 
-// An owner that does not know a job whose runs workers list does not know whose they are, and starts others of the same customer beyond its quota. (The
-// logs of all seeds but 412, which was not read, have run_unknown before the starts.)
+// Guards against a customer beyond its quota. An owner that does not know a job whose runs workers report
+// does not know the customer of these runs, and starts others of the same customer. (The logs of all
+// these seeds but 412, whose log was not examined, have run_unknown before the starts.)
 func TestQuotasHoldWhenFormerOwnersAreToldOfJobs(t *testing.T) {
 	playSeeds(t, []uint64{61, 85, 320, 331, 412, 588}, func(w *world) { w.tellsFormer, w.quotas = true, newModelQuotas() })
 }
--- a/pkg/dispatch/history_quota_test.go
+++ b/pkg/dispatch/history_quota_test.go
@@ -10,25 +10,26 @@
 	"foldarch.dev/foldarch/pkg/queue"
 )
 
-// The customers of the random histories: their quotas bind, and change.
-
 const (
-	// fullQuota and lowQuota are what a customer may have running, in thousandths of a core: 3/8 and 1/8 of the workers' room.
+	// fullQuota and lowQuota are quotas of a customer, in thousandths of a core: 3/8 and 1/8 of the
+	// capacity of all workers.
 	fullQuota = 6000
 	lowQuota  = 2000
-	// configTakes is how long a configuration may be on its way to an owner.
+	// maxConfigDelay is how long a configuration takes at most to reach an owner.
 	configTakes = time.Second
-	// latestCall is how long after it was sent a call without an answer is carried out at the latest.
+	// maxLateCallDelay is how long after it was sent a call without an answer is carried out at the
+	// latest.
 	latestCall = 6 * time.Second
-	// quotaOver is the part by which a customer may be over its quota, beside one task.
+	// quotaTolerance is the share by which a customer may exceed its quota, in addition to one task.
 	quotaOver = 0.1
 )
 
-// modelQuotas are the quotas as the operator writes them.
+// modelQuotas are the quotas of the customers in a random history, as the operator has configured them.
+// They bind, and change.
 type modelQuotas struct {
 	version int64
 	quota   map[string]int64
-	// former is a quota that was lowered, which counts until formerUntil.
+	// previousQuota is a quota that was lowered; it counts until previousQuotaUntil.
 	former      map[string]int64
 	formerUntil map[string]clock.Time
 }
@@ -43,7 +44,7 @@
 	return q
 }
 
-// config is the configuration in force; without quotas it names no customers.
+// config returns the configuration in force; without quotas it has no customers.
 func (q *modelQuotas) config() *queue.Config {
 	cfg := queue.NewConfig(1, []queue.Queue{testQueue}, nil)
 	if q == nil {
@@ -52,7 +53,7 @@
 	cfg.Version = q.version
 	var entries []customer.Entry
 	for _, name := range historyCustomers {
-		if q.quota[name] != 0 { // otherwise the configuration does not name it
+		if q.quota[name] != 0 { // otherwise the customer is not configured
 			entries = append(entries, customer.Entry{Customer: q.customer(name)})
 		}
 	}
@@ -64,7 +65,8 @@
 	return customer.Customer{Name: name, Weight: 1, Quota: cell.Resources{CPUMillis: q.quota[name]}}
 }
 
-// draw gives a job a customer. A gang that never fits the quota would be refused by the host.
+// drawCustomer draws the customer of a job. Gangs that exceed the full quota become plain steps, since a
+// host would refuse them.
 func (q *modelQuotas) draw(w *world, steps []job.Step) customer.Customer {
 	for i := range steps {
 		s := &steps[i]
@@ -75,7 +77,7 @@
 	return c
 }
 
-// change lowers or raises a quota.
+// changeQuota lowers or raises a random customer's quota.
 func (q *modelQuotas) change(w *world) {
 	name := historyCustomers[w.rand.IntN(len(historyCustomers))]
 	was := q.quota[name]
@@ -97,7 +99,7 @@
 	}
 }
 
-// raise gives all customers their full quotas, so that all jobs can end.
+// raiseAll gives all customers their full quotas, so that all jobs can end.
 func (q *modelQuotas) raise(w *world) {
 	for _, name := range historyCustomers {
 		if q.quota[name] != fullQuota {
@@ -106,7 +108,7 @@
 	}
 }
 
-// check checks that a run that begins does not bring its customer above its quota.
+// checkRun checks that a run that begins does not bring its customer above its quota.
 func (q *modelQuotas) check(w *world, m *modelWorker, r modelRun) {
 	if q == nil {
 		return
@@ -123,7 +125,7 @@
 	limit := q.quota[name]
 	until := q.formerUntil[name]
 	if w.late {
-		until = until.Add(latestCall) // it was ordered before that, and can't be called back
+		until = until.Add(latestCall) // the start was ordered before that, and cannot be revoked
 	}
 	if w.now < until {
 		limit = max(limit, q.former[name])
--- a/pkg/dispatch/history_recorded_workers_test.go
+++ b/pkg/dispatch/history_recorded_workers_test.go
@@ -2,13 +2,13 @@
 
 import "testing"
 
-// Owners start a job only on workers that the store has among the job's names, so that a later one frees jobs by them.
-
+// withRecordedWorkers has owners start a job only on workers that the job's record in the store names, so
+// that a later owner can unblock jobs by these records.
 func named(w *world) {
 	w.namedFrom = 1
 }
 
-// A task ran twice if a start went to a worker that the store does not name.
+// Guards against a task that runs twice since a start went to a worker that is not recorded in the store.
 func TestPromisesHoldWhenOwnersNameWorkers(t *testing.T) {
 	playHistories(t, named)
 }
@@ -20,7 +20,8 @@
 	})
 }
 
-// A customer had more running than its quota if a former owner could start a job that the store did not name.
+// Guards against a customer that has more running than its quota since a previous owner could start a job
+// for which no worker is recorded.
 func TestQuotasHoldWhenOwnersNameWorkers(t *testing.T) {
 	playQuotas(t, func(w *world) {
 		named(w)
@@ -40,12 +41,15 @@
 	})
 }
 
-// Owners that began to name workers in a later term must not trust that a job without names was never started.
+// Guards against owners that begin to record workers in a later term and then assume that a job without
+// recorded workers was never started.
 func TestPromisesHoldWhenOwnersBeginToNameWorkers(t *testing.T) {
 	playHistories(t, func(w *world) { w.namedFrom = 2 })
 }
 
-// Of owners that did not name workers, one may still give orders for jobs that are not known here when the second that does has come.
+// Guards against owners that assume too early that all workers are recorded: when the second owner that
+// records workers is elected, an owner that does not record them may still send orders for jobs that the
+// new one does not know.
 func TestQuotasHoldWhenOwnersBeginToNameWorkers(t *testing.T) {
 	playQuotas(t, func(w *world) {
 		w.namedFrom = 2
--- a/pkg/dispatch/history_repeat_test.go
+++ b/pkg/dispatch/history_repeat_test.go
@@ -2,39 +2,40 @@
 
 import "testing"
 
-// historyKinds are the kinds of random histories.
+// historyKinds are the kinds of random histories, by name.
 var historyKinds = map[string]func(*world){
-	"on their own":                      func(*world) {},
-	"relays":                            func(w *world) { w.relayed = true },
-	"crashing tasks":                    crashingWorld,
-	"crashing tasks, relays":            func(w *world) { w.crashing, w.relayed = true, true },
-	"reborn":                            func(w *world) { w.reborn = true },
-	"reborn, relays":                    func(w *world) { w.reborn, w.relayed = true, true },
-	"reborn, brief":                     func(w *world) { w.reborn, w.brief = true, true },
-	"reborn, crashing tasks":            rebornAnd(crashingWorld),
-	"quotas":                            withQuotas,
-	"quotas, relays":                    func(w *world) { withQuotas(w); w.relayed = true },
-	"quotas, reborn":                    rebornAnd(withQuotas),
-	"former owners are told":            func(w *world) { w.tellsFormer = true },
-	"former owners are told, slow":      func(w *world) { w.tellsFormer, w.slow = true, true },
-	"former owners are told, quotas":    func(w *world) { withQuotas(w); w.tellsFormer = true },
-	"soon":                              soon(func(*world) {}),
-	"soon, relays":                      soon(func(w *world) { w.relayed = true }),
-	"soon, reborn":                      soon(func(w *world) { w.reborn = true }),
-	"soon, quotas":                      soon(withQuotas),
-	"soon, quotas, relays":              soon(func(w *world) { withQuotas(w); w.relayed = true }),
-	"soon, quotas, reborn":              soon(rebornAnd(withQuotas)),
-	"soon, crashing tasks":              soon(crashingWorld),
-	"former owner is told":              told(func(*world) {}),
-	"former owner is told, relays":      told(func(w *world) { w.relayed = true }),
-	"former owner is told, reborn":      told(func(w *world) { w.reborn = true }),
-	"former owner is told, quotas":      told(withQuotas),
-	"former owner is told, conditional": told(func(w *world) { withQuotas(w); w.conditional = true }),
-	"former owner is told, crashing":    told(crashingWorld),
-	"former owner is told, soon":        told(func(w *world) { w.soon = true }),
+	"plain":                        func(*world) {},
+	"relays":                       func(w *world) { w.relayed = true },
+	"crashing tasks":               crashingWorld,
+	"crashing tasks, relays":       func(w *world) { w.crashing, w.relayed = true, true },
+	"restarts":                     func(w *world) { w.reborn = true },
+	"restarts, relays":             func(w *world) { w.reborn, w.relayed = true, true },
+	"restarts, short downtime":     func(w *world) { w.reborn, w.brief = true, true },
+	"restarts, crashing tasks":     rebornAnd(crashingWorld),
+	"quotas":                       withQuotas,
+	"quotas, relays":               func(w *world) { withQuotas(w); w.relayed = true },
+	"quotas, restarts":             rebornAnd(withQuotas),
+	"announced to previous owners": func(w *world) { w.tellsFormer = true },
+	"announced to previous owners, slow loading":   func(w *world) { w.tellsFormer, w.slow = true, true },
+	"announced to previous owners, quotas":         func(w *world) { withQuotas(w); w.tellsFormer = true },
+	"early takeover":                               soon(func(*world) {}),
+	"early takeover, relays":                       soon(func(w *world) { w.relayed = true }),
+	"early takeover, restarts":                     soon(func(w *world) { w.reborn = true }),
+	"early takeover, quotas":                       soon(withQuotas),
+	"early takeover, quotas, relays":               soon(func(w *world) { withQuotas(w); w.relayed = true }),
+	"early takeover, quotas, restarts":             soon(rebornAnd(withQuotas)),
+	"early takeover, crashing tasks":               soon(crashingWorld),
+	"informed previous owner":                      told(func(*world) {}),
+	"informed previous owner, relays":              told(func(w *world) { w.relayed = true }),
+	"informed previous owner, restarts":            told(func(w *world) { w.reborn = true }),
+	"informed previous owner, quotas":              told(withQuotas),
+	"informed previous owner, conditional accepts": told(func(w *world) { withQuotas(w); w.conditional = true }),
+	"informed previous owner, crashing tasks":      told(crashingWorld),
+	"informed previous owner, early takeover":      told(func(w *world) { w.soon = true }),
 }
 
-// Guards against histories that differ between two plays of one seed, of which no kept seed proves anything.
+// Guards against histories that differ between two simulations of one seed: a regression seed would then
+// prove nothing.
 func TestHistoriesOfOneSeedAreTheSame(t *testing.T) {
 	const seeds = 20
 	for name, change := range historyKinds {
@@ -50,7 +51,7 @@
 	}
 }
 
-// logOf plays a history and returns its log.
+// historyLog simulates a history and returns its log.
 func logOf(t *testing.T, seed uint64, change func(*world)) []string {
 	w := newWorld(t, seed)
 	change(w)
@@ -58,7 +59,7 @@
 	return w.log
 }
 
-// firstDifference is the index of the first line that differs, -1 if none does.
+// firstDifference returns the index of the first line that differs, or -1 if none does.
 func firstDifference(a, b []string) int {
 	for i := range max(len(a), len(b)) {
 		if lineOf(a, i) != lineOf(b, i) {
@@ -68,7 +69,7 @@
 	return -1
 }
 
-// lineOf is a line of a log, empty past its end.
+// logLine returns a line of a log, or an empty string past its end.
 func lineOf(log []string, i int) string {
 	if i >= len(log) {
 		return ""
@@ -76,12 +77,13 @@
 	return log[i]
 }
 
-// withQuotas gives customers quotas that bind.
+// withQuotas gives jobs customers, whose quotas bind.
 func withQuotas(w *world) {
 	w.quotas = newModelQuotas()
 }
 
-// rebornAnd has workers start again under the ids that they had, beside what else a kind of history is about.
+// withRestarts has workers start again under the names that they had, beside what else a kind of history
+// has.
 func rebornAnd(change func(*world)) func(*world) {
 	return func(w *world) {
 		w.reborn = true
--- a/pkg/dispatch/history_test.go
+++ b/pkg/dispatch/history_test.go
@@ -13,62 +13,69 @@
 	"foldarch.dev/foldarch/pkg/job"
 )
 
-// Random histories of a pool: owners that follow each other while the former one still gives
-// orders, workers with clocks of their own, and calls that are delayed, lost, answered late or
-// carried out seconds later. The promises are checked at the workers, as callers see them.
-
 var (
-	historySeeds = flag.Int("history.seeds", 150, "how many random histories are played")
-	historyAll   = flag.Bool("history.all", false, "print the whole log of a history that broke a promise")
-	historySeed  = flag.Uint64("history.seed", 1, "seed of the first one")
+	historySeeds = flag.Int("history.seeds", 150, "number of random histories to simulate")
+	historyAll   = flag.Bool("history.all", false, "print the whole log of a history that violated an invariant")
+	historySeed  = flag.Uint64("history.seed", 1, "seed of the first random history")
 )
 
 const (
 	historyTick   = 20 * time.Millisecond
 	historyLength = 60 * time.Second
-	historyCalm   = 40 * time.Second
-	// crashingLength is for how long a history goes on in which tasks crash their workers: each crash takes seconds to be found.
+	// historyCalmTime is the end of a history in which no more faults are injected, so that all jobs can end.
+	historyCalm = 40 * time.Second
+	// crashExtraTime is how much longer a history goes on in which tasks crash their workers: each crash
+	// takes seconds to be detected.
 	crashingLength = 60 * time.Second
-	// quotaLength is for how much longer a history goes on in which a customer's tasks run two at a time: twelve jobs of up to eight tasks of
-	// 4 s each take up to 190 s of them.
+	// quotaExtraTime is how much longer a history goes on in which a customer's tasks run two at a time:
+	// twelve jobs of up to eight tasks of 4 s each take up to 190 s then.
 	quotaLength    = 120 * time.Second
 	historyWorkers = 4
 	historyJobs    = 12
-	// platformHold is the longest lease that a worker gives, by its own clock.
+	// platformMaxLease is the longest lease that a worker gives, by its own clock.
 	platformHold = 6 * time.Second
-	ownerTerm    = 2 * time.Second
-	callLimit    = 160 * time.Millisecond
-	gangTimeout  = 3 * time.Second
+	// ownerTerm is for how long at most a replaced owner still acts.
+	ownerTerm   = 2 * time.Second
+	callLimit   = 160 * time.Millisecond
+	gangTimeout = 3 * time.Second
 )
 
-// modelOwner is an owner at work.
+// modelOwner is a simulated owner.
 type modelOwner struct {
-	// roster is the roster as the owner has written it, record by record.
-	roster  rosterCopy
-	pool    *Pool
-	term    int64
-	until   clock.Time // end of its authority; 0 while it is the present owner
+	// roster is the roster as this owner has written it, record by record.
+	roster rosterCopy
+	pool   *Pool
+	term   int64
+	until  clock.Time // end of its authority; 0 for the present owner
+	// holding are the times of the next polls.
 	holding map[WorkerID]clock.Time
-	ended   bool
-	// storeAwayUntil is until when it does not reach the store, and entries the versions of the workers' entries that it has read.
+	// ended says that the owner has stopped acting.
+	ended bool
+	// storeUnreachableUntil is until when this owner does not reach the store, and entryVersions are the
+	// versions of the workers' entries that it has read.
 	storeAwayUntil clock.Time
 	entries        map[int]int
-	// confirming says that the store is being asked who the owner is.
+	// confirming says that the owner is asking the store who the owner is.
 	confirming bool
-	// loading says that it has not read the jobs yet, and reading are the jobs whose records it reads since a worker lists them.
+	// loading says that the owner has not read the jobs yet, and jobsBeingRead are the jobs whose records
+	// it reads since a worker reported runs of them.
 	loading bool
 	reading map[job.ID]bool
-	// doneAt are the tasks whose ends as done workers have listed to it, with the worker, in histories in which a former owner is told of jobs.
+	// reportedDone are the tasks that workers have reported to this owner as done, with the incarnation
+	// of the worker. It is filled in histories with informedOwner.
 	doneAt map[job.TaskID]modelLife
 }
 
-// call is a call on its way.
+// delayedCall is a call on its way, or another event at a set time.
 type call struct {
-	at clock.Time // when it arrives
+	at clock.Time
 	do func()
 }
 
-// world is a pool with its workers, its store and its owners.
+// world is a simulated pool with its workers, its store and its owners. Its random histories have owners
+// that replace each other while the previous one still sends orders, workers with clocks of their own,
+// and calls that are delayed, lost, answered late or carried out seconds later. The invariants are
+// checked at the workers, where callers would see them violated.
 type world struct {
 	t      *testing.T
 	seed   uint64
@@ -81,64 +88,73 @@
 	worker []*modelWorker
 	calls  []call
 	gangs  map[gangKey]*modelGang
-	done   map[job.TaskID]bool       // ends that were noted, other than after the worker's lease lapsed
-	ended  map[job.TaskID]bool       // tasks of which a run ended done
-	begun  map[job.TaskID]clock.Time // the last start that was not carried out late
-	failed map[job.TaskID]int        // ends as failed that were noted, likewise; of a gang at its task 0
-	ends   map[job.TaskID]int        // all ends as failed; of a gang at its task 0
+	done   map[job.TaskID]bool       // tasks with an acknowledged end as done, unless the worker's lease has expired since that end
+	ended  map[job.TaskID]bool       // tasks of which a run ended as done
+	begun  map[job.TaskID]clock.Time // last start that was not carried out late
+	failed map[job.TaskID]int        // acknowledged ends as failed, under the same condition; those of a gang count at its task 0
+	ends   map[job.TaskID]int        // all ends as failed; those of a gang count at its task 0
 	log    []string
 	bad    bool
-	handed int  // jobs that were handed in
-	late   bool // a call is being carried out that got no answer
-	// unanswered are the starts without an answer of which the store was told.
+	handed int  // number of jobs submitted so far
+	late   bool // a call whose caller has got no answer is being carried out
+	// unansweredStarts are the starts without an answer that were recorded in the store.
 	unanswered map[runKey]bool
-	// without leaves mechanisms out of all owners.
+	// disabled are mechanisms that all owners leave out.
 	without DisabledMechanisms
-	// namedFrom is the first term from which on owners name the workers of jobs; 0 for none.
+	// recordWorkersFrom is the first term whose owner records the workers of jobs in the store; 0 for
+	// none.
 	namedFrom int64
-	// relayed says that some answers are held up on their way by relays that are slow or frozen for a while.
+	// slowRelays says that some answers are delayed by relays that are slow or frozen for a while.
 	relayed bool
-	// crashing says that tasks of some jobs crash the workers that start them. crashers are those, with the member of a gang that
-	// does so, under counts the workers that crashed under a task, and after its starts since the third of them.
+	// tasksCrash says that tasks of some jobs crash the workers that start them. crashingMembers has, for
+	// each of these jobs, the highest task index that does so. crashesByTask counts the workers that
+	// crashed under a task, and startsAfterCrashes the starts of the task since the third of these
+	// crashes.
 	crashing bool
-	// roster is what the store has of the workers that are in use; it is kept in histories with such tasks.
+	// roster is the roster in the store. It is kept in histories with crashing tasks, leaving or
+	// restarting workers.
 	roster []WorkerInfo
-	// reborn says that workers start again under the id that they had.
+	// workersRestart says that workers start again under the name that they had.
 	reborn bool
-	// leaves says that workers drain and end without a report.
+	// workersLeave says that workers drain and end without a report.
 	leaves bool
-	// brief says that they do within half a second.
+	// shortDowntime says that workers are back within half a second.
 	brief bool
-	// quotas are what customers may have running, nil in histories in which all jobs are nobody's.
+	// quotas are the customers' quotas; nil in histories in which no job has a customer.
 	quotas *modelQuotas
-	// lost counts the workers that had crashed when an owner counted that against a task.
+	// countedCrashes counts the crashes that an owner counted against a task and whose worker had really
+	// crashed.
 	lost map[job.TaskID]int
-	// tellsFormer says that hosts tell former owners of jobs, and slow that a new owner needs long to read the jobs.
+	// announceToPrevious says that hosts announce jobs to previous owners, and slowLoading that a new
+	// owner takes long to read the jobs.
 	tellsFormer, slow bool
-	// soon says that the owner changes soon after an end, and changing that it is about to.
+	// earlyTakeover says that the owner often changes soon after an event that a later owner has to learn
+	// of, and takeoverScheduled that it is about to change.
 	soon, changing bool
-	// told says that hosts take the former owner for the owner for a while after it has changed (history_told_test.go).
+	// informedOwner says that hosts take the previous owner for the present one for a while after a
+	// change (history_informed_owner_test.go).
 	told bool
-	// conditional says that these hosts keep jobs only on condition of the present owner's record, all the same.
+	// conditionalAccept says that these hosts store jobs only on condition that the owner's record is the
+	// present one.
 	conditional bool
-	// troubleUntil is when the last trouble begins.
+	// faultsUntil is the time at which fault injection stops.
 	troubleUntil clock.Time
 	crashers     map[job.ID]int
 	under        map[job.TaskID]int
 	after        map[job.TaskID]int
 }
 
-// storedJob is what the store has of a job.
+// storedJob is what the store holds of a job.
 type storedJob struct {
 	record   job.Record
 	progress job.Progress
 	stored   bool
 	outcome  job.State
-	unended  job.Unended // with the outcome
-	// lateStart is written with the outcome, too.
+	unended  job.Unended // written with the outcome
+	// lastLateStart is written with the outcome, too.
 	lateStart time.Time
-	shownAt   clock.Time // when it was shown as completed; 0 before
-	// cancelled says that the store holds the cancelling of the job.
+	shownAt   clock.Time // when the job was shown as completed; 0 before
+	// cancelled says that the cancellation of the job is stored.
 	cancelled bool
 }
 
@@ -172,7 +188,7 @@
 	w.t.Errorf("seed %d at %d: "+format, append([]any{w.seed, w.now}, args...)...)
 }
 
-// trouble draws what happens at a tick.
+// injectFaults draws which faults and changes happen at a tick.
 func (w *world) trouble() {
 	if w.chance(w.electChance()) {
 		w.change()
@@ -196,14 +212,14 @@
 	w.mayLeave()
 }
 
-// cutOff has no call reach a worker for a while.
+// isolateWorker makes a worker unreachable for a while.
 func (w *world) cutOff(m *modelWorker) {
 	m.cut = true
-	w.note("%s is cut off", m.id)
+	w.note("%s is unreachable", m.id)
 	w.later(w.between(200*time.Millisecond, 9*time.Second), func() { m.cut = false })
 }
 
-// cancelChance is the probability that a job is cancelled at a tick.
+// cancelProbability is the probability that a job is cancelled at a tick.
 func (w *world) cancelChance() float64 {
 	if w.soon {
 		return soonCancels
@@ -211,7 +227,8 @@
 	return 0.001
 }
 
-// crashChance is the probability that a worker crashes at a tick. Histories with lives under one id are about that.
+// crashProbability is the probability that a worker crashes at a tick. It is higher in histories with
+// restarts, which are about crashes.
 func (w *world) crashChance() float64 {
 	if w.reborn {
 		return 0.002
@@ -219,12 +236,12 @@
 	return 0.0005
 }
 
-// handIn has a host accept a job.
+// submitJob has a host accept a job.
 func (w *world) handIn() {
 	w.handInFor(w.hearsOfJobs())
 }
 
-// handInFor has a host accept a job that takes an owner for the present one.
+// submitJobVia has a host accept a job that takes o for the present owner.
 func (w *world) handInFor(o *modelOwner) {
 	id := job.ID(fmt.Sprintf("%016d", w.handed))
 	w.handed++
@@ -254,7 +271,7 @@
 	}
 }
 
-// deliver carries out the calls that are due.
+// deliverCalls carries out the calls that are due.
 func (w *world) deliver() {
 	for {
 		due := slices.IndexFunc(w.calls, func(c call) bool { return c.at <= w.now })
@@ -267,7 +284,8 @@
 	}
 }
 
-// play plays a history; calm says that nothing goes wrong any more.
+// simulate runs a history. No faults are injected during its last historyCalmTime and the extra time of
+// its kind.
 func (w *world) play() {
 	if w.reborn {
 		for _, m := range w.worker {
@@ -283,17 +301,17 @@
 	if w.quotas != nil {
 		end = end.Add(quotaLength)
 	}
-	calm := w.now.Add(historyLength - historyCalm)
-	w.troubleUntil = calm
+	lastFaultAt := w.now.Add(historyLength - historyCalm)
+	w.troubleUntil = lastFaultAt
 	for ; w.now < end && !w.bad; w.now = w.now.Add(historyTick) {
 		w.wall = w.wall.Add(historyTick)
-		if w.now < calm {
+		if w.now < lastFaultAt {
 			w.trouble()
 		} else if w.quotas != nil {
 			w.quotas.raise(w)
 		}
 		if w.handed < w.jobsAtAnyTime() && w.chance(0.02) {
-			if w.tellsFormer && w.now < calm && w.chance(0.3) {
+			if w.tellsFormer && w.now < lastFaultAt && w.chance(0.3) {
 				w.elect()
 			}
 			w.handIn()
@@ -307,31 +325,32 @@
 			w.act(o)
 		}
 	}
-	w.checkEnd(calm)
+	w.checkEnd(lastFaultAt)
 }
 
-// checkEnd checks that all jobs have ended, and that nothing runs of them.
-func (w *world) checkEnd(calm clock.Time) {
+// checkFinalState checks that all jobs have ended and that nothing runs any more.
+func (w *world) checkEnd(lastFaultAt clock.Time) {
 	for _, id := range w.jobs() {
 		if !w.bad && w.store[id].outcome == "" {
 			x, _ := w.present().pool.Explain(id, w.now)
-			w.broken("job %s has not ended after %s of calm: %+v; cancelled %t", id, w.now.Sub(calm), x, w.store[id].cancelled)
+			w.broken("job %s has not ended %s after the last fault: %+v; cancelled %t", id, w.now.Sub(lastFaultAt), x, w.store[id].cancelled)
 		}
 	}
 	for _, m := range w.worker {
 		for key := range m.runs {
 			if !w.bad {
-				w.broken("%s run %d goes on at %s", key.task, key.run, m.id)
+				w.broken("%s run %d still runs on %s", key.task, key.run, m.id)
 			}
 		}
 	}
 }
 
-// keptSeeds are seeds that once broke a promise, with the cause. (Earlier ones drew other histories,
-// and stand as tests of their own.)
+// regressionSeeds are seeds that once violated an invariant, with the cause. Earlier ones drew other
+// histories, and are tests of their own in history_regressions_test.go;
+// docs/incidents/random-histories.md describes them.
 var keptSeeds = []uint64{
-	1008461, // a lapse was believed whose worker a later owner had reached meanwhile
-	109531,  // the history let a former owner use a worker that came after the takeover; the roster forbids it
+	1008461, // a worker's lease was taken for expired although a later owner had reached the worker meanwhile
+	109531,  // the history let a previous owner use a worker that came after the takeover; the roster forbids it
 }
 
 func TestPromisesHoldInRandomHistories(t *testing.T) {
@@ -350,13 +369,14 @@
 	playCrashes(t, func(w *world) { w.relayed = true })
 }
 
-// lifeSeeds are seeds of histories with workers that start again that once broke a promise, with the cause.
+// restartSeeds are seeds of histories with restarting workers that once violated an invariant, with the
+// cause.
 var lifeSeeds = []uint64{
-	3,   // a report of the next life counted as overtaken by the clock of the one before
-	5,   // an end was noted by the numbers of the life before
-	386, // a hold that was sent when the next life was known noted its ends, seconds later
-	460, // behind relays, a start reached the next life, which held less
-	833, // a worker that had not answered was given what the next life did not hold
+	3,   // a report of the next incarnation was taken for overtaken by the clock of the previous one
+	5,   // an end was acknowledged by the end numbers of the previous incarnation
+	386, // a poll that was sent when the next incarnation was known acknowledged ends of that one seconds later
+	460, // behind relays, a start reached the next incarnation, which had less capacity
+	833, // a worker that had not answered was given more than the capacity of its next incarnation
 	997, // the same
 }
 
@@ -367,7 +387,7 @@
 	t.Run("behind relays", func(t *testing.T) {
 		playLives(t, func(w *world) { w.relayed = true })
 	})
-	t.Run("within half a second", func(t *testing.T) {
+	t.Run("with downtimes below half a second", func(t *testing.T) {
 		playLives(t, func(w *world) { w.brief = true })
 	})
 	t.Run("under tasks that crash them", func(t *testing.T) {
@@ -386,7 +406,7 @@
 			w.relayed = true
 		})
 	})
-	t.Run("of workers that start again", func(t *testing.T) {
+	t.Run("with workers that restart", func(t *testing.T) {
 		playQuotas(t, func(w *world) {
 			withQuotas(w)
 			w.reborn = true
@@ -394,57 +414,59 @@
 	})
 }
 
-// crashSeeds are seeds of histories with crashes that once broke a promise, with the cause.
+// crashSeeds are seeds of histories with crashing tasks that once violated an invariant, with the cause.
 var crashSeeds = []uint64{
-	13,   // the next owner did not ask workers that had crashed unseen, and so did not count their crashes
-	40,   // a gang that was to be started alone did not keep others away
-	90,   // a crash that nobody had counted was forgotten with the second change of the owner
-	2033, // two workers that crashed on their own and one beside a cause gave a job up
-	2557, // a start to a worker that had stopped answering was carried out late
-	2804, // an answer that was held up on its way made a crash look like a leave that was planned
-	3034, // the members of a gang shared their crashes, so that four of different workers gave it up
-	4347, // a task went beside the same cause twice, and then met two workers that crashed on their own
+	13,   // the next owner did not poll workers that had crashed unnoticed, and so did not count their crashes
+	40,   // a gang that was to be started alone did not keep other tasks away
+	90,   // a crash that no owner had counted was forgotten at the second change of the owner
+	2033, // two workers that crashed on their own and one that ran another crashing task gave a job up
+	2557, // a start sent to a worker that had stopped answering was carried out late
+	2804, // a delayed answer made a crash look like a planned leave
+	3034, // the members of a gang shared their crashes, so that four crashes under different members gave it up
+	4347, // a task was twice placed beside the same crashing task, and then met two workers that crashed on their own
 }
 
-// playHistories plays the kept seeds and as many others as the flags say.
+// simulateHistories simulates the regression seeds and as many other histories as the flags say.
 func playHistories(t *testing.T, change func(*world)) {
 	t.Parallel()
 	playSeeds(t, append(slices.Clone(keptSeeds), drawnSeeds(t, all)...), change)
 }
 
-// quotaSeeds are seeds of histories with quotas that once broke a promise, with the cause.
+// quotaSeeds are seeds of histories with quotas that once violated an invariant, with the cause.
 var quotaSeeds = []uint64{
-	28,   // its jobs had not ended after 40 s in which two tasks ran at a time; histories with quotas go on for longer
+	28,   // the jobs had not ended after 40 s in which two tasks ran at a time; histories with quotas go on for longer
 	606,  // runs of a job that was cancelled as the owner changed were not counted
-	2013, // a start that waited to be stored was ordered after the quota was lowered
-	3586, // nothing but its customer is known of a job that had ended before a new owner read the store
+	2013, // a start that waited for its commit was sent after the quota had been lowered
+	3586, // of a job that had ended before a new owner read the store only the customer is known
 }
 
-// share is the part of the histories that the flag counts that a kind plays.
+// seedShare is the part of -history.seeds that a kind of history uses: one in so many.
 type share int
 
 const (
 	all share = 1
-	// fifth is for histories with quotas, which take three times as long, for those with crashing tasks, which take twice as long, and
-	// for those in which the owner changes soon after an end, of which there are seven kinds. The race detector takes ten times that.
+	// fifthOfSeeds is for histories with quotas, which take three times as long, for those with crashing
+	// tasks, which take twice as long, and for those with early takeovers, of which there are seven
+	// kinds. The race detector makes them ten times slower.
 	fifth share = 5
-	// eighth and fifteenth are for machines that crash by moments of their own (crash_test.go).
+	// eighthOfSeeds and fifteenthOfSeeds are for simulated machines that crash at times of their own
+	// (crash_test.go).
 	eighth    share = 8
 	fifteenth share = 15
 )
 
-// of is how many histories are played of so many that the flag counts.
+// count returns how many histories are simulated when the flag counts so many seeds.
 func (s share) of(seeds int) int {
 	return seeds / int(s)
 }
 
-// playQuotas plays histories in which quotas bind.
+// simulateQuotas simulates histories in which quotas bind.
 func playQuotas(t *testing.T, change func(*world)) {
 	t.Parallel()
 	playSeeds(t, append(slices.Clone(quotaSeeds), drawnSeeds(t, fifth)...), change)
 }
 
-// playLives plays histories in which workers start again under the ids that they had.
+// simulateRestarts simulates histories in which workers start again under the names that they had.
 func playLives(t *testing.T, change func(*world)) {
 	t.Parallel()
 	playSeeds(t, append(slices.Clone(lifeSeeds), drawnSeeds(t, all)...), func(w *world) {
@@ -453,7 +475,7 @@
 	})
 }
 
-// playCrashes plays histories in which tasks crash their workers.
+// simulateCrashes simulates histories in which tasks crash their workers.
 func playCrashes(t *testing.T, change func(*world)) {
 	t.Parallel()
 	playSeeds(t, append(slices.Clone(crashSeeds), drawnSeeds(t, fifth)...), func(w *world) {
@@ -462,16 +484,17 @@
 	})
 }
 
-// playDrawn plays a share of the histories that the flag counts.
+// simulateShare simulates a share of the histories that the flag counts.
 func playDrawn(t *testing.T, s share, change func(*world)) {
 	t.Parallel()
 	playSeeds(t, drawnSeeds(t, s), change)
 }
 
-// drawnSeeds are the seeds of a share of the histories that the flag counts, and tells how many are played of them (shown with -v).
+// selectSeeds returns the seeds of a share of the histories that the flag counts, and logs how many these
+// are (shown with -v).
 func drawnSeeds(t *testing.T, s share) []uint64 {
 	seeds := make([]uint64, s.of(*historySeeds))
-	t.Logf("plays %d of the %d histories that -history.seeds counts, from seed %d", len(seeds), *historySeeds, *historySeed)
+	t.Logf("simulating %d of the %d histories that -history.seeds counts, from seed %d", len(seeds), *historySeeds, *historySeed)
 	for i := range seeds {
 		seeds[i] = *historySeed + uint64(i)
 	}
@@ -488,7 +511,7 @@
 			if *historyAll {
 				lines = len(w.log)
 			}
-			t.Logf("the last lines of seed %d:\n%s", w.seed, lastLines(w.log, lines))
+			t.Logf("last log lines of seed %d:\n%s", w.seed, lastLines(w.log, lines))
 			return
 		}
 	}
--- a/pkg/dispatch/history_worker_test.go
+++ b/pkg/dispatch/history_worker_test.go
@@ -13,62 +13,59 @@
 	"foldarch.dev/foldarch/pkg/job"
 )
 
-// The workers of the random histories: they keep the platform's protocol, and check the promises
-// at each run that begins.
-
-// modelRun is a run at a modelled worker.
+// modelRun is a run on a simulated worker.
 type modelRun struct {
 	task   job.TaskID
 	run    int
 	need   cell.Resources
-	endsAt clock.Time // of a gang: when it gives up to wait for the others
+	endsAt clock.Time // of a gang member: when it stops waiting for the others
 	fails  bool
-	gang   *modelGang // nil for none
+	gang   *modelGang // nil if the task is not a member of a gang
 }
 
-// modelGang is one run of a gang.
 type modelGang struct {
 	members int
-	present int        // members that run
-	endsAt  clock.Time // set when all are there
+	present int
+	endsAt  clock.Time // set when all members run
 	fails   bool
 	broken  bool
 }
 
-// gangKey names one run of a gang.
+// gangKey identifies one run of a gang.
 type gangKey struct {
 	step job.StepID
 	run  int
 }
 
-// modelWorker keeps the protocol of a worker.
+// modelWorker is a simulated worker. It follows the platform's protocol, and the invariants are checked
+// at each run that begins on it.
 type modelWorker struct {
 	id       WorkerID
 	address  netip.AddrPort
-	rate     float64 // of its clock
+	rate     float64 // speed of its clock, relative to true time
 	origin   float64
 	capacity cell.Resources
 	token    int64
-	lease    int64 // on its clock
+	lease    int64 // on the worker's clock
 	runs     map[runKey]modelRun
 	ended    []FinishedRun
-	endedAt  map[int64]clock.Time // of the ends, by their numbers
-	lapsedAt clock.Time           // when its lease had lapsed last
+	endedAt  map[int64]clock.Time // when the runs ended, by end number
+	lapsedAt clock.Time           // when its lease was last seen expired
 	lastEnd  int64
-	highest  map[job.TaskID]int // runs up to it have ended or are there
+	highest  map[job.TaskID]int // runs up to this number have ended or are running
 	cut      bool
 	dead     bool
-	draining bool // as its entry says
-	replaced bool // another incarnation answers at its address
+	draining bool // as the worker's entry says
+	replaced bool // another incarnation has its address
 	born     int64
-	entry    modelEntry // in the store; kept in histories with lives under one id
+	entry    modelEntry // in the store; kept in histories with restarts
 }
 
 func (m *modelWorker) clock(now clock.Time) int64 {
 	return int64(m.origin + m.rate*float64(now))
 }
 
-// addWorker adds a new incarnation of a worker.
+// addWorker adds a worker with a new name.
 func (w *world) addWorker() *modelWorker {
 	m := &modelWorker{
 		id: workerID(len(w.worker)), rate: 0.98 + 0.02*w.rand.Float64(), origin: float64(w.rand.IntN(500_000)),
@@ -80,7 +77,7 @@
 	return m
 }
 
-// fence takes in a token; it says whether the order counts.
+// acceptToken updates the highest token seen and reports whether an order with this token is accepted.
 func (m *modelWorker) fence(token int64) bool {
 	if token < m.token {
 		return false
@@ -89,7 +86,7 @@
 	return true
 }
 
-// extend lets what runs go on up to a deadline.
+// extendLease extends the lease to a deadline on the worker's clock, by platformMaxLease at most.
 func (m *modelWorker) extend(deadline int64, now clock.Time) {
 	m.lease = max(m.lease, min(deadline, m.clock(now)+platformHold.Milliseconds()))
 }
@@ -139,7 +136,8 @@
 	return r
 }
 
-// runsOf goes through the runs of a worker in a fixed order, so that a seed draws the same history each time.
+// sortedRuns iterates over the runs of a worker in a fixed order, so that a seed draws the same history
+// each time.
 func (w *world) runsOf(m *modelWorker) iter.Seq2[runKey, modelRun] {
 	return func(yield func(runKey, modelRun) bool) {
 		for _, key := range slices.SortedFunc(maps.Keys(m.runs), compareRuns) {
@@ -155,7 +153,7 @@
 	return cmp.Or(cmp.Compare(x.Job, y.Job), cmp.Compare(x.Step, y.Step), cmp.Compare(x.Index, y.Index), cmp.Compare(a.run, b.run))
 }
 
-// counted is the task at which the failures of a task are counted.
+// failureCountTask returns the task at which the failures of a task are counted.
 func (w *world) counted(t job.TaskID) job.TaskID {
 	if w.store[t.Job].record.Job.Steps[t.Step].Gang {
 		t.Index = 0
@@ -163,7 +161,7 @@
 	return t
 }
 
-// noted takes in that an owner has taken note of an end.
+// recordAckedEnd records that an owner has acknowledged an end.
 func (w *world) noted(f FinishedRun) {
 	switch f.Reason {
 	case EndDone:
@@ -177,15 +175,16 @@
 	}
 }
 
-// checkNotBegunAgain checks that a task whose end as done is noted did not begin again after that end.
+// checkNotBegunAfterAckedEnd checks that a task whose end as done is acknowledged did not begin again
+// after that end.
 func (w *world) checkNotBegunAgain(m *modelWorker, f FinishedRun) {
 	if at := w.begun[f.Task]; f.Reason == EndDone && at > m.endedAt[f.Number] {
-		w.broken("%s began again at %d, and the end as done of run %d on %s at %d is noted", f.Task, at, f.Run, m.id, m.endedAt[f.Number])
+		w.broken("%s began again at %d, and the end as done of run %d on %s at %d is acknowledged", f.Task, at, f.Run, m.id, m.endedAt[f.Number])
 	}
 }
 
-// checkNotShown checks that a task does not begin more than a second after its job was shown as
-// completed. Orders that are carried out late are not to be checked.
+// checkNotShownCompleted checks that a task does not begin more than a second after its job was shown as
+// completed. It must not be called for orders that are carried out late.
 func (w *world) checkNotShown(m *modelWorker, s StartOrder) {
 	const allowed = time.Second
 	if shown := w.store[s.Task.Job].shownAt; shown != 0 && w.now.Sub(shown) > allowed {
@@ -193,7 +192,7 @@
 	}
 }
 
-// checkOrder checks that a run begins after all steps before its own.
+// checkDependencies checks that a run begins only after all steps on which its own depends.
 func (w *world) checkOrder(m *modelWorker, r modelRun) {
 	steps := w.store[r.task.Job].record.Job.Steps
 	for _, a := range steps[r.task.Step].After {
@@ -209,7 +208,7 @@
 	}
 }
 
-// begin checks the promises and starts a run.
+// beginRun checks the invariants and begins a run.
 func (w *world) begin(m *modelWorker, r modelRun) {
 	w.note("%s begins %s run %d", m.id, r.task, r.run)
 	used := r.need
@@ -217,7 +216,7 @@
 		used = used.Add(x.need)
 	}
 	if !used.Fits(m.capacity) {
-		w.broken("%s is given more than it holds by %s run %d", m.id, r.task, r.run)
+		w.broken("%s exceeds its capacity by %s run %d", m.id, r.task, r.run)
 	}
 	w.checkOrder(m, r)
 	w.quotas.check(w, m, r)
@@ -225,7 +224,7 @@
 		w.broken("%s begins as run %d on %s after all its attempts", r.task, r.run, m.id)
 	}
 	if w.done[r.task] {
-		w.broken("%s begins again as run %d on %s after its end was noted", r.task, r.run, m.id)
+		w.broken("%s begins again as run %d on %s after its end was acknowledged", r.task, r.run, m.id)
 	}
 	for _, other := range w.worker {
 		for key := range other.runs {
@@ -241,11 +240,13 @@
 	w.crashUnder(m, r)
 }
 
-// mostStartsAfter is how many starts of a task the platform bears after three workers have crashed under it.
+// maxStartsAfterCrashes is how many starts of a task are allowed after three workers have crashed under
+// it.
 const mostStartsAfter = 2
 
-// crashUnder has a worker crash shortly after the start of a task that crashes its workers: the first tasks of the first step, up to the
-// drawn one. Those that were carried out late are not counted: an owner that got no answer to calls before may hold them for not begun.
+// crashByTask has a worker crash shortly after the start of a task that crashes its workers: the first
+// tasks of the first step, up to the drawn one. Crashes by late starts are not counted: an owner that got
+// no answer to earlier calls may take these tasks for not begun.
 func (w *world) crashUnder(m *modelWorker, r modelRun) {
 	last, crashes := w.crashers[r.task.Job]
 	if !crashes || r.task.Step != 0 || r.task.Index > last {
@@ -268,7 +269,7 @@
 	})
 }
 
-// checkOutcome checks that a job is given up only for the failures of a task, or for crashes.
+// checkOutcome checks that a job is given up only for failures of a task or for crashes.
 func (w *world) checkOutcome(c JobChange) {
 	if _, crashes := w.crashers[c.Job]; c.Outcome != job.Failed || crashes {
 		return
@@ -280,7 +281,7 @@
 	}
 	for id, n := range w.lost {
 		if id.Job == c.Job && n >= mostCrashes {
-			return // whatever these workers crashed for
+			return // whatever caused these crashes
 		}
 	}
 	w.broken("%s is given up without a cause", c.Job)
@@ -298,23 +299,23 @@
 	return a
 }
 
-func (w *world) hold(m *modelWorker, h PollOrder) (Answer, Report) {
+func (w *world) hold(m *modelWorker, poll PollOrder) (Answer, Report) {
 	a := Answer{Clock: m.clock(w.now), Verdict: VerdictDone}
-	if !m.fence(h.Token) {
+	if !m.fence(poll.Token) {
 		a.Verdict = VerdictFenced
 		return a, Report{}
 	}
-	if h.Deadline > 0 {
-		m.extend(h.Deadline, w.now)
+	if poll.Deadline > 0 {
+		m.extend(poll.Deadline, w.now)
 	}
 	for _, f := range m.ended {
-		if f.Number <= h.AckedEnd && m.lapsedAt < m.endedAt[f.Number] {
-			w.note("%s: the end of %s run %d is noted", m.id, f.Task, f.Run)
+		if f.Number <= poll.AckedEnd && m.lapsedAt < m.endedAt[f.Number] {
+			w.note("%s: the end of %s run %d is acknowledged", m.id, f.Task, f.Run)
 			w.noted(f)
 			w.checkNotBegunAgain(m, f)
 		}
 	}
-	m.ended = slices.DeleteFunc(m.ended, func(f FinishedRun) bool { return f.Number <= h.AckedEnd })
+	m.ended = slices.DeleteFunc(m.ended, func(f FinishedRun) bool { return f.Number <= poll.AckedEnd })
 	report := Report{IncarnationStart: m.born, Finished: slices.Clone(m.ended)}
 	for _, r := range w.runsOf(m) {
 		report.Active = append(report.Active, ActiveRun{Task: r.task, Run: r.run, Percent: 1 + w.rand.IntN(90)})
@@ -322,38 +323,38 @@
 	return a, report
 }
 
-// end ends a run, if it is still there.
-func (w *world) end(m *modelWorker, r modelRun, how EndReason) {
+// endRun ends a run, if it is still running.
+func (w *world) end(m *modelWorker, r modelRun, reason EndReason) {
 	key := runKey{r.task, r.run}
 	if _, ok := m.runs[key]; !ok || m.dead {
 		return
 	}
 	delete(m.runs, key)
-	if r.gang != nil && how != EndDone {
+	if r.gang != nil && reason != EndDone {
 		r.gang.broken = true
 	}
-	if how == EndDone {
+	if reason == EndDone {
 		w.ended[r.task] = true
 		w.ownerMayChange()
 	}
-	if how == EndFailed {
+	if reason == EndFailed {
 		w.ends[w.counted(r.task)]++
 	}
 	m.lastEnd++
 	m.endedAt[m.lastEnd] = w.now
-	m.ended = append(m.ended, FinishedRun{Number: m.lastEnd, Task: r.task, Run: r.run, Reason: how})
-	w.note("%s ends %s run %d %s", m.id, r.task, r.run, how)
+	m.ended = append(m.ended, FinishedRun{Number: m.lastEnd, Task: r.task, Run: r.run, Reason: reason})
+	w.note("%s ends %s run %d %s", m.id, r.task, r.run, reason)
 }
 
-// advance ends what is over or whose lease has lapsed.
+// advanceWorker ends the runs that are finished or whose lease has expired.
 func (w *world) advance(m *modelWorker) {
-	lapsed := m.clock(w.now) >= m.lease
-	if lapsed {
+	expired := m.clock(w.now) >= m.lease
+	if expired {
 		m.lapsedAt = w.now
 	}
 	for _, r := range w.runsOf(m) {
 		switch {
-		case lapsed:
+		case expired:
 			w.end(m, r, EndLeaseExpired)
 		case r.gang != nil:
 			w.advanceGang(m, r)
@@ -366,7 +367,7 @@
 	}
 }
 
-// advanceGang ends a member of a gang when its gang is over.
+// advanceGangMember ends a member of a gang when the gang is over.
 func (w *world) advanceGang(m *modelWorker, r modelRun) {
 	g := r.gang
 	switch {
@@ -382,7 +383,8 @@
 	}
 }
 
-// crash ends an incarnation with all that it runs; another one follows.
+// crashWorker ends an incarnation with all that it runs; another one follows, with workersRestart under
+// the same name, otherwise under a new one.
 func (w *world) crash(m *modelWorker) {
 	w.note("%s crashes", m.id)
 	w.ownerMayChange()
@@ -408,7 +410,6 @@
 	})
 }
 
-// cancel cancels a job.
 func (w *world) cancel(id job.ID) {
 	if s := w.store[id]; s.outcome == "" {
 		w.note("%s is cancelled", id)
--- a/pkg/dispatch/hot_customer_test.go
+++ b/pkg/dispatch/hot_customer_test.go
@@ -13,7 +13,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// sharedKinds are the jobs of several customers that use a part of a pool.
+// sharedPoolJobKinds are the kinds of jobs with which other customers use a part of the pool.
 var sharedKinds = []busyKind{
 	{
 		queue.Queue{Name: "gangs", Pool: "pool", Priority: 1, MaxAttempts: 2, Extension: 2.2, TargetLatency: time.Second, Advice: &queue.AdviceCost{
@@ -35,10 +35,10 @@
 	},
 }
 
-// hotCustomer has many jobs waiting at once, which its quota lets run in turn only.
+// hotCustomer has many jobs waiting at once, of which its quota lets only some run at a time.
 var hotCustomer = customer.Customer{Name: "hot", Weight: 10, Quota: cell.Resources{CPUMillis: 580_000, MemoryMB: 980_000}}
 
-// newHotPool returns a pool that others use in part.
+// newSharedPool returns a pool that other customers use in part.
 func newHotPool(seed uint64, load float64) *calmPool {
 	p := newCalmPoolOf(sharedKinds, customer.Customer{Name: "others", Weight: 100}, seed, load)
 	for _, w := range p.pool.workers {
@@ -47,10 +47,11 @@
 	return p
 }
 
-// handInBacklog hands in the jobs that a customer has waiting: gangs of 10 to 50 members, and smaller jobs.
+// addBacklog adds the jobs that the hot customer has waiting: gangs of 10 to 52 members, and smaller
+// jobs.
 func (p *calmPool) handInBacklog(gangs, others int) {
 	random := rand.New(rand.NewPCG(uint64(gangs), p.rand.Uint64()))
-	hand := func(k busyKind, members int) {
+	addJob := func(k busyKind, members int) {
 		p.jobs++
 		s := k.step
 		s.Count = members
@@ -58,15 +59,15 @@
 		p.add(r)
 	}
 	for range gangs {
-		hand(sharedKinds[0], 10+random.IntN(43))
+		addJob(sharedKinds[0], 10+random.IntN(43))
 	}
 	for range others {
-		hand(sharedKinds[1], 1+random.IntN(50))
-		hand(sharedKinds[2], 1+random.IntN(5))
+		addJob(sharedKinds[1], 1+random.IntN(50))
+		addJob(sharedKinds[2], 1+random.IntN(5))
 	}
 }
 
-// Guards against a customer that stands at less than half of its quota with hundreds of jobs waiting.
+// Guards against a customer that uses less than half of its quota while hundreds of its jobs wait.
 func TestHotCustomerUsesItsQuota(t *testing.T) {
 	for _, load := range []float64{0.4, 0.7} {
 		for seed := range uint64(3) {
@@ -81,7 +82,8 @@
 	}
 }
 
-// Guards against room in a customer's quota that is kept for gangs which can't start, while less than half of it is used and a smaller job waits.
+// Guards against quota that is reserved for gangs which cannot start, while less than half of the quota
+// is used and a smaller job waits.
 func TestHotCustomerQuotaLeavesAGangUndone(t *testing.T) {
 	const workers, quota, run = 20, 20, 6
 	for name, test := range map[string]struct{ first, second, small int }{
@@ -93,7 +95,7 @@
 			f := starvingGangOn(t, workers, quota, run, test.first)
 			second := adviceJob("second", 1, 200*time.Millisecond)
 			second.Job.Steps = []job.Step{gangOf(test.second)}
-			second.Queue.TargetLatency = time.Minute // in time
+			second.Queue.TargetLatency = time.Minute // not delayed
 			f.add(of(north(0), second))
 			f.wait(adviceDelayLimit + 100*time.Millisecond)
 			small := testJob("small", testStep(test.small))
--- a/pkg/dispatch/incarnations_ends_test.go
+++ b/pkg/dispatch/incarnations_ends_test.go
@@ -8,8 +8,6 @@
 	. "github.com/onsi/gomega"
 )
 
-// What the next life lists: ends, runs, numbers and clocks.
-
 func endsOfNextLifeCount(t *testing.T) {
 	f := newLives(t, 1, nil)
 	f.doneOnFirst("a")
@@ -39,9 +37,9 @@
 	f.pass(time.Second)
 	f.begins(secondLife(0), Report{})
 	f.reports(secondLife(0), Report{})
-	f.Expect(f.plan().Starts).To(HaveLen(4), "nothing of the former life runs")
-	h := f.hold(secondLife(0), false)
-	f.Expect(h.Deadline).To(BeNumerically("~", f.workerClock-secondLife(0).behind+5000, 50), "by its own clock")
+	f.Expect(f.plan().Starts).To(HaveLen(4), "nothing of the previous incarnation runs")
+	poll := f.hold(secondLife(0), false)
+	f.Expect(poll.Deadline).To(BeNumerically("~", f.workerClock-secondLife(0).behind+5000, 50), "by the clock of the second incarnation")
 }
 
 func gangGoesAgain(t *testing.T) {
@@ -85,39 +83,42 @@
 	f.Expect(again.Run).To(BeNumerically(">", s.Run))
 }
 
-// A hold may reach the next life, to which the numbers of the former one mean nothing. So what was noted is told
-// only to a worker that was heard of just before: one that starts again can't have run and ended a task since.
+// A poll may reach the next incarnation, for which the end numbers of the previous one mean nothing. So
+// ends are acknowledged only to a worker that answered a moment ago: a worker that restarts cannot have
+// run and ended a task since.
 func noEndIsNotedUnseen(t *testing.T) {
 	f := newLives(t, 1, nil)
 	f.doneOnFirst("a")
-	f.Expect(f.hold(firstLife(0), false).AckedEnd).To(Equal(int64(7)), "heard of just now")
+	f.Expect(f.hold(firstLife(0), false).AckedEnd).To(Equal(int64(7)), "it has answered just now")
 	f.add(testJob("b", testStep(1)))
 	s := f.onlyStart()
-	f.acceptBy(s, secondLife(0)) // it started again, and took the order
+	f.acceptBy(s, secondLife(0)) // the worker has restarted and carried out the start
 	f.pass(700 * time.Millisecond)
-	h := f.hold(firstLife(0), false)
-	f.Expect(h.AckedEnd).To(BeZero(), "the next life would forget an end that nobody has read")
-	f.answers(h, secondLife(0), f.end(s, 1, EndDone))
+	poll := f.hold(firstLife(0), false)
+	f.Expect(poll.AckedEnd).To(BeZero(), "the next incarnation would forget an end that no owner has read")
+	f.answers(poll, secondLife(0), f.end(s, 1, EndDone))
 	f.reports(secondLife(0), f.end(s, 1, EndDone))
 	f.Expect(f.pool.jobs["b"].outcome).To(Equal(job.Completed))
 }
 
-// Seed 386 of the histories behind relays: a hold for the former life, sent when the entry of the next one was known, was carried out on
-// that one seconds later, with its numbers of ends.
+// Seed 386 of the histories behind relays: a poll for the previous incarnation was sent when the entry of
+// the next one was known. It was carried out by the next one seconds later, with the end numbers of the
+// previous one.
 func holdForDoubtedLife(t *testing.T) {
 	f := newLives(t, 1, nil)
 	f.doneOnFirst("a")
 	f.lists(secondLife(0))
 	f.pass(time.Millisecond)
-	h := f.hold(firstLife(0), false)
-	f.Expect(h.AckedEnd).To(BeZero())
-	f.Expect(h.Deadline).To(BeZero())
-	f.answers(h, firstLife(0), Report{}) // it is there after all
+	poll := f.hold(firstLife(0), false)
+	f.Expect(poll.AckedEnd).To(BeZero())
+	f.Expect(poll.Deadline).To(BeZero())
+	f.answers(poll, firstLife(0), Report{}) // the first incarnation is running after all
 	f.pass(time.Millisecond)
 	f.Expect(f.hold(firstLife(0), false).AckedEnd).To(Equal(int64(7)))
 }
 
-// notedAgain has the entry of the former life come after that of the next one, and returns a hold for the former life that notes its ends again.
+// pollAfterOutdatedEntry has the entry of the previous incarnation come after that of the next one, and
+// returns a poll for the previous one that acknowledges its ends again.
 func notedAgain(t *testing.T) (f *fixture, late PollOrder) {
 	f = newLives(t, 1, nil)
 	f.doneOnFirst("a")
@@ -125,26 +126,29 @@
 	f.lists(firstLife(0))
 	f.pass(time.Millisecond)
 	late = f.hold(firstLife(0), false)
-	f.Expect(late.AckedEnd).To(Equal(int64(7)), "it is not doubted")
+	f.Expect(late.AckedEnd).To(Equal(int64(7)), "the first incarnation is not taken for ended")
 	return f, late
 }
 
-// startHasHigherToken has the next life answer and checks that a start for it has a higher token than a hold for the former one.
+// expectHigherStartToken has the next incarnation answer and checks that a start for it has a higher
+// token than a poll for the previous one.
 func (f *fixture) startHasHigherToken(late PollOrder) {
 	f.begins(secondLife(0), Report{})
 	f.reports(secondLife(0), Report{})
 	f.add(testJob("b", testStep(1)))
-	f.Expect(f.onlyStart().Token).To(BeNumerically(">", late.Token), "what the start ends can't be noted by the late hold")
+	f.Expect(f.onlyStart().Token).To(BeNumerically(">", late.Token), "the late poll cannot acknowledge the end of what is started here")
 }
 
-// Seed 20477 of the histories with short restarts: the entry of the former life came after that of the next one, so that a hold for the former life
-// noted its ends again. The next one took it late, after a start with the same token.
+// Seed 20477 of the histories with short downtimes: the entry of the previous incarnation came after that
+// of the next one, so that a poll for the previous one acknowledged its ends again. The next incarnation
+// received that poll late, after a start with the same token.
 func lateHoldOfFormerLife(t *testing.T) {
 	f, late := notedAgain(t)
 	f.startHasHigherToken(late)
 }
 
-// Seed 10298: the same, when the former life had left without a word before the next one answered.
+// Seed 10298: the same, when the previous incarnation had been terminated without a report before the
+// next one answered.
 func lateHoldOfLapsedLife(t *testing.T) {
 	f, late := notedAgain(t)
 	f.lists(secondLife(0))
@@ -152,6 +156,6 @@
 		f.pass(500 * time.Millisecond)
 		f.plan()
 	}
-	f.Expect(f.pool.workers).NotTo(HaveKey(firstLife(0).id), "it was taken for gone")
+	f.Expect(f.pool.workers).NotTo(HaveKey(firstLife(0).id), "it was terminated")
 	f.startHasHigherToken(late)
 }
--- a/pkg/dispatch/incarnations_evidence_test.go
+++ b/pkg/dispatch/incarnations_evidence_test.go
@@ -8,9 +8,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// Which life is there, by lists and entries that come in any order.
-
-// While the store is away, the next life is known by its lists only. It may hold less than the former one.
+// While the store is unreachable, the next incarnation is known by its reports only. It may have less
+// capacity than the previous one.
 func listBeforeEntry(t *testing.T) {
 	f := newLives(t, 1, nil)
 	f.add(testJob("a", testStep(1)))
@@ -19,12 +18,12 @@
 	f.survives(firstLife(0), s)
 	f.pass(500 * time.Millisecond)
 	f.answers(f.hold(firstLife(0), false), secondLife(0), Report{})
-	meets := f.plan().NewWorkers
-	f.Expect(meets).To(HaveLen(1), "it is asked from now on")
-	f.Expect(meets[0].ID).To(Equal(secondLife(0).id))
+	newWorkers := f.plan().NewWorkers
+	f.Expect(newWorkers).To(HaveLen(1), "it is polled from now on")
+	f.Expect(newWorkers[0].ID).To(Equal(secondLife(0).id))
 	f.reports(secondLife(0), Report{})
 	f.reports(secondLife(0), Report{})
-	f.Expect(f.plan().Starts).To(BeEmpty(), "nobody has read what it holds")
+	f.Expect(f.plan().Starts).To(BeEmpty(), "its capacity is not known yet")
 	f.lists(secondLife(0))
 	f.Expect(f.plan().Starts).To(HaveLen(1))
 }
@@ -39,7 +38,7 @@
 	f.survives(firstLife(0), starts...)
 	f.lists(secondLife(0))
 	f.add(testJob("b", testStep(1)))
-	f.Expect(f.plan().Starts).To(BeEmpty(), "the former life may have ended, and the next one has not answered")
+	f.Expect(f.plan().Starts).To(BeEmpty(), "the previous incarnation may have ended, and the next one has not answered")
 	f.reports(secondLife(0), Report{})
 	f.reports(secondLife(0), Report{})
 	f.Expect(f.plan().Starts).To(HaveLen(3))
@@ -63,7 +62,7 @@
 	f.Expect(f.pool.jobs["a"].outcome).To(Equal(job.Completed))
 }
 
-// The store may show an entry of the former life after the next one has answered.
+// The store may deliver an entry of the previous incarnation after the next one has answered.
 func lateEntriesOfFormerLife(t *testing.T) {
 	f := newLives(t, 1, nil)
 	f.pass(500 * time.Millisecond)
@@ -72,7 +71,7 @@
 	f.reports(secondLife(0), Report{})
 	f.reports(secondLife(0), Report{})
 	f.add(testJob("a", testStep(1)))
-	f.Expect(f.plan().Starts).To(BeEmpty(), "nobody has read what it holds")
+	f.Expect(f.plan().Starts).To(BeEmpty(), "its capacity is not known yet")
 	f.lists(secondLife(0))
 	f.reports(secondLife(0), Report{})
 	s := f.onlyStart()
@@ -81,7 +80,8 @@
 	f.Expect(f.pool.jobs["a"].outcome).To(Equal(job.Completed))
 }
 
-// The second life ends before anyone has heard of it; its entry is read after the third one has answered.
+// The second incarnation ends before it has answered any poll; its entry is read after the third one has
+// answered.
 func severalLives(t *testing.T) {
 	f := newLives(t, 1, nil)
 	f.add(testJob("a", testStep(1)))
@@ -98,16 +98,17 @@
 	f.reports(thirdLife(0), Report{})
 	again := f.onlyStart()
 	f.acceptBy(again, thirdLife(0))
-	f.lists(secondLife(0)) // once more, late
+	f.lists(secondLife(0))
 	f.pass(time.Millisecond)
-	f.Expect(f.hold(thirdLife(0), false).Deadline).NotTo(BeZero(), "no doubt about it")
-	f.Expect(f.pool.Workers()).To(HaveLen(1), "the second life does not come back")
+	f.Expect(f.hold(thirdLife(0), false).Deadline).NotTo(BeZero(), "it is not taken for ended")
+	f.Expect(f.pool.Workers()).To(HaveLen(1), "the second incarnation does not come back")
 	f.lists(thirdLife(0))
 	f.reports(thirdLife(0), f.end(again, 1, EndDone))
 	f.Expect(f.pool.jobs["a"].outcome).To(Equal(job.Completed))
 }
 
-// A hold was sent while the first life was there, answered by the second one, and held up until the entry of the third was read: that one is there.
+// A poll was sent while the first incarnation was running, answered by the second one, and the answer was
+// delayed until the entry of the third had been read. The third one is running.
 func listHeldUp(t *testing.T) {
 	f := newLives(t, 1, nil)
 	f.add(testJob("a", testStep(1)))
@@ -126,7 +127,8 @@
 	f.Expect(f.pool.Workers()).To(HaveLen(1))
 }
 
-// A hold was sent while the first life was there, answered by the second one, and held up on its way until the third has begun.
+// A poll was sent while the first incarnation was running, answered by the second one, and the answer was
+// delayed until the third had begun.
 func lateListOfEndedLife(t *testing.T) {
 	f := newLives(t, 1, nil)
 	early := f.hold(firstLife(0), false)
@@ -139,7 +141,7 @@
 	f.answers(early, secondLife(0), Report{})
 	f.reports(thirdLife(0), listed(s))
 	f.reports(thirdLife(0), listed(s))
-	f.Expect(f.plan().Starts).To(BeEmpty(), "the run goes on")
+	f.Expect(f.plan().Starts).To(BeEmpty(), "the run continues")
 	f.reports(thirdLife(0), f.end(s, 1, EndDone))
 	f.Expect(f.pool.jobs["a"].outcome).To(Equal(job.Completed))
 }
--- a/pkg/dispatch/incarnations_fixture_test.go
+++ b/pkg/dispatch/incarnations_fixture_test.go
@@ -11,34 +11,33 @@
 	. "github.com/onsi/gomega"
 )
 
-// The lives of workers in these tests, and what they answer.
-
-// life is one life of a worker, as it answers.
+// testIncarnation is one incarnation of a worker in these tests, with what it answers to polls and
+// starts.
 type life struct {
 	id     WorkerID
 	number int
 	born   int64
-	// behind is how far its clock is behind that of the fixture, in ms.
+	// clockLag is how far its clock is behind that of the fixture, in ms.
 	behind int64
 }
 
-func newLife(n int, born, behind int64) life {
-	return life{id: lifeID(n, born), number: n, born: born, behind: behind}
+func newLife(n int, startedAt, clockLag int64) life {
+	return life{id: lifeID(n, startedAt), number: n, born: startedAt, behind: clockLag}
 }
 
-// lifeID names a life of worker n.
-func lifeID(n int, born int64) WorkerID {
-	return NewWorkerID(string(workerID(n)), born)
+// incarnationID returns the ID of an incarnation of worker n.
+func lifeID(n int, startedAt int64) WorkerID {
+	return NewWorkerID(string(workerID(n)), startedAt)
 }
 
-func (l life) info() WorkerInfo {
+func (inc life) info() WorkerInfo {
 	return WorkerInfo{
-		ID: l.id, Pool: "pool", Address: netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:80", l.number+1)), Rack: "r1-1",
+		ID: inc.id, Pool: "pool", Address: netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:80", inc.number+1)), Rack: "r1-1",
 		Capacity: cell.Resources{CPUMillis: 4000, MemoryMB: 8000},
 	}
 }
 
-// The first life of worker n was born before everything, and the second some 100 s after it.
+// The first incarnation of worker n starts before all else in a test, and the second 100 s later.
 const (
 	firstBorn  = 1_700_000_000_000
 	secondBorn = firstBorn + 100_000
@@ -49,40 +48,40 @@
 func secondLife(n int) life { return newLife(n, secondBorn, 49_000) }
 func thirdLife(n int) life  { return newLife(n, thirdBorn, 49_700) }
 
-// lists has the entry of a life stand in the store, and the roster written.
-func (f *fixture) lists(l life) {
-	f.pool.UpsertWorker(l.info(), true, f.now)
-	f.pool.MarkInRoster([]WorkerID{l.id})
+// addEntry adds the entry of an incarnation to the store and the worker to the roster.
+func (f *fixture) lists(inc life) {
+	f.pool.UpsertWorker(inc.info(), true, f.now)
+	f.pool.MarkInRoster([]WorkerID{inc.id})
 }
 
-// entryGoes has the entry of a worker go.
-func (f *fixture) entryGoes(l life) {
-	f.pool.RemoveEntryByName(l.id.Name(), false, f.now)
+// removeEntry removes the entry of a worker.
+func (f *fixture) entryGoes(inc life) {
+	f.pool.RemoveEntryByName(inc.id.Name(), false, f.now)
 }
 
-// hold is the next hold that is sent to a life.
+// newPoll returns the next poll that is sent to an incarnation; raise says that it has a higher token.
 func (f *fixture) hold(to life, raise bool) PollOrder {
-	h, ok := f.pool.NewPoll(to.id, raise, true, f.now)
-	f.Expect(ok).To(BeTrue(), "there is a hold for %s", to.id)
+	poll, ok := f.pool.NewPoll(to.id, raise, true, f.now)
+	f.Expect(ok).To(BeTrue(), "there is a poll for %s", to.id)
 	f.pass(time.Millisecond)
-	return h
+	return poll
 }
 
-// answers has a life answer a hold, whichever life that was sent to.
-func (f *fixture) answers(h PollOrder, by life, r Report) {
+// answerPoll has the incarnation by answer a poll, whichever incarnation the poll was sent to.
+func (f *fixture) answers(poll PollOrder, by life, r Report) {
 	r.IncarnationStart = by.born
-	f.pool.HandlePollAnswer(h, Answer{Verdict: VerdictDone, Clock: f.workerClock - by.behind}, r, f.now)
+	f.pool.HandlePollAnswer(poll, Answer{Verdict: VerdictDone, Clock: f.workerClock - by.behind}, r, f.now)
 }
 
-// reports has a life answer a hold that was sent to it.
-func (f *fixture) reports(l life, r Report) {
-	f.answers(f.hold(l, false), l, r)
+// pollAndReport polls an incarnation, which answers with r.
+func (f *fixture) reports(inc life, r Report) {
+	f.answers(f.hold(inc, false), inc, r)
 }
 
-// begins has the entry of a life be read, and its first lists.
-func (f *fixture) begins(l life, r Report) {
-	f.lists(l)
-	f.reports(l, r)
+// beginIncarnation adds the entry of an incarnation and has it answer its first poll.
+func (f *fixture) begins(inc life, r Report) {
+	f.lists(inc)
+	f.reports(inc, r)
 	f.pass(time.Millisecond)
 }
 
@@ -106,7 +105,8 @@
 	return r
 }
 
-// newLives is a fixture with workers in their first lives, which answer.
+// newIncarnationFixture returns a fixture with workers in their first incarnations, which have answered a
+// poll.
 func newLives(t *testing.T, workers int, change func(*Config)) *fixture {
 	f := newFixture(t, 0, change)
 	for n := range workers {
@@ -115,22 +115,23 @@
 	return f
 }
 
-// onlyStart is the one start of the next plan.
+// planOneStart returns the only start of the next plan.
 func (f *fixture) onlyStart() StartOrder {
 	starts := f.plan().Starts
 	f.Expect(starts).To(HaveLen(1))
 	return starts[0]
 }
 
-// survives has a life list runs until their starts are known not to be what ends it.
-func (f *fixture) survives(l life, starts ...StartOrder) {
-	f.reports(l, listed(starts...))
+// surviveStarts has an incarnation report runs for so long that its later end is not attributed to their
+// starts.
+func (f *fixture) survives(inc life, starts ...StartOrder) {
+	f.reports(inc, listed(starts...))
 	f.pass(crash.SurvivalTime + 50*time.Millisecond)
-	f.reports(l, listed(starts...))
+	f.reports(inc, listed(starts...))
 }
 
-// startsAgain is what is started within a second in which a life goes on to list the same. What may have crashed a worker is stored
-// before it is started.
+// startsWithinOneSecond returns what is started within a second in which an incarnation repeats the
+// report r. Tasks that may have crashed a worker are stored before they are started.
 func (f *fixture) startsAgain(by life, r Report) []StartOrder {
 	var starts []StartOrder
 	for range 10 {
@@ -142,14 +143,14 @@
 	return starts
 }
 
-// onlyStartAgain is the one start of startsAgain.
+// oneStartWithinOneSecond returns the only start of startsWithinOneSecond.
 func (f *fixture) onlyStartAgain(by life, r Report) StartOrder {
 	starts := f.startsAgain(by, r)
 	f.Expect(starts).To(HaveLen(1))
 	return starts[0]
 }
 
-// doneOnFirst has a task done on the first life of worker 0, as end 7, which is noted.
+// completeOnFirst completes a task on the first incarnation of worker 0, as end 7, which is committed.
 func (f *fixture) doneOnFirst(id string) {
 	f.add(testJob(id, testStep(1)))
 	s := f.onlyStart()
--- a/pkg/dispatch/incarnations_starts_test.go
+++ b/pkg/dispatch/incarnations_starts_test.go
@@ -8,9 +8,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// Starts that the next life may have taken.
-
-// unanswered is a start that got no answer from the first life of worker 0, which has ended since, with another worker to go to.
+// newUnansweredStart returns a start that got no answer from the first incarnation of worker 0. That has
+// ended since, and another worker has room for the task.
 func unanswered(t *testing.T, change func(*Config)) (*fixture, StartOrder) {
 	f := newLives(t, 1, change)
 	f.add(testJob("a", testStep(1)))
@@ -28,7 +27,7 @@
 	f.reports(secondLife(0), listed(s))
 	f.reports(firstLife(1), Report{})
 	actions := f.plan()
-	f.Expect(actions.Starts).To(BeEmpty(), "the next life has taken the order")
+	f.Expect(actions.Starts).To(BeEmpty(), "the next incarnation has carried out the start")
 	f.Expect(actions.Stops).To(BeEmpty())
 	f.reports(secondLife(0), f.end(s, 1, EndDone))
 	f.Expect(f.pool.jobs["a"].outcome).To(Equal(job.Completed))
@@ -36,20 +35,20 @@
 
 func unansweredStartIsVoidOnNextLife(t *testing.T) {
 	f, s := unanswered(t, nil)
-	h := f.hold(firstLife(0), false) // with the token of the start: that may still be on its way
-	f.answers(h, secondLife(0), Report{})
+	poll := f.hold(firstLife(0), false) // has the token of the start, which may still be on its way
+	f.answers(poll, secondLife(0), Report{})
 	f.reports(firstLife(1), Report{})
-	f.Expect(f.plan().Starts).To(BeEmpty(), "the next life has not seen a higher token")
+	f.Expect(f.plan().Starts).To(BeEmpty(), "the next incarnation has not seen a higher token")
 	f.lists(secondLife(0))
-	h = f.hold(secondLife(0), false)
-	f.Expect(h.Token).To(BeNumerically(">", s.Token))
-	f.answers(h, secondLife(0), Report{})
+	poll = f.hold(secondLife(0), false)
+	f.Expect(poll.Token).To(BeNumerically(">", s.Token))
+	f.answers(poll, secondLife(0), Report{})
 	again := f.onlyStartAgain(secondLife(0), Report{})
-	f.Expect(again.Token).To(BeNumerically(">", s.Token), "the void start does nothing there any more")
-	f.Expect(again.Run).To(Equal(s.Run), "a life that carries out both begins one run")
+	f.Expect(again.Token).To(BeNumerically(">", s.Token), "the invalidated start has no effect there any more")
+	f.Expect(again.Run).To(Equal(s.Run), "an incarnation that carries out both begins one run")
 }
 
-// An answer to a start does not say whose it is.
+// An answer to a start does not say which incarnation has sent it.
 func answeredStartRunsOnNextLife(t *testing.T) {
 	f := newLives(t, 1, nil)
 	f.add(testJob("a", testStep(1)))
@@ -100,34 +99,35 @@
 	gang := testStep(8)
 	gang.Gang = true
 	f.add(testJob("a", gang))
-	of := map[int][]StartOrder{}
+	startsByWorker := map[int][]StartOrder{}
 	for _, s := range f.plan().Starts {
-		of[numberOf(s.Worker)] = append(of[numberOf(s.Worker)], s)
+		startsByWorker[numberOf(s.Worker)] = append(startsByWorker[numberOf(s.Worker)], s)
 	}
-	for _, s := range of[0] {
+	for _, s := range startsByWorker[0] {
 		f.acceptBy(s, secondLife(0))
 	}
-	for _, s := range of[1] {
+	for _, s := range startsByWorker[1] {
 		f.acceptBy(s, firstLife(1))
 	}
-	f.reports(firstLife(1), listed(of[1]...))
+	f.reports(firstLife(1), listed(startsByWorker[1]...))
 	f.lists(secondLife(0))
-	f.reports(secondLife(0), listed(of[0]...))
-	f.reports(secondLife(0), listed(of[0]...))
+	f.reports(secondLife(0), listed(startsByWorker[0]...))
+	f.reports(secondLife(0), listed(startsByWorker[0]...))
 	actions := f.plan()
 	f.Expect(actions.Stops).To(BeEmpty())
 	f.Expect(actions.Starts).To(BeEmpty())
-	for n, l := range []life{secondLife(0), firstLife(1)} {
+	for n, inc := range []life{secondLife(0), firstLife(1)} {
 		var done Report
-		for i, s := range of[n] {
+		for i, s := range startsByWorker[n] {
 			done.Finished = append(done.Finished, FinishedRun{Number: int64(i + 1), Task: s.Task, Run: s.Run, Reason: EndDone})
 		}
-		f.reports(l, done)
+		f.reports(inc, done)
 	}
 	f.Expect(f.pool.jobs["a"].outcome).To(Equal(job.Completed))
 }
 
-// Guards against a task that is started beside a run of an earlier start that the next life of its worker carries out.
+// Guards against a task that is started beside a run of an earlier start that the next incarnation of its
+// worker carries out.
 func TestTaskWaitsForAnEarlierRunThatTheNextLifeCarriesOut(t *testing.T) {
 	f, s := unanswered(t, nil)
 	f.answers(f.hold(firstLife(0), true), firstLife(0), Report{})
@@ -140,7 +140,7 @@
 	f.reports(firstLife(1), Report{})
 	f.reports(secondLife(0), listed(s))
 	actions := f.plan()
-	f.Expect(actions.Starts).To(BeEmpty(), "the first run goes on")
+	f.Expect(actions.Starts).To(BeEmpty(), "the first run continues")
 	f.Expect(actions.Stops).To(HaveLen(1))
 	f.reports(secondLife(0), f.end(s, 1, EndStopped))
 	f.Expect(f.onlyStart().Run).To(BeNumerically(">", again.Run))
--- a/pkg/dispatch/incarnations_test.go
+++ b/pkg/dispatch/incarnations_test.go
@@ -4,53 +4,55 @@
 	"testing"
 )
 
-// A worker that has crashed may start again under the id that it had, and then knows nothing of before: its clock, its numbers of
-// ends and the fencing token that it has seen begin anew. An owner took the next life for the former one. It passed over the ends that it
-// read, since their numbers were below the highest seen, and told the worker to forget them; a report whose clock was below the highest
-// seen said nothing of what was missing. So tasks that were done ran again, and what was counted on the former life was counted for ever:
+// Guards against a worker that restarts under its name and is taken for its previous incarnation. The
+// next one knows nothing of before: its clock, its end numbers and the fencing token that it has seen
+// start anew. An owner once took the two for one. It skipped the ends that it read, since their numbers
+// were below the highest seen, and acknowledged them; and it did not apply the absence of runs from a
+// report whose clock was below the highest seen. So tasks that were done ran again, and what was counted
+// on the previous incarnation was never released:
 //
-//	10.0 s  pool.run_ended.lost 119, pool.worker_gone 0, 17 of 48 workers back under their ids since 6.0 s
+//	10.0 s  pool.run_ended.lost 119, pool.worker_gone 0, 17 of 48 workers back under their names since 6.0 s
 //	108.7 s pool_status runs=2047 used="cpu=4971950m" waiting=2595, with most of the workers' room free
 func TestNextLifeUnderAnIDIsAnotherWorker(t *testing.T) {
 	for name, test := range map[string]func(*testing.T){
-		"its ends count from the first":                      endsOfNextLifeCount,
-		"its clock may be below":                             clockOfNextLifeIsBelow,
-		"a gang with a member on the former life goes again": gangGoesAgain,
-		"a lasting task goes again":                          lastingTaskGoesAgain,
-		"no end is noted unseen":                             noEndIsNotedUnseen,
-		"a hold for a life that may have ended":              holdForDoubtedLife,
-		"a late hold for the former life":                    lateHoldOfFormerLife,
-		"a late hold for one that was taken for gone":        lateHoldOfLapsedLife,
-		"a start without an answer may run there":            unansweredStartRunsOnNextLife,
-		"a start without an answer is void once fenced":      unansweredStartIsVoidOnNextLife,
-		"a start that it answered may run there":             answeredStartRunsOnNextLife,
-		"a cancelled start that it took is stopped":          cancelledStartOnNextLifeIsStopped,
-		"a stop that the former life did not get":            stopOnNextLife,
-		"the members of a gang that it took go on":           gangOnNextLifeGoesOn,
-		"it is told by its own list before its entry":        listBeforeEntry,
-		"its entry comes before its list":                    entryBeforeList,
-		"late answers of the former life":                    lateAnswersOfFormerLife,
-		"late entries of the former life":                    lateEntriesOfFormerLife,
-		"several lives within a heartbeat":                   severalLives,
-		"the list of a life that has ended comes late":       lateListOfEndedLife,
-		"a list that was held up":                            listHeldUp,
-		"a start on a life that falls silent at once":        silentNextLife,
-		"the same with an entry":                             silentNextLifeWithEntry,
-		"none of two lives answers":                          noLifeAnswers,
-		"it may hold less":                                   nextLifeHoldsLess,
-		"it may hold less and take an order at once":         nextLifeTakesNoOrder,
-		"it is not drained or suspended":                     nextLifeIsNotSuspended,
-		"tokens rise from life to life":                      tokensRise,
-		"tickets are of one life":                            ticketsAreOfOneLife,
-		"a crash under a task is counted":                    crashIsCounted,
-		"a crash is counted after an old entry":              crashIsCountedAfterOldEntry,
-		"leases of the former owner there":                   leasesOnNextLife,
-		"tasks that one worker holds at most":                spreadOverLives,
-		"its entry goes":                                     entryOfNextLifeGoes,
-		"an owner that takes over while it starts":           takeoverMeetsNextLife,
-		"an owner that takes over without its entry":         takeoverWithoutEntry,
-		"an owner that reads of starts on the former life":   takeoverReadsAttempts,
-		"an owner that has told a machine to leave":          closedByName,
+		"its ends count from its first":                                         endsOfNextLifeCount,
+		"its clock may be behind":                                               clockOfNextLifeIsBelow,
+		"a gang with a member on the previous incarnation restarts":             gangGoesAgain,
+		"a service restarts":                                                    lastingTaskGoesAgain,
+		"an unread end is not acknowledged":                                     noEndIsNotedUnseen,
+		"a poll for an incarnation that may have ended":                         holdForDoubtedLife,
+		"a late poll for the previous incarnation":                              lateHoldOfFormerLife,
+		"a late poll for a terminated incarnation":                              lateHoldOfLapsedLife,
+		"an unanswered start may run there":                                     unansweredStartRunsOnNextLife,
+		"an unanswered start is invalidated by a higher token":                  unansweredStartIsVoidOnNextLife,
+		"a start that it answered may run there":                                answeredStartRunsOnNextLife,
+		"a cancelled start that it carried out is stopped":                      cancelledStartOnNextLifeIsStopped,
+		"a stop that the previous incarnation did not get":                      stopOnNextLife,
+		"gang members that it started continue":                                 gangOnNextLifeGoesOn,
+		"its report comes before its entry":                                     listBeforeEntry,
+		"its entry comes before its report":                                     entryBeforeList,
+		"late answers of the previous incarnation":                              lateAnswersOfFormerLife,
+		"late entries of the previous incarnation":                              lateEntriesOfFormerLife,
+		"several incarnations within a heartbeat":                               severalLives,
+		"the report of an ended incarnation comes late":                         lateListOfEndedLife,
+		"a report delayed past the entry of the next one":                       listHeldUp,
+		"a start on an incarnation that stops answering at once":                silentNextLife,
+		"a start on an incarnation that stops answering at once, with an entry": silentNextLifeWithEntry,
+		"neither of two incarnations answers":                                   noLifeAnswers,
+		"it may have less capacity":                                             nextLifeHoldsLess,
+		"no start after a failed poll, since it may have less capacity":         nextLifeTakesNoOrder,
+		"it does not drain and is not suspended":                                nextLifeIsNotSuspended,
+		"tokens rise with each incarnation":                                     tokensRise,
+		"tickets are for one incarnation":                                       ticketsAreOfOneLife,
+		"a crash under a task is counted":                                       crashIsCounted,
+		"a crash after an outdated entry is counted":                            crashIsCountedAfterOldEntry,
+		"deadlines by the clock of the previous incarnation":                    leasesOnNextLife,
+		"the maximum of tasks per worker":                                       spreadOverLives,
+		"its entry is removed":                                                  entryOfNextLifeGoes,
+		"a takeover while it starts":                                            takeoverMeetsNextLife,
+		"a takeover without its entry":                                          takeoverWithoutEntry,
+		"a takeover with stored starts on the previous incarnation":             takeoverReadsAttempts,
+		"its machine is cordoned":                                               closedByName,
 	} {
 		t.Run(name, test)
 	}
--- a/pkg/dispatch/incarnations_transferred_test.go
+++ b/pkg/dispatch/incarnations_transferred_test.go
@@ -9,15 +9,13 @@
 	. "github.com/onsi/gomega"
 )
 
-// What is kept of one life, and what later owners read of it.
-
 func nextLifeHoldsLess(t *testing.T) {
 	f := newLives(t, 1, nil)
 	f.pass(500 * time.Millisecond)
 	f.answers(f.hold(firstLife(0), false), secondLife(0), Report{})
 	f.reports(secondLife(0), Report{})
 	f.add(testJob("a", testStep(4)))
-	f.Expect(f.plan().Starts).To(BeEmpty(), "what the former life held is no sign of what this one does")
+	f.Expect(f.plan().Starts).To(BeEmpty(), "the capacity of the previous incarnation says nothing about this one")
 	small := secondLife(0).info()
 	small.Capacity = cell.Resources{CPUMillis: 2000, MemoryMB: 8000}
 	f.pool.UpsertWorker(small, true, f.now)
@@ -26,22 +24,23 @@
 	f.Expect(f.plan().Starts).To(HaveLen(2))
 }
 
-// Seed 997 of the histories: a worker that had not answered for a second was given two tasks. The next life, which was there by then, held one.
+// Seed 997 of the histories: a worker that had not answered for a second was given two tasks. The next
+// incarnation, which was running by then, had capacity for one.
 func nextLifeTakesNoOrder(t *testing.T) {
 	f := newLives(t, 1, nil)
 	f.pass(200 * time.Millisecond)
 	f.pool.HandlePollFailure(firstLife(0).id, f.now)
 	f.add(testJob("a", testStep(1)))
-	f.Expect(f.plan().Starts).To(BeEmpty(), "it may have ended")
+	f.Expect(f.plan().Starts).To(BeEmpty(), "the incarnation may have ended")
 	f.reports(firstLife(0), Report{})
 	f.Expect(f.plan().Starts).To(HaveLen(1))
 }
 
 func nextLifeIsNotSuspended(t *testing.T) {
 	f := newLives(t, 1, nil)
-	leaving := firstLife(0).info()
-	leaving.Draining, leaving.Remaining = true, time.Second
-	f.pool.UpsertWorker(leaving, true, f.now)
+	draining := firstLife(0).info()
+	draining.Draining, draining.Remaining = true, time.Second
+	f.pool.UpsertWorker(draining, true, f.now)
 	f.pool.suspendWorker(f.pool.workers[firstLife(0).id], time.Minute, "failures", f.now)
 	f.pass(700 * time.Millisecond)
 	f.begins(secondLife(0), Report{})
@@ -51,10 +50,11 @@
 	f.acceptBy(s, secondLife(0))
 	f.reports(secondLife(0), listed(s))
 	f.pool.InspectRuns(f.now)
-	f.Expect(f.plan().Stops).To(BeEmpty(), "it does not leave")
+	f.Expect(f.plan().Stops).To(BeEmpty(), "the second incarnation does not drain")
 }
 
-// The next life has seen no token, so an order of a former owner counts there until it has seen a higher one.
+// The next incarnation has seen no token, so it carries out an order of a previous owner until it has
+// seen a higher token.
 func tokensRise(t *testing.T) {
 	f := newLives(t, 1, nil)
 	raised := f.hold(firstLife(0), true)
@@ -63,7 +63,8 @@
 	f.lists(secondLife(0))
 	next := f.hold(secondLife(0), false)
 	f.Expect(next.Token).To(BeNumerically(">", raised.Token))
-	// A hold for the former life reaches the next one, with a higher token; that is no other owner's.
+	// A poll for the previous incarnation reaches the next one, with a higher token; that is no other
+	// owner's.
 	_, _ = f.pool.NewPoll(firstLife(0).id, true, true, f.now)
 	f.pool.HandlePollAnswer(next, Answer{Verdict: VerdictFenced, Clock: f.workerClock - secondLife(0).behind}, Report{}, f.now)
 	f.Expect(f.pool.IsFenced()).To(BeFalse())
@@ -75,9 +76,9 @@
 	f := newLives(t, 1, nil)
 	f.pool.AddAdviser("host")
 	f.add(advisedJob("a", testStep(5)))
-	asks := f.plan().AdviceCalls
-	f.Expect(asks).To(HaveLen(1))
-	f.pool.HandleAdviceAnswer(asks[0].Number, []Ticket{{asks[0].Workers[0], "t1"}}, true, f.now)
+	calls := f.plan().AdviceCalls
+	f.Expect(calls).To(HaveLen(1))
+	f.pool.HandleAdviceAnswer(calls[0].Number, []Ticket{{calls[0].Workers[0], "t1"}}, true, f.now)
 	starts := f.plan().Starts
 	f.Expect(starts).To(HaveLen(4))
 	for _, s := range starts {
@@ -88,7 +89,7 @@
 	f.begins(secondLife(0), Report{})
 	f.reports(secondLife(0), Report{})
 	actions := f.plan()
-	f.Expect(actions.Starts).To(BeEmpty(), "the ticket was for the former life")
+	f.Expect(actions.Starts).To(BeEmpty(), "the ticket was for the previous incarnation")
 	f.Expect(actions.AdviceCalls).To(HaveLen(1))
 	f.Expect(actions.AdviceCalls[0].Workers).To(Equal([]WorkerID{secondLife(0).id}))
 }
@@ -103,15 +104,16 @@
 	f.reports(secondLife(0), Report{})
 	j := f.pool.jobs["a"]
 	f.Expect(j.occurrences[0].steps[0].tasks[0].crash.Crashes()).To(HaveLen(1))
-	f.Expect(f.plan().Starts).To(BeEmpty(), "it is stored first")
+	f.Expect(f.plan().Starts).To(BeEmpty(), "the crash is stored first")
 	stored := f.pool.PrepareCommit()
 	f.pool.ApplyCommit(stored)
 	f.reports(secondLife(0), Report{})
 	f.Expect(f.plan().Starts).To(HaveLen(1))
 }
 
-// An entry that the first life wrote comes after that of the second, which answers on and then crashes: its entry was not taken away by
-// itself, as by one that leaves.
+// An entry that the first incarnation wrote is read after that of the second, which goes on answering and
+// then crashes. The entry of the second was not removed by itself, as by a worker that leaves, so the
+// crash counts.
 func crashIsCountedAfterOldEntry(t *testing.T) {
 	f := newLives(t, 1, nil)
 	f.pass(500 * time.Millisecond)
@@ -127,16 +129,17 @@
 	f.Expect(f.pool.jobs["a"].occurrences[0].steps[0].tasks[0].crash.Crashes()).To(HaveLen(1))
 }
 
-// shortLeases has an owner give shorter leases than a worker does at most.
+// withShortLeases has an owner give shorter leases than the longest that a worker gives.
 func shortLeases(c *Config) {
 	c.LeaseDuration, c.MaxLeaseDuration = 3*time.Second, 3*time.Second
 }
 
-// A deadline by the clock of the former life may be far ahead on the next one's, which cuts it to the longest lease that it gives.
+// A deadline by the clock of the previous incarnation may be far ahead on the next one's, which limits it
+// to the longest lease that it gives.
 func leasesOnNextLife(t *testing.T) {
 	f, s := unanswered(t, shortLeases)
 	f.lists(secondLife(0))
-	f.reports(secondLife(0), listed(s)) // and is silent from now on
+	f.reports(secondLife(0), listed(s)) // and does not answer from now on
 	for range 10 {
 		f.pass(500 * time.Millisecond)
 		f.reports(firstLife(1), Report{})
@@ -146,7 +149,8 @@
 	f.onlyStartAgain(firstLife(1), Report{})
 }
 
-// The next life has answered once, in place of the former one, and may have taken a start by then.
+// The next incarnation has answered once, in place of the previous one, and may have carried out a start
+// by then.
 func silentNextLife(t *testing.T) {
 	silentAtOnce(t, func(*fixture) {})
 }
@@ -155,7 +159,8 @@
 	silentAtOnce(t, func(f *fixture) { f.lists(secondLife(0)) })
 }
 
-// The hold that was answered had no higher token, so the start may be carried out until maxOrderDelay after it was sent.
+// testSilentAtOnce has the next incarnation answer one poll and no more. That poll had no higher token,
+// so the start may be carried out until maxOrderDelay after it was sent.
 func silentAtOnce(t *testing.T, then func(*fixture)) {
 	f, s := unanswered(t, shortLeases)
 	sentAt := f.pool.workers[s.Worker].runs[runKey{s.Task, s.Run}].startCall.OrderedAt
@@ -171,7 +176,7 @@
 	f.onlyStartAgain(firstLife(1), Report{})
 }
 
-// Both have gone for good.
+// Both incarnations have ended for good.
 func noLifeAnswers(t *testing.T) {
 	f := newLives(t, 1, nil)
 	f.begins(firstLife(1), Report{})
@@ -183,7 +188,7 @@
 		f.reports(firstLife(1), Report{})
 		f.plan()
 	}
-	f.Expect(f.pool.Workers()).To(HaveLen(1), "they are not asked for ever")
+	f.Expect(f.pool.Workers()).To(HaveLen(1), "they are not polled for ever")
 }
 
 func spreadOverLives(t *testing.T) {
@@ -200,7 +205,7 @@
 	again := f.onlyStart()
 	f.acceptBy(again, secondLife(0))
 	f.reports(secondLife(0), listed(again))
-	f.Expect(f.plan().Starts).To(BeEmpty(), "one task there at most")
+	f.Expect(f.plan().Starts).To(BeEmpty(), "at most one task on the worker")
 }
 
 func entryOfNextLifeGoes(t *testing.T) {
@@ -218,21 +223,21 @@
 	f.Expect(f.plan().Starts).To(HaveLen(1))
 }
 
-// The roster names the former life and the store the next one.
+// The roster has the previous incarnation and the store the entry of the next one.
 func takeoverMeetsNextLife(t *testing.T) {
 	f := newFixture(t, 0, afterFormerOwner)
 	f.add(testJob("a", testStep(1)))
 	f.pool.UpsertWorker(firstLife(0).info(), false, f.now)
 	f.lists(secondLife(0))
 	id := job.TaskID{StepID: job.StepID{Job: "a"}}
-	f.reports(secondLife(0), Report{Active: []ActiveRun{{Task: id, Run: 4, Percent: 50}}}) // of an order of the former owner
+	f.reports(secondLife(0), Report{Active: []ActiveRun{{Task: id, Run: 4, Percent: 50}}}) // started by the previous owner
 	f.reports(secondLife(0), Report{Active: []ActiveRun{{Task: id, Run: 4, Percent: 50}}})
 	actions := f.plan()
 	f.Expect(actions.Starts).To(BeEmpty())
 	f.Expect(actions.Stops).To(BeEmpty())
 	f.reports(secondLife(0), Report{Finished: []FinishedRun{{Number: 1, Task: id, Run: 4, Reason: EndDone}}})
 	f.Expect(f.pool.jobs["a"].outcome).To(Equal(job.Completed))
-	f.Expect(f.pool.takeover.pending).To(BeFalse(), "the former life has ended")
+	f.Expect(f.pool.takeover.pending).To(BeFalse(), "the previous incarnation has ended")
 }
 
 func takeoverWithoutEntry(t *testing.T) {
@@ -243,7 +248,7 @@
 	f.reports(secondLife(0), Report{})
 	f.reports(secondLife(0), Report{})
 	f.plan()
-	f.Expect(f.pool.takeover.pending).To(BeFalse(), "the former life has ended, and the next one has told what it runs")
+	f.Expect(f.pool.takeover.pending).To(BeFalse(), "the previous incarnation has ended, and the next one has reported what it runs")
 	var names []WorkerID
 	for _, w := range f.pool.Workers() {
 		names = append(names, w.ID)
@@ -251,7 +256,8 @@
 	f.Expect(names).To(Equal([]WorkerID{secondLife(0).id}))
 }
 
-// A former owner has stored a start, and the worker has crashed under it and is back under its id.
+// A previous owner has stored a start, and the worker has crashed under it and has restarted under its
+// name.
 func takeoverReadsAttempts(t *testing.T) {
 	f := newFixture(t, 0, afterFormerOwner)
 	crash := job.Crash{Run: 1, Worker: "w9", Alone: true}
@@ -272,10 +278,10 @@
 	f.begins(secondLife(0), Report{})
 	f.reports(secondLife(0), Report{})
 	f.add(testJob("a", testStep(1)))
-	f.Expect(f.plan().Starts).To(BeEmpty(), "its machine is to go into upkeep")
+	f.Expect(f.plan().Starts).To(BeEmpty(), "its machine is cordoned")
 }
 
-// closeMachineOf has the machine of a worker be emptied.
+// cordonMachineOf cordons the machine of a worker.
 func (f *fixture) closeMachineOf(n int) {
 	f.pool.SetCordoned(map[string]bool{workerID(n).Name(): true})
 }
