--- a/pkg/dispatch/history_early_takeover_test.go
+++ b/pkg/dispatch/history_early_takeover_test.go
@@ -7,7 +7,7 @@
 
 const (
 	// earlyTakeoverChance is the probability that the owner changes soon after an event that a later
-	// owner has to learn of (withEarlyTakeover).
+	// owner has to learn of (earlyTakeover).
 	soonChance = 0.1
 	// earlyTakeoverIsolationChance is the probability that a worker becomes unreachable then, so that the
 	// next owner does not learn what runs there.
@@ -60,7 +60,7 @@
 	return historyJobs
 }
 
-// withEarlyTakeover adds changes of the owner soon after an event that a later owner has to learn of: a
+// earlyTakeover adds changes of the owner soon after an event that a later owner has to learn of: a
 // cancellation, the end of a task, a crash or a lowered quota. Some workers become unreachable at that
 // moment, so that they cannot report, and jobs are submitted that may start at once. Most violations
 // occurred within the first lease after such an event. If runs of an ended job are left out of the quota
--- a/pkg/dispatch/history_incarnations_test.go
+++ b/pkg/dispatch/history_incarnations_test.go
@@ -38,7 +38,7 @@
 // startIncarnation starts the next incarnation of a worker, under the name that the worker had. It may
 // crash again before it has written its entry.
 func (w *world) bear(m *modelWorker) {
-	m.born = 1_700_000_000_000 + w.rand.Int64N(1_000_000) // by the worker's own wall clock, which may have been stepped
+	m.born = 1_700_000_000_000 + w.rand.Int64N(1_000_000) // by its own wall clock, which may have been stepped
 	m.rate, m.origin = 0.98+0.02*w.rand.Float64(), float64(w.rand.IntN(500_000))
 	m.token, m.lease, m.lapsedAt, m.lastEnd, m.ended = 0, 0, 0, 0, nil
 	clear(m.endedAt)
--- a/pkg/dispatch/history_informed_owner_test.go
+++ b/pkg/dispatch/history_informed_owner_test.go
@@ -56,7 +56,7 @@
 	return 0.002
 }
 
-// changeOwner changes the owner; with informedOwner it does so soon after jobs were submitted.
+// change changes the owner; with informedOwner it does so soon after jobs were submitted.
 func (w *world) change() {
 	if !w.told {
 		w.elect()
@@ -272,7 +272,7 @@
 	}
 }
 
-// withInformedOwner has hosts take the previous owner for the present one for a while after a change,
+// informedOwner has hosts take the previous owner for the present one for a while after a change,
 // beside what else a kind of history has. The record of a job that such a host accepts has the previous
 // owner's term. The previous owner is informed of the job while it still acts, and starts it on workers
 // that the present owner has not reached. The present owner had listed the jobs of the store before; it
--- a/pkg/dispatch/history_owner_test.go
+++ b/pkg/dispatch/history_owner_test.go
@@ -99,7 +99,7 @@
 	return out
 }
 
-// jobIDs returns the jobs of the store, in order.
+// jobs returns the IDs of the jobs in the store, sorted.
 func (w *world) jobs() []job.ID {
 	var ids []job.ID
 	for id := range w.store {
--- a/pkg/dispatch/history_previous_owner_test.go
+++ b/pkg/dispatch/history_previous_owner_test.go
@@ -137,8 +137,9 @@
 }
 
 // Guards against tasks that run again after they are done, for instance in seed 1. A new owner needs
-// longer to read the jobs than the leases of what previous owners have started. It takes the takeover for
-// over before the workers, whose leases it extends all the time, have reported anything that it applies.
+// longer to read the jobs than the leases of what previous owners have started. It considers the takeover
+// finished before the workers, whose leases it extends all the time, have reported anything that it
+// applies.
 func TestPromisesHoldWhenReadingTheJobsTakesLong(t *testing.T) {
 	playDrawn(t, all, func(w *world) { w.tellsFormer, w.slow = true, true })
 }
--- a/pkg/dispatch/history_quota_test.go
+++ b/pkg/dispatch/history_quota_test.go
@@ -77,7 +77,7 @@
 	return c
 }
 
-// changeQuota lowers or raises a random customer's quota.
+// change lowers or raises a random customer's quota.
 func (q *modelQuotas) change(w *world) {
 	name := historyCustomers[w.rand.IntN(len(historyCustomers))]
 	was := q.quota[name]
--- a/pkg/dispatch/history_test.go
+++ b/pkg/dispatch/history_test.go
@@ -88,10 +88,10 @@
 	worker []*modelWorker
 	calls  []call
 	gangs  map[gangKey]*modelGang
-	done   map[job.TaskID]bool       // tasks with an acknowledged end as done, unless the worker's lease has expired since that end
+	done   map[job.TaskID]bool       // tasks with an acknowledged end as done, see recordAckedEnd
 	ended  map[job.TaskID]bool       // tasks of which a run ended as done
 	begun  map[job.TaskID]clock.Time // last start that was not carried out late
-	failed map[job.TaskID]int        // acknowledged ends as failed, under the same condition; those of a gang count at its task 0
+	failed map[job.TaskID]int        // acknowledged ends as failed; those of a gang count at its task 0
 	ends   map[job.TaskID]int        // all ends as failed; those of a gang count at its task 0
 	log    []string
 	bad    bool
@@ -350,7 +350,7 @@
 // docs/incidents/random-histories.md describes them.
 var keptSeeds = []uint64{
 	1008461, // a worker's lease was taken for expired although a later owner had reached the worker meanwhile
-	109531,  // the history let a previous owner use a worker that came after the takeover; the roster forbids it
+	109531,  // a previous owner used a worker that came after the takeover, which the roster forbids
 }
 
 func TestPromisesHoldInRandomHistories(t *testing.T) {
@@ -423,7 +423,7 @@
 	2557, // a start sent to a worker that had stopped answering was carried out late
 	2804, // a delayed answer made a crash look like a planned leave
 	3034, // the members of a gang shared their crashes, so that four crashes under different members gave it up
-	4347, // a task was twice placed beside the same crashing task, and then met two workers that crashed on their own
+	4347, // a task was twice placed beside the same crashing task, then met two unrelated crashes
 }
 
 // simulateHistories simulates the regression seeds and as many other histories as the flags say.
@@ -434,7 +434,7 @@
 
 // quotaSeeds are seeds of histories with quotas that once violated an invariant, with the cause.
 var quotaSeeds = []uint64{
-	28,   // the jobs had not ended after 40 s in which two tasks ran at a time; histories with quotas go on for longer
+	28,   // jobs had not ended after 40 s of two tasks at a time; histories with quotas go on for longer
 	606,  // runs of a job that was cancelled as the owner changed were not counted
 	2013, // a start that waited for its commit was sent after the quota had been lowered
 	3586, // of a job that had ended before a new owner read the store only the customer is known
--- a/pkg/dispatch/history_worker_test.go
+++ b/pkg/dispatch/history_worker_test.go
@@ -48,7 +48,7 @@
 	token    int64
 	lease    int64 // on the worker's clock
 	runs     map[runKey]modelRun
-	ended    []FinishedRun
+	ended    []FinishedRun        // ends that the owner has not acknowledged
 	endedAt  map[int64]clock.Time // when the runs ended, by end number
 	lapsedAt clock.Time           // when its lease was last seen expired
 	lastEnd  int64
@@ -161,7 +161,8 @@
 	return t
 }
 
-// recordAckedEnd records that an owner has acknowledged an end.
+// recordAckedEnd records that an owner has acknowledged an end. It is called only for a worker whose
+// lease has not expired since that end.
 func (w *world) noted(f FinishedRun) {
 	switch f.Reason {
 	case EndDone:
--- a/pkg/dispatch/incarnations_transferred_test.go
+++ b/pkg/dispatch/incarnations_transferred_test.go
@@ -63,8 +63,9 @@
 	f.lists(secondLife(0))
 	next := f.hold(secondLife(0), false)
 	f.Expect(next.Token).To(BeNumerically(">", raised.Token))
-	// A poll for the previous incarnation reaches the next one, with a higher token; that is no other
-	// owner's.
+	// A poll for the previous incarnation reaches the next one, with a higher token. That token does not
+	// come from another owner.
+	//
 	_, _ = f.pool.NewPoll(firstLife(0).id, true, true, f.now)
 	f.pool.HandlePollAnswer(next, Answer{Verdict: VerdictFenced, Clock: f.workerClock - secondLife(0).behind}, Report{}, f.now)
 	f.Expect(f.pool.IsFenced()).To(BeFalse())
@@ -230,7 +231,7 @@
 	f.pool.UpsertWorker(firstLife(0).info(), false, f.now)
 	f.lists(secondLife(0))
 	id := job.TaskID{StepID: job.StepID{Job: "a"}}
-	f.reports(secondLife(0), Report{Active: []ActiveRun{{Task: id, Run: 4, Percent: 50}}}) // started by the previous owner
+	f.reports(secondLife(0), Report{Active: []ActiveRun{{Task: id, Run: 4, Percent: 50}}}) // of a previous owner
 	f.reports(secondLife(0), Report{Active: []ActiveRun{{Task: id, Run: 4, Percent: 50}}})
 	actions := f.plan()
 	f.Expect(actions.Starts).To(BeEmpty())
