--- a/pkg/dispatch/incarnations_starts_test.go
+++ b/pkg/dispatch/incarnations_starts_test.go
@@ -10,7 +10,6 @@
 
 // newFixtureWithUnansweredStart returns a start that got no answer from the first incarnation of worker
 // 0. That has ended since, and another worker has room for the task.
-//
 func unanswered(t *testing.T, change func(*Config)) (*fixture, StartOrder) {
 	f := newLives(t, 1, change)
 	f.add(testJob("a", testStep(1)))
