--- a/pkg/dispatch/incarnations_transferred_test.go
+++ b/pkg/dispatch/incarnations_transferred_test.go
@@ -65,7 +65,6 @@
 	f.Expect(next.Token).To(BeNumerically(">", raised.Token))
 	// A poll for the previous incarnation reaches the next one, with a higher token. That token does not
 	// come from another owner.
-	//
 	_, _ = f.pool.NewPoll(firstLife(0).id, true, true, f.now)
 	f.pool.HandlePollAnswer(next, Answer{Verdict: VerdictFenced, Clock: f.workerClock - secondLife(0).behind}, Report{}, f.now)
 	f.Expect(f.pool.IsFenced()).To(BeFalse())
