--- a/pkg/dispatch/late_ends_test.go
+++ b/pkg/dispatch/late_ends_test.go
@@ -7,57 +7,62 @@
 	. "github.com/onsi/gomega"
 )
 
-// doneUnheard is a hall in which worker 1 has done the only task unheard, and worker 0 alone is given what starts next, of which it leaves the first start without an answer.
+// newUnreportedEnd returns a simulation in which worker 1 has done the only task, which the owner can't
+// learn. Tasks are then placed on worker 0 alone, which leaves the first start there without an answer.
 func doneUnheard(t *testing.T) *hall {
-	h := newHall(t, 2)
-	h.closed(0)
-	h.gets(testJob("a", testStep(1)))
-	h.beats()
-	h.passes(2 * beat)
-	h.Expect(h.there[1].active).To(HaveLen(1))
-	h.there[1].cut = true
-	h.closed(1)
-	h.loses = func(StartOrder) bool { return len(h.kept) == 0 }
-	return h
+	sim := newHall(t, 2)
+	sim.closed(0)
+	sim.gets(testJob("a", testStep(1)))
+	sim.beats()
+	sim.passes(2 * beat)
+	sim.Expect(sim.there[1].active).To(HaveLen(1))
+	sim.there[1].cut = true
+	sim.closed(1)
+	sim.loses = func(StartOrder) bool { return len(sim.kept) == 0 }
+	return sim
 }
 
-// Guards against a late start after an end that was noted: the worker of an earlier run is heard of again after the job has ended, and its end is noted though a void start may come.
+// Guards against a late start after an acknowledged end: the worker of an earlier run can be reached
+// again after the job has ended, and its end must not be acknowledged while a late start may still be
+// carried out.
 func TestEndThatIsHeardWhenTheJobIsForgottenIsHeld(t *testing.T) {
-	h := doneUnheard(t)
-	h.startsWithin(10*time.Second, "a")
-	h.Expect(h.kept).To(HaveLen(1))
-	h.becomesVoid()
-	h.isDoneWithin(4*time.Second, "a")
-	h.Expect(h.pool.jobs).NotTo(HaveKey(h.kept[0].Task.Job))
-	h.there[1].cut = false
-	h.passes(maxOrderDelay)
-	h.Expect(h.noted).To(HaveLen(2))
+	sim := doneUnheard(t)
+	sim.startsWithin(10*time.Second, "a")
+	sim.Expect(sim.kept).To(HaveLen(1))
+	sim.becomesVoid()
+	sim.isDoneWithin(4*time.Second, "a")
+	sim.Expect(sim.pool.jobs).NotTo(HaveKey(sim.kept[0].Task.Job))
+	sim.there[1].cut = false
+	sim.passes(maxOrderDelay)
+	sim.Expect(sim.noted).To(HaveLen(2))
 }
 
-// Guards against a late start after an end that was noted: the worker of an earlier run is heard of again while nobody knows whether the next start is void.
+// Guards against a late start after an acknowledged end: the worker of an earlier run can be reached
+// again while nobody knows whether the next start was invalidated.
 func TestEndOfAnEarlierRunIsHeldWhileAStartIsUnsettled(t *testing.T) {
-	h := doneUnheard(t)
-	h.startsWithin(10*time.Second, "a")
-	h.Expect(h.kept).To(HaveLen(1))
-	h.there[0].cut = true
-	h.there[1].cut = false
-	h.passes(maxOrderDelay)
-	h.passes(2 * time.Second)
-	h.Expect(h.noted).To(HaveLen(1))
+	sim := doneUnheard(t)
+	sim.startsWithin(10*time.Second, "a")
+	sim.Expect(sim.kept).To(HaveLen(1))
+	sim.there[0].cut = true
+	sim.there[1].cut = false
+	sim.passes(maxOrderDelay)
+	sim.passes(2 * time.Second)
+	sim.Expect(sim.noted).To(HaveLen(1))
 }
 
-// Guards against the same by the next owner, which reads the outcome: it was stored before the call of the start was over.
+// Guards against a late start after an end that the next owner acknowledged: the outcome, which that
+// owner reads, was stored before the call of the start had returned.
 func TestOutcomeTellsOfAStartWhoseCallIsNotOver(t *testing.T) {
-	h := doneUnheard(t)
-	h.unheard = true
-	h.startsWithin(10*time.Second, "a")
-	h.Expect(h.kept).To(HaveLen(1))
-	h.there[0].cut = true
-	h.there[1].cut = false
-	h.passes(3 * beat)
-	h.noAnswer(h.kept[0].StartOrder)
-	h.nextOwner()
-	h.passes(maxOrderDelay)
-	h.passes(maxWallClockSkew)
-	h.Expect(h.noted).To(HaveLen(1))
+	sim := doneUnheard(t)
+	sim.unheard = true
+	sim.startsWithin(10*time.Second, "a")
+	sim.Expect(sim.kept).To(HaveLen(1))
+	sim.there[0].cut = true
+	sim.there[1].cut = false
+	sim.passes(3 * beat)
+	sim.noAnswer(sim.kept[0].StartOrder)
+	sim.nextOwner()
+	sim.passes(maxOrderDelay)
+	sim.passes(maxWallClockSkew)
+	sim.Expect(sim.noted).To(HaveLen(1))
 }
--- a/pkg/dispatch/late_starts_test.go
+++ b/pkg/dispatch/late_starts_test.go
@@ -10,7 +10,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// Guards against a gang that waits though there is room: a member whose void start binds it to no worker takes the room of one that is bound.
+// Guards against a gang that waits though there is room: a member whose late start binds it to no worker
+// takes the room of a member that is bound to one.
 func TestMemberBoundToNoWorkerLeavesRoomToABoundOne(t *testing.T) {
 	g := NewWithT(t)
 	f := newLives(t, 2, nil)
@@ -18,14 +19,15 @@
 	s := f.pool.jobs["a"].occurrences[0].steps[0]
 	w0, w1 := f.pool.workers[firstLife(0).id], f.pool.workers[firstLife(1).id]
 	until := f.now.Add(maxOrderDelay)
-	s.tasks[0].lateStarts.Add(latestart.Start{ExpiresAt: until})                          // of a worker that was lost
-	s.tasks[1].lateStarts.Add(latestart.Start{Worker: w0.history.name, ExpiresAt: until}) // fenced off
+	s.tasks[0].lateStarts.Add(latestart.Start{ExpiresAt: until})                          // its worker was lost
+	s.tasks[1].lateStarts.Add(latestart.Start{Worker: w0.history.name, ExpiresAt: until}) // its worker is alive and has seen a higher token
 	w0.used.CPUMillis, w1.used.CPUMillis = 3000, 3000                                     // room for one on each
 	chosen := f.pool.gangWorkers(s, []*worker{w0, w1})
 	g.Expect(chosen != nil && chosen[0] == w1 && chosen[1] == w0).To(BeTrue(), "each has room")
 }
 
-// Guards against a gang that is spread over many workers, or racks, since one of its members had a start that is void.
+// Guards against a gang that is spread over many workers or racks because one of its members has a late
+// start.
 func TestGangWithAVoidStartStaysTogether(t *testing.T) {
 	g := NewWithT(t)
 	f := newLives(t, 4, nil)
@@ -45,55 +47,57 @@
 	f.add(voidGang(n))
 }
 
-// Guards against a wait for a start that was answered as carried out, and so can't be carried out any more.
+// Guards against a wait for a start that was answered as carried out, and so can't be carried out any
+// more.
 func TestStartThatWasAnsweredIsNotHeldForVoid(t *testing.T) {
-	h := newHall(t, 1)
-	h.gets(testJob("a", testStep(1)))
-	s := h.onlyStart()
-	h.comes(firstLife(1))
-	h.Expect(h.takeStart(h.there[0], s)).To(BeTrue())
-	h.acceptBy(s, h.there[0].life)
-	h.crashes(0) // before it has listed the run
-	h.passes(600 * time.Millisecond)
-	h.comes(secondLife(0))
-	h.closed(0)
-	again := h.startsWithin(2*time.Second, "a")
-	h.Expect(numberOf(again.Worker)).To(Equal(1))
+	sim := newHall(t, 1)
+	sim.gets(testJob("a", testStep(1)))
+	s := sim.onlyStart()
+	sim.comes(firstLife(1))
+	sim.Expect(sim.takeStart(sim.there[0], s)).To(BeTrue())
+	sim.acceptBy(s, sim.there[0].life)
+	sim.crashes(0) // before the worker has reported the run
+	sim.passes(600 * time.Millisecond)
+	sim.comes(secondLife(0))
+	sim.closed(0)
+	again := sim.startsWithin(2*time.Second, "a")
+	sim.Expect(numberOf(again.Worker)).To(Equal(1))
 }
 
-// Guards against a task that may have crashed its worker and is never tried on the only worker that it may be started on: others suit better.
+// Guards against a task that may have crashed its worker and is never tried again: its late start allows
+// only that worker, while other workers would be preferred.
 func TestSuspectWithAVoidStartIsTriedOnItsWorker(t *testing.T) {
-	h, _ := lostOf(t, 3, testJob("a", testStep(1)))
-	h.pool.jobs["a"].suspected = true
-	h.pool.jobs["a"].occurrences[0].steps[0].tasks[0].crash.Load(nil, []job.Crash{{Run: 0, Worker: string(firstLife(0).id)}})
-	h.pool.crashes.Add(crash.NewCrash(firstLife(0).id, firstLife(0).info().Address, h.now, nil), nil, h.now)
-	h.becomesVoid()
-	again := h.startsWithin(3*time.Second, "a")
-	h.Expect(numberOf(again.Worker)).To(Equal(0))
+	sim, _ := lostOf(t, 3, testJob("a", testStep(1)))
+	sim.pool.jobs["a"].suspected = true
+	sim.pool.jobs["a"].occurrences[0].steps[0].tasks[0].crash.Load(nil, []job.Crash{{Run: 0, Worker: string(firstLife(0).id)}})
+	sim.pool.crashes.Add(crash.NewCrash(firstLife(0).id, firstLife(0).info().Address, sim.now, nil), nil, sim.now)
+	sim.becomesVoid()
+	again := sim.startsWithin(3*time.Second, "a")
+	sim.Expect(numberOf(again.Worker)).To(Equal(0))
 }
 
-// Guards against a task that is started elsewhere by an owner that was not confirmed since: a later owner may have the leases extended on the life that
-// carries the void start out.
+// Guards against a task that an owner starts elsewhere without having confirmed its ownership: a later
+// owner may have extended the leases on the incarnation that carried out the late start.
 func TestVoidStartIsHeldForOverOnlyAfterAConfirmation(t *testing.T) {
-	h, k := lost(t)
-	h.takes["a"] = time.Hour
-	h.comes(firstLife(1))
-	h.closed(0, 1)
-	h.becomesVoid()
-	h.takenByNextLife(k)
-	h.there[0].cut = true
-	h.storeAway = true // the next owner holds the lease by now, and extends what runs on the next life
-	h.closed()
-	before := len(h.started)
-	for end := h.now.Add(20 * time.Second); h.now < end; {
-		h.pass(beat)
-		h.asks(firstLife(1).id, false)
-		h.carryOut(h.plan())
+	sim, k := lost(t)
+	sim.takes["a"] = time.Hour
+	sim.comes(firstLife(1))
+	sim.closed(0, 1)
+	sim.becomesVoid()
+	sim.takenByNextLife(k)
+	sim.there[0].cut = true
+	sim.storeAway = true // a later owner may hold the lease by now, and extend the leases on the next incarnation
+	sim.closed()
+	before := len(sim.started)
+	for end := sim.now.Add(20 * time.Second); sim.now < end; {
+		sim.pass(beat)
+		sim.asks(firstLife(1).id, false)
+		sim.carryOut(sim.plan())
 	}
-	h.Expect(h.started[before:]).To(BeEmpty())
+	sim.Expect(sim.started[before:]).To(BeEmpty())
 }
 
-// Guards against ends that are kept from being noted though they say nothing against a later start.
+// Guards against ends that are not acknowledged though they do not conflict with a late start.
 func TestEndAsStoppedIsNotedBesideAVoidStart(t *testing.T) {
 	f := newLives(t, 1, nil)
 	f.add(testJob("a", testStep(1)))
@@ -106,7 +110,8 @@
 	f.Expect(f.pool.workers[firstLife(0).id].lastCommittedEnd).To(Equal(int64(1)))
 }
 
-// Guards against runs that are stopped to make room in which the waiting task may not be started.
+// Guards against runs that are stopped to make room on a worker on which the waiting task may not be
+// started.
 func TestNothingIsPreemptedForATaskThatIsBoundElsewhere(t *testing.T) {
 	f := fullWorker(t, nil)
 	f.pass(500 * time.Millisecond)
@@ -115,185 +120,197 @@
 	f.Expect(f.plan().Stops).To(BeEmpty())
 }
 
-// takes0 has the life of worker 0 that is there carry out a start, as the platform does: a run that is there already is not begun again.
-func (h *hall) takes0(s StartOrder) {
-	r := h.there[0]
+// executeOnWorker0 has worker 0 carry out a start as the platform does: a run that exists already is not
+// begun again.
+func (sim *hall) takes0(s StartOrder) {
+	r := sim.there[0]
 	for _, x := range r.active {
 		if x.start.Task == s.Task && x.start.Run == s.Run && s.Token >= r.token {
 			r.token = s.Token
 			return
 		}
 	}
-	h.takeStart(r, s)
+	sim.takeStart(r, s)
 }
 
-// Guards against a second start that gets no answer either: the next life may carry out both, the first one first.
+// Guards against two runs of a task whose second start gets no answer either: the next incarnation may
+// carry out both starts, the first one first.
 func TestTwoVoidStartsAreNotCarriedOutByOneLife(t *testing.T) {
-	h := newHall(t, 1)
-	h.loses = func(s StartOrder) bool { return len(h.kept) < 2 }
-	h.takes["a"] = 10 * time.Second
-	h.gets(testJob("a", testStep(1)))
-	h.passes(2 * time.Second)
-	h.Expect(len(h.kept)).To(Equal(2))
-	h.crashes(0)
-	h.passes(600 * time.Millisecond)
-	h.comesUnlisted(secondLife(0))
-	for _, k := range h.kept {
-		h.takes0(k.StartOrder)
+	sim := newHall(t, 1)
+	sim.loses = func(s StartOrder) bool { return len(sim.kept) < 2 }
+	sim.takes["a"] = 10 * time.Second
+	sim.gets(testJob("a", testStep(1)))
+	sim.passes(2 * time.Second)
+	sim.Expect(len(sim.kept)).To(Equal(2))
+	sim.crashes(0)
+	sim.passes(600 * time.Millisecond)
+	sim.comesUnlisted(secondLife(0))
+	for _, k := range sim.kept {
+		sim.takes0(k.StartOrder)
 	}
-	h.checkNoneRunsTwice()
+	sim.checkNoneRunsTwice()
 }
 
-// Guards against a start that reaches the next life, which has carried the void one out, since its owner has not heard that the life before ended.
+// Guards against a start that reaches the next incarnation, which has carried out the invalidated start:
+// the owner does not know yet that the incarnation before has ended.
 func TestStartAgainDoesNotReachALifeThatHasTheTask(t *testing.T) {
-	h, k := lost(t)
-	h.takes["a"] = 10 * time.Second
-	h.closed(0)
-	h.becomesVoid()
-	h.hold(firstLife(0), false) // on its way while the worker ends, without a word of that
-	h.crashes(0)
-	h.pass(600 * time.Millisecond)
-	h.comesUnlisted(secondLife(0))
-	h.takes0(k.StartOrder)
-	h.closed()
-	starts := h.plan().Starts
-	h.Expect(starts).To(HaveLen(1))
-	h.takes0(starts[0])
-	h.checkNoneRunsTwice()
+	sim, k := lost(t)
+	sim.takes["a"] = 10 * time.Second
+	sim.closed(0)
+	sim.becomesVoid()
+	sim.hold(firstLife(0), false) // in flight while the incarnation ends, of which the owner does not learn
+	sim.crashes(0)
+	sim.pass(600 * time.Millisecond)
+	sim.comesUnlisted(secondLife(0))
+	sim.takes0(k.StartOrder)
+	sim.closed()
+	starts := sim.plan().Starts
+	sim.Expect(starts).To(HaveLen(1))
+	sim.takes0(starts[0])
+	sim.checkNoneRunsTwice()
 }
 
-// Guards against the same where the first start is void on the next life, and the life after that carries out both.
+// Guards against two runs where the first start is invalidated for the next incarnation, and the third
+// incarnation carries out both starts.
 func TestTwoVoidStartsAreNotCarriedOutByTheThirdLife(t *testing.T) {
-	h := newHall(t, 1)
-	h.loses = func(s StartOrder) bool { return len(h.kept) < 2 }
-	h.takes["a"] = 10 * time.Second
-	h.gets(testJob("a", testStep(1)))
-	h.beats()
-	h.crashes(0)
-	h.passes(600 * time.Millisecond)
-	h.Expect(h.isVoid()).To(BeFalse())
-	h.comes(secondLife(0))
-	h.passes(2 * time.Second)
-	h.Expect(len(h.kept)).To(Equal(2))
-	h.Expect(h.kept[0].Worker).To(Equal(firstLife(0).id))
-	h.Expect(h.kept[1].Worker).To(Equal(secondLife(0).id))
-	h.crashes(0)
-	h.passes(600 * time.Millisecond)
-	h.comesUnlisted(thirdLife(0))
-	for _, k := range h.kept {
-		h.takes0(k.StartOrder)
+	sim := newHall(t, 1)
+	sim.loses = func(s StartOrder) bool { return len(sim.kept) < 2 }
+	sim.takes["a"] = 10 * time.Second
+	sim.gets(testJob("a", testStep(1)))
+	sim.beats()
+	sim.crashes(0)
+	sim.passes(600 * time.Millisecond)
+	sim.Expect(sim.isVoid()).To(BeFalse())
+	sim.comes(secondLife(0))
+	sim.passes(2 * time.Second)
+	sim.Expect(len(sim.kept)).To(Equal(2))
+	sim.Expect(sim.kept[0].Worker).To(Equal(firstLife(0).id))
+	sim.Expect(sim.kept[1].Worker).To(Equal(secondLife(0).id))
+	sim.crashes(0)
+	sim.passes(600 * time.Millisecond)
+	sim.comesUnlisted(thirdLife(0))
+	for _, k := range sim.kept {
+		sim.takes0(k.StartOrder)
 	}
-	h.checkNoneRunsTwice()
+	sim.checkNoneRunsTwice()
 }
 
-// startedAgain8sLater is a hall in which worker 0 leaves some starts without an answer, the first one of a task among them, which has started there once more.
-func startedAgain8sLater(t *testing.T, lost int) *hall {
-	h := newHall(t, 1)
-	h.loses = func(StartOrder) bool { return len(h.kept) < lost }
-	h.gets(testJob("a", testStep(1)))
-	h.beats()
-	h.closed(0)
-	h.becomesVoid()
-	h.passes(8 * time.Second)
-	h.closed()
-	h.startsWithin(time.Second, "a")
-	h.Expect(h.kept).To(HaveLen(lost))
-	return h
+// newRestartAfter8s returns a simulation in which worker 0 leaves the first unansweredCount starts
+// without an answer. The task is started there again 8 s after its first start was invalidated.
+func startedAgain8sLater(t *testing.T, unansweredCount int) *hall {
+	sim := newHall(t, 1)
+	sim.loses = func(StartOrder) bool { return len(sim.kept) < unansweredCount }
+	sim.gets(testJob("a", testStep(1)))
+	sim.beats()
+	sim.closed(0)
+	sim.becomesVoid()
+	sim.passes(8 * time.Second)
+	sim.closed()
+	sim.startsWithin(time.Second, "a")
+	sim.Expect(sim.kept).To(HaveLen(unansweredCount))
+	return sim
 }
 
-// twiceLost is a hall in which both starts got no answer, and the second life of their worker has carried out the first one.
-func twiceLost(t *testing.T, takes time.Duration) *hall {
-	h := startedAgain8sLater(t, 2)
-	h.takes["a"] = takes
-	h.crashes(0)
-	h.passes(600 * time.Millisecond)
-	h.comesUnlisted(secondLife(0))
-	h.Expect(h.carriesOutLate(h.kept[0])).To(BeTrue())
-	h.lists(secondLife(0))
-	return h
+// newTwoUnansweredStarts returns a simulation in which both starts got no answer, and the second
+// incarnation of their worker has carried out the first one.
+func twiceLost(t *testing.T, runTime time.Duration) *hall {
+	sim := startedAgain8sLater(t, 2)
+	sim.takes["a"] = runTime
+	sim.crashes(0)
+	sim.passes(600 * time.Millisecond)
+	sim.comesUnlisted(secondLife(0))
+	sim.Expect(sim.carriesOutLate(sim.kept[0])).To(BeTrue())
+	sim.lists(secondLife(0))
+	return sim
 }
 
-// Guards against a second start that is held for carried out since a list shows its number: that was the first one, and the life after may carry it out.
+// Guards against a second start that is taken for carried out because a report lists its number: the
+// first start was carried out, and the third incarnation may still carry out the second.
 func TestStartIsNotHeldForCarriedOutSinceOneOfItsNumberIs(t *testing.T) {
-	for name, ends := range map[string]func(*hall){
-		"the life ends": func(h *hall) {
-			h.crashes(0)
-			h.passes(600 * time.Millisecond)
-			h.comes(thirdLife(0))
+	for name, endRun := range map[string]func(*hall){
+		"the incarnation ends": func(sim *hall) {
+			sim.crashes(0)
+			sim.passes(600 * time.Millisecond)
+			sim.comes(thirdLife(0))
 		},
-		"the life lists the run no more": func(h *hall) { h.there[0].active = nil },
+		"the incarnation lists the run no more": func(sim *hall) { sim.there[0].active = nil },
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := twiceLost(t, time.Hour)
-			h.passes(500 * time.Millisecond)
-			h.Expect(h.there[0].active).To(HaveLen(1))
-			h.closed(0)
-			h.comes(firstLife(1))
-			ends(h)
-			h.passes(maxOrderDelay)
-			h.Expect(h.there[1].active).To(HaveLen(1), "the task has started elsewhere")
+			sim := twiceLost(t, time.Hour)
+			sim.passes(500 * time.Millisecond)
+			sim.Expect(sim.there[0].active).To(HaveLen(1))
+			sim.closed(0)
+			sim.comes(firstLife(1))
+			endRun(sim)
+			sim.passes(maxOrderDelay)
+			sim.Expect(sim.there[1].active).To(HaveLen(1), "the task has started elsewhere")
 		})
 	}
 }
 
-// Guards against a note of an end of the first start's run while the second start may be carried out by the life after.
+// Guards against an acknowledged end of the first start's run while the third incarnation may still
+// carry out the second start.
 func TestEndIsNotNotedWhileAStartOfItsNumberMayBeCarriedOut(t *testing.T) {
-	h := twiceLost(t, time.Second)
-	h.isDoneWithin(3*time.Second, "a")
-	h.Expect(h.noted).To(BeEmpty())
-	h.passes(maxOrderDelay)
-	h.Expect(h.noted).To(HaveLen(1))
+	sim := twiceLost(t, time.Second)
+	sim.isDoneWithin(3*time.Second, "a")
+	sim.Expect(sim.noted).To(BeEmpty())
+	sim.passes(maxOrderDelay)
+	sim.Expect(sim.noted).To(HaveLen(1))
 }
 
-// Guards against a note that waits for a second start that was answered, and so can't be carried out any more.
+// Guards against an acknowledgement that waits for a second start that was answered, and so can't be
+// carried out any more.
 func TestEndIsNotedBesideAnAnsweredStartOfItsNumber(t *testing.T) {
-	h := startedAgain8sLater(t, 1)
-	h.isDoneWithin(2*time.Second, "a")
-	h.Expect(h.noted).To(BeEmpty())
-	h.passes(h.kept[0].sentAt.Add(maxOrderDelay + time.Second).Sub(h.now))
-	h.Expect(h.noted).To(HaveLen(1))
+	sim := startedAgain8sLater(t, 1)
+	sim.isDoneWithin(2*time.Second, "a")
+	sim.Expect(sim.noted).To(BeEmpty())
+	sim.passes(sim.kept[0].sentAt.Add(maxOrderDelay + time.Second).Sub(sim.now))
+	sim.Expect(sim.noted).To(HaveLen(1))
 }
 
-// Guards against an end that is forgotten unheard: a hold for the life before reaches the next one, which has carried out a void start.
+// Guards against an end that the worker forgets before the owner has learned of it: a poll for an ended
+// incarnation reaches the next one, which has carried out a late start, and acknowledges the end numbers
+// of the incarnation before.
 func TestHoldForAnEndedLifeNotesNoEndOfAVoidStart(t *testing.T) {
-	h := newHall(t, 1)
-	h.gets(testJob("b", testStep(1)))
-	h.isDoneWithin(3*time.Second, "b")
-	h.passes(time.Second)
-	h.Expect(h.noted).To(HaveLen(1))
-	h.loses = func(StartOrder) bool { return len(h.kept) == 0 }
-	h.gets(testJob("a", testStep(1)))
-	h.passes(200 * time.Millisecond)
-	h.Expect(h.kept).To(HaveLen(1))
-	h.closed(0)
-	h.becomesVoid()
-	h.crashes(0)
-	h.passes(600 * time.Millisecond)
-	h.comesUnlisted(secondLife(0))
-	h.takes["a"] = 0
-	h.Expect(h.carriesOutLate(h.kept[0])).To(BeTrue())
-	h.endRuns(h.there[0])
-	h.asks(firstLife(0).id, false)
-	h.Expect(h.noted).To(HaveLen(1), "the owner has not heard of that end")
+	sim := newHall(t, 1)
+	sim.gets(testJob("b", testStep(1)))
+	sim.isDoneWithin(3*time.Second, "b")
+	sim.passes(time.Second)
+	sim.Expect(sim.noted).To(HaveLen(1))
+	sim.loses = func(StartOrder) bool { return len(sim.kept) == 0 }
+	sim.gets(testJob("a", testStep(1)))
+	sim.passes(200 * time.Millisecond)
+	sim.Expect(sim.kept).To(HaveLen(1))
+	sim.closed(0)
+	sim.becomesVoid()
+	sim.crashes(0)
+	sim.passes(600 * time.Millisecond)
+	sim.comesUnlisted(secondLife(0))
+	sim.takes["a"] = 0
+	sim.Expect(sim.carriesOutLate(sim.kept[0])).To(BeTrue())
+	sim.endRuns(sim.there[0])
+	sim.asks(firstLife(0).id, false)
+	sim.Expect(sim.noted).To(HaveLen(1), "the owner has not learned of that end")
 }
 
-// Guards against a run elsewhere beside a start that was sent a while after it was ordered: the time in which it may be carried out counts from when it was sent.
+// Guards against a run elsewhere beside a start that was sent a while after it was ordered: the time
+// until the late start expires counts from when it was sent.
 func TestStartThatWasSentLateIsWaitedForFromThenOn(t *testing.T) {
-	h := newHall(t, 1)
-	h.unheard = true
-	h.loses = func(StartOrder) bool { return len(h.started) == 1 }
-	h.takes["a"] = 5 * time.Second // on the lease of 6 s
-	h.gets(testJob("a", testStep(1)))
-	h.beats()
-	h.Expect(h.kept).To(HaveLen(1))
-	h.passes(2 * time.Second)
-	h.kept[0].sentAt = h.now // it waited for its turn
-	h.noAnswer(h.kept[0].StartOrder)
-	h.crashes(0)
-	h.comes(firstLife(1))
-	h.passes(maxOrderDelay - 2*beat)
-	h.comesUnlisted(secondLife(0))
-	h.there[0].cut = true
-	h.Expect(h.carriesOutLate(h.kept[0])).To(BeTrue())
-	h.isDoneWithin(20*time.Second, "a")
+	sim := newHall(t, 1)
+	sim.unheard = true
+	sim.loses = func(StartOrder) bool { return len(sim.started) == 1 }
+	sim.takes["a"] = 5 * time.Second // within the lease of 6 s
+	sim.gets(testJob("a", testStep(1)))
+	sim.beats()
+	sim.Expect(sim.kept).To(HaveLen(1))
+	sim.passes(2 * time.Second)
+	sim.kept[0].sentAt = sim.now // the start waited in the queue of the sender
+	sim.noAnswer(sim.kept[0].StartOrder)
+	sim.crashes(0)
+	sim.comes(firstLife(1))
+	sim.passes(maxOrderDelay - 2*beat)
+	sim.comesUnlisted(secondLife(0))
+	sim.there[0].cut = true
+	sim.Expect(sim.carriesOutLate(sim.kept[0])).To(BeTrue())
+	sim.isDoneWithin(20*time.Second, "a")
 }
--- a/pkg/dispatch/long_running_test.go
+++ b/pkg/dispatch/long_running_test.go
@@ -10,6 +10,7 @@
 	. "github.com/onsi/gomega"
 )
 
+// servingStep is a long-running step of a service, with a target for its tail latency.
 func servingStep(count int) job.Step {
 	return job.Step{
 		Count: count, LongRunning: true, TargetTail: 100 * time.Millisecond, MissAllowed: 1,
@@ -17,6 +18,7 @@
 	}
 }
 
+// fillerStep is a step of long-running fillers: tasks that take what processors are left over.
 func fillerStep(count int) job.Step {
 	return job.Step{
 		Count: count, LongRunning: true, Filler: true,
@@ -28,12 +30,12 @@
 	f := newFixture(t, 1, nil)
 	f.reportAll(1)
 	f.add(testJob("a", servingStep(1)))
-	for n, how := range []EndReason{EndFailed, EndFailed, EndFailed, EndFailed, EndDone} {
+	for n, reason := range []EndReason{EndFailed, EndFailed, EndFailed, EndFailed, EndDone} {
 		starts := f.plan().Starts
 		f.Expect(starts).To(HaveLen(1), "after %d ends", n)
 		f.accept(starts[0])
 		f.pass(5 * time.Second)
-		f.report(0, f.end(starts[0], int64(n+1), how))
+		f.report(0, f.end(starts[0], int64(n+1), reason))
 	}
 	state, _, _ := f.pool.JobState("a")
 	f.Expect(state).To(Equal(job.Running))
@@ -41,13 +43,13 @@
 	f.Expect(f.plan().Starts).To(BeEmpty())
 }
 
-// serving starts a serving task and a filler on one worker and returns their orders.
+// startServiceAndFiller starts a task of a service and a filler on one worker and returns their orders.
 func serving(f *fixture) (server, filler StartOrder) {
 	f.reportAll(1)
 	f.add(testJob("a", servingStep(1)))
 	f.add(testJob("b", fillerStep(1)))
 	starts := f.plan().Starts
-	f.Expect(starts).To(HaveLen(2), "a filler's processors are not counted")
+	f.Expect(starts).To(HaveLen(2), "the cores of a filler are not counted")
 	for _, s := range starts {
 		f.accept(s)
 		if s.Task.Job == "a" {
@@ -59,7 +61,8 @@
 	return server, filler
 }
 
-// look reports the tail of the serving task and returns the pace that is ordered, or -1.
+// reportTailLatency reports the tail latency of the service and returns the pace that is ordered for the
+// filler, or -1 for none.
 func (f *fixture) look(server, filler StartOrder, tail int) int {
 	f.pass(250 * time.Millisecond)
 	f.report(0, Report{Active: []ActiveRun{
@@ -83,7 +86,7 @@
 	f.Expect(f.look(server, filler, 95)).To(Equal(4))
 	f.Expect(f.look(server, filler, 95)).To(Equal(1))
 	f.Expect(f.look(server, filler, 95)).To(Equal(0))
-	f.Expect(f.look(server, filler, 95)).To(Equal(-1), "it stands still already")
+	f.Expect(f.look(server, filler, 95)).To(Equal(-1), "the filler is paused already")
 	var up []int
 	for range 20 {
 		if pace := f.look(server, filler, 20); pace >= 0 {
@@ -111,11 +114,12 @@
 	f.pool.SetCordoned(map[string]bool{"w0": true, "w1": true})
 	f.Expect(f.pool.VacateWorker("w0", false)).To(BeFalse())
 	f.Expect(f.pool.VacateWorker("w1", false)).To(BeFalse())
-	f.Expect(f.plan().Stops).To(HaveLen(1), "one of its tasks may be away")
+	f.Expect(f.plan().Stops).To(HaveLen(1), "one of its tasks may be missing at a time")
 }
 
-// Found on a copy of the market stalls with more schedules: a job that lasts passed its objective
-// once, and from then on its failed tasks came after all others.
+// Guards against a failed task of a service that comes after all other jobs: a long-running job passed
+// its objective once, and from then on its failed tasks were ranked behind everything. Seen on a copy of
+// the market stalls workload with more schedules.
 func TestTaskThatLastsComesBeforeLateJobsHoweverOldItIs(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.reportAll(1)
--- a/pkg/dispatch/mechanism_test.go
+++ b/pkg/dispatch/mechanism_test.go
@@ -7,23 +7,24 @@
 	. "github.com/onsi/gomega"
 )
 
-func only(left Mechanism) DisabledMechanisms {
-	return func(m Mechanism) bool { return m == left }
+// only disables one mechanism.
+func only(disabled Mechanism) DisabledMechanisms {
+	return func(m Mechanism) bool { return m == disabled }
 }
 
-// seedsWithoutOne is how many random histories are played with each mechanism left out.
+// seedsPerDisabledMechanism is how many random histories are simulated with each mechanism disabled.
 const seedsWithoutOne = 8
 
-// StuckRunRestarts is not among them: without it a run that stands still holds its job for good.
+// StuckRunRestarts is not among the mechanisms: without it a stuck run blocks its job forever.
 func TestPromisesHoldWithAMechanismLeftOut(t *testing.T) {
-	for _, left := range []Mechanism{
+	for _, disabled := range []Mechanism{
 		PriorityReservations, GangReservations, OverloadCheck, Preemption, CostBasedAdviceSize, AdviceOnFullWorkers, ExpectedRoom,
 		ReservedAdvisers, DelayedAdviceFirst, ParallelAdvice, Suspension, Avoidance,
 	} {
-		t.Run(string(left), func(t *testing.T) {
+		t.Run(string(disabled), func(t *testing.T) {
 			for seed := range uint64(seedsWithoutOne) {
 				w := newWorld(t, 5000+seed)
-				w.without = only(left)
+				w.without = only(disabled)
 				w.play()
 			}
 		})
--- a/pkg/dispatch/over_share_test.go
+++ b/pkg/dispatch/over_share_test.go
@@ -10,22 +10,23 @@
 	. "github.com/onsi/gomega"
 )
 
-// sheet is a job of some tasks of a second, in the queue of the tests.
+// oneSecondJob is a job of some tasks of a second, in the queue of the tests.
 func sheet(id string, c customer.Customer, tasks int) job.Record {
 	s := testStep(tasks)
 	s.Estimate = time.Second
 	return of(c, testJob(id, s))
 }
 
-// One customer sends fifteen times its weight. What it sends beyond goes after another customer's job that comes last, while that is in
-// time. With the order as it was, a day with two such customers in turn earned 0.46, and 0.63 with this one (one play each, processor time not
-// charged; with the customers' dominant shares by weight in the order 0.47).
+// One customer sends fifteen times its weight. Its jobs over share are ranked after another customer's
+// later job while that one is in time. With the rank before, a day with two such customers in turn
+// earned 0.46, and 0.63 with this one (one simulation each, processor time not charged; with the
+// customers' dominant shares by weight as the rank 0.47).
 func TestJobsBeyondTheWeightGoAfterOthers(t *testing.T) {
 	f := newFixture(t, 1, nil) // room for 4 tasks
 	hot, other := customer.Customer{Name: "hot", Weight: 1}, customer.Customer{Name: "other", Weight: 1}
 	f.configure(2, hot, other)
 	for _, id := range []string{"a", "b", "c", "d"} {
-		f.add(sheet(id, hot, 2)) // the first two are within its burst
+		f.add(sheet(id, hot, 2)) // the first two are within the burst of the customer
 	}
 	f.add(sheet("z", other, 2))
 	f.reportAll(1)
@@ -34,10 +35,10 @@
 	f.pool.UpsertWorker(WorkerInfo{ID: workerID(1), Pool: "pool", Capacity: cell.Resources{CPUMillis: 4000, MemoryMB: 8000}}, true, f.now)
 	f.pool.MarkInRoster([]WorkerID{workerID(1)})
 	f.report(1, Report{})
-	f.Expect(f.jobsStarted()).To(Equal([]job.ID{"z", "z", "c", "c"}), "what is beyond gets the room that is left")
+	f.Expect(f.jobsStarted()).To(Equal([]job.ID{"z", "z", "c", "c"}), "jobs over share get the room that is left")
 }
 
-// jobsStarted lists the jobs of the starts of the next plan.
+// startedJobs lists the jobs of the starts of the next plan.
 func (f *fixture) jobsStarted() []job.ID {
 	var out []job.ID
 	for _, s := range f.plan().Starts {
@@ -46,7 +47,8 @@
 	return out
 }
 
-// A new owner marks what it reads from the store by when it was accepted, whatever the order in which it is read.
+// A new owner marks the jobs that it loads from the store in the order in which they were accepted,
+// whatever the order in which they are loaded.
 func TestNewOwnerMarksJobsBeyondTheWeight(t *testing.T) {
 	f := newFixture(t, 0, nil)
 	f.pool.jobsLoaded = false
--- a/pkg/dispatch/ownership_confirmation_test.go
+++ b/pkg/dispatch/ownership_confirmation_test.go
@@ -7,8 +7,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// Seed 1008461 of the random histories: a later owner had reached the worker of a task and taken note
-// of its end, when the former one held the worker's leases for lapsed and started the task again.
+// Guards against a second run by an owner that was replaced: a later owner had reached the worker of a
+// task and acknowledged its end when the previous owner took the worker's leases for expired and started
+// the task again. Seen with seed 1008461 of the random histories.
 func TestLapseIsBelievedOnlyWhenTheStoreNamesTheOwnerAfterIt(t *testing.T) {
 	f := newFixture(t, 2, nil)
 	f.reportAll(2)
@@ -17,15 +18,15 @@
 	f.accept(first)
 	other := 1 - numberOf(first.Worker)
 	f.storeAway = true
-	asked := false
+	confirmationRequested := false
 	for range 50 {
 		f.pass(200 * time.Millisecond)
 		f.report(other, Report{})
 		a := f.plan()
 		f.Expect(a.Starts).To(BeEmpty(), "a later owner may have extended the lease")
-		asked = asked || a.ConfirmOwnership
+		confirmationRequested = confirmationRequested || a.ConfirmOwnership
 	}
-	f.Expect(asked).To(BeTrue())
+	f.Expect(confirmationRequested).To(BeTrue())
 	f.storeAway = false
 	f.pass(surveyInterval)
 	f.Expect(f.plan().Starts).To(HaveLen(1))
@@ -40,7 +41,7 @@
 	other := 1 - numberOf(first.Worker)
 	for range 40 {
 		f.pass(200 * time.Millisecond)
-		f.plan() // the other worker is not heard either
+		f.plan() // the other worker does not answer either
 	}
 	f.storeAway = true
 	f.pass(ownershipConfirmationValidity)
--- a/pkg/dispatch/plan_equivalence_test.go
+++ b/pkg/dispatch/plan_equivalence_test.go
@@ -13,7 +13,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// planInFull is Plan without anything that is kept between plans: it sorts and sums up all that waits and chooses among all workers.
+// planFromScratch is Plan without anything that is kept between plans: it sorts and sums up all waiting
+// steps and chooses among all workers.
 func (p *Pool) planInFull(now clock.Time, authority bool) Actions {
 	p.now = now
 	p.updateLoads(now)
@@ -87,14 +88,14 @@
 	if p.advice.advisers.IdleCount() == 0 || p.isDisabled(DelayedAdviceFirst) {
 		return
 	}
-	var starving []*step
+	var delayed []*step
 	for _, s := range ordered {
 		if !s.promoted && p.isAdviceDelayed(s, now) && !p.isBlockedByTakeover(s.occurrence.job) && !p.awaitsQuota(s) {
-			starving = append(starving, s)
+			delayed = append(delayed, s)
 		}
 	}
-	slices.SortStableFunc(starving, func(a, b *step) int { return cmp.Compare(b.responseRatio(now), a.responseRatio(now)) })
-	for _, s := range starving {
+	slices.SortStableFunc(delayed, func(a, b *step) int { return cmp.Compare(b.responseRatio(now), a.responseRatio(now)) })
+	for _, s := range delayed {
 		if p.advice.advisers.IdleCount() == 0 {
 			return
 		}
@@ -102,27 +103,28 @@
 	}
 }
 
-// sameInFull plays two pools, of which one plans in full, and compares what each plan decides.
+// comparePlans simulates two pools, of which one plans from scratch, and compares the decisions of each
+// plan.
 func sameInFull(t *testing.T, newPool func() *busyPool, d time.Duration) {
 	g := NewWithT(t)
-	kept, full := newPool(), newPool()
-	full.plan = full.pool.planInFull
-	var wants []Actions
-	full.planned = func(a Actions) { wants = append(wants, a) }
-	full.play(d)
+	incremental, scratch := newPool(), newPool()
+	scratch.plan = scratch.pool.planInFull
+	var expected []Actions
+	scratch.planned = func(a Actions) { expected = append(expected, a) }
+	scratch.play(d)
 	n := 0
-	kept.planned = func(a Actions) {
-		g.Expect(a.Starts).To(Equal(wants[n].Starts), "plan %d", n)
-		g.Expect(a.AdviceCalls).To(Equal(wants[n].AdviceCalls), "plan %d", n)
-		g.Expect(a.Stops).To(Equal(wants[n].Stops), "plan %d", n)
+	incremental.planned = func(a Actions) {
+		g.Expect(a.Starts).To(Equal(expected[n].Starts), "plan %d", n)
+		g.Expect(a.AdviceCalls).To(Equal(expected[n].AdviceCalls), "plan %d", n)
+		g.Expect(a.Stops).To(Equal(expected[n].Stops), "plan %d", n)
 		n++
 	}
-	kept.play(d)
-	g.Expect(n).To(Equal(len(wants)))
-	g.Expect(kept.started).To(BeNumerically(">", 0))
+	incremental.play(d)
+	g.Expect(n).To(Equal(len(expected)))
+	g.Expect(incremental.started).To(BeNumerically(">", 0))
 }
 
-// Guards against a plan that decides otherwise than one that goes over all that waits.
+// Guards against a plan that decides otherwise than one made from scratch.
 func TestPlansDecideAsIfAllWasGoneOver(t *testing.T) {
 	const (
 		workers = 60
@@ -133,8 +135,9 @@
 	}
 }
 
-// drawnBusyPool returns a small pool with more work than it holds: of queues with advice and without, of customers with quotas and without,
-// of gangs, of tasks that last, and with a change of the configuration on the way.
+// randomBusyPool returns a small pool with more jobs than it has room for: in queues with advice and
+// without, of customers with quotas and without, with gangs, long-running tasks and a change of the
+// configuration on the way.
 func drawnBusyPool(seed uint64, workers int) *busyPool {
 	kinds := slices.Clone(busyKinds)
 	for i := range kinds {
@@ -143,9 +146,9 @@
 	}
 	plain := kinds[1]
 	plain.queue.Name, plain.queue.Advice, plain.queue.Priority = "plain", nil, int(seed%3)
-	lasting := kinds[2]
-	lasting.queue.Name, lasting.step.LongRunning, lasting.perSecond = "lasting", true, 0.3
-	kinds = append(kinds, plain, lasting)
+	longRunning := kinds[2]
+	longRunning.queue.Name, longRunning.step.LongRunning, longRunning.perSecond = "lasting", true, 0.3
+	kinds = append(kinds, plain, longRunning)
 	b := newBusyPoolOf(kinds, workers, busyAdvisers*workers/busyWorkers, seed, nil)
 	if seed%2 == 0 {
 		for n := range 4 {
--- a/pkg/dispatch/pool_test.go
+++ b/pkg/dispatch/pool_test.go
@@ -20,10 +20,10 @@
 	pool *Pool
 	now  clock.Time
 	wall time.Time
-	// workerClock is the clock of all workers; it runs with ours.
+	// workerClock is the clock of all workers, in milliseconds; it advances with now.
 	workerClock int64
 	events      []Event
-	// storeAway says that the store does not tell who the owner is.
+	// storeAway says that the store can't be reached, so ownership is not confirmed.
 	storeAway bool
 }
 
@@ -71,17 +71,17 @@
 	f.workerClock += d.Milliseconds()
 }
 
-// report has a worker answer a hold.
+// report has a worker answer a poll with a report.
 func (f *fixture) report(n int, r Report) Answer {
-	h, ok := f.pool.NewPoll(workerID(n), false, true, f.now)
+	poll, ok := f.pool.NewPoll(workerID(n), false, true, f.now)
 	f.Expect(ok).To(BeTrue())
 	f.pass(time.Millisecond)
 	a := Answer{Verdict: VerdictDone, Clock: f.workerClock}
-	f.pool.HandlePollAnswer(h, a, r, f.now)
+	f.pool.HandlePollAnswer(poll, a, r, f.now)
 	return a
 }
 
-// reportAll has all workers answer that nothing runs.
+// reportAll has all workers report that nothing runs there.
 func (f *fixture) reportAll(workers int) {
 	for n := range workers {
 		f.report(n, Report{})
@@ -96,13 +96,13 @@
 	return f.pool.Plan(f.now, true)
 }
 
-// accept has an order carried out.
+// accept answers a start as carried out.
 func (f *fixture) accept(s StartOrder) {
 	f.pool.HandleStartAnswer(s, Answer{Verdict: VerdictDone, Clock: f.workerClock}, nil, f.now)
 }
 
-func (f *fixture) end(s StartOrder, number int64, how EndReason) Report {
-	return Report{Finished: []FinishedRun{{Number: number, Task: s.Task, Run: s.Run, Reason: how}}}
+func (f *fixture) end(s StartOrder, number int64, reason EndReason) Report {
+	return Report{Finished: []FinishedRun{{Number: number, Task: s.Task, Run: s.Run, Reason: reason}}}
 }
 
 func testJob(id string, steps ...job.Step) job.Record {
@@ -158,11 +158,11 @@
 	s := f.plan().Starts[0]
 	f.accept(s)
 	f.report(0, f.end(s, 7, EndDone))
-	h, _ := f.pool.NewPoll("w0", false, true, f.now)
-	f.Expect(h.AckedEnd).To(BeZero())
+	poll, _ := f.pool.NewPoll("w0", false, true, f.now)
+	f.Expect(poll.AckedEnd).To(BeZero())
 	f.pool.ApplyCommit(f.pool.PrepareCommit())
-	h, _ = f.pool.NewPoll("w0", false, true, f.now)
-	f.Expect(h.AckedEnd).To(Equal(int64(7)))
+	poll, _ = f.pool.NewPoll("w0", false, true, f.now)
+	f.Expect(poll.AckedEnd).To(Equal(int64(7)))
 }
 
 func TestRoomIsNeverExceeded(t *testing.T) {
@@ -170,14 +170,14 @@
 	f.reportAll(1)
 	f.add(testJob("a", testStep(9)))
 	starts := f.plan().Starts
-	f.Expect(starts).To(HaveLen(4), "a worker has 4 processors")
+	f.Expect(starts).To(HaveLen(4), "a worker has 4 cores")
 	for _, s := range starts {
 		f.accept(s)
 	}
 	f.pool.Cancel("a")
 	f.add(testJob("b", testStep(1)))
 	f.Expect(f.plan().Stops).To(HaveLen(4))
-	f.Expect(f.plan().Starts).To(BeEmpty(), "what is being stopped counts")
+	f.Expect(f.plan().Starts).To(BeEmpty(), "runs that are being stopped count")
 	f.report(0, f.end(starts[0], 1, EndStopped))
 	f.Expect(f.plan().Starts).To(HaveLen(1))
 }
@@ -198,7 +198,7 @@
 	f.Expect(state).To(Equal(job.Failed))
 }
 
-// The same failure is counted once, though it is reported again after a takeover.
+// A failure counts once, though it is reported again after a takeover.
 func TestCommittedFailureIsNotCountedAgain(t *testing.T) {
 	f := newFixture(t, 1, afterFormerOwner)
 	id := job.TaskID{StepID: job.StepID{Job: "a"}}
@@ -232,7 +232,7 @@
 	f.pass(time.Second)
 	f.report(0, Report{Active: []ActiveRun{{Task: starts[0].Task, Run: 1, Percent: 50}}})
 	starts = f.plan().Starts
-	f.Expect(starts).To(HaveLen(1), "times may overlap")
+	f.Expect(starts).To(HaveLen(1), "occurrences may overlap")
 	f.Expect(starts[0].Task.Time).To(Equal(1))
 }
 
@@ -251,8 +251,8 @@
 	f.Expect(f.plan().Starts).To(BeEmpty())
 }
 
-// Seed: a copy of hanbit-ops with timed jobs. All times shared the objective of the first,
-// so that later ones went behind everything.
+// Guards against occurrences of a scheduled job that all share the objective of the first, so that later
+// ones are ranked behind everything. Seen on a copy of the hanbit-ops workload with scheduled jobs.
 func TestEachTimeHasItsOwnObjective(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.reportAll(1)
--- a/pkg/dispatch/preempt_test.go
+++ b/pkg/dispatch/preempt_test.go
@@ -13,7 +13,8 @@
 // longQueue is a queue of a lower priority than testQueue.
 var longQueue = queue.Queue{Name: "fits", Pool: "pool", MaxAttempts: 3, Extension: 2, TargetLatency: time.Second, Priority: 2}
 
-// fullWorker has a worker of four cores run four tasks of a lower priority, as the step says.
+// newFullWorker returns a pool with a worker of four cores that runs four tasks of a lower priority;
+// change may alter their step.
 func fullWorker(t *testing.T, change func(*job.Step)) *fixture {
 	f := newFixture(t, 1, func(c *Config) { c.StopGrace = 400 * time.Millisecond })
 	f.pool.SetConfig(queue.NewConfig(2, []queue.Queue{testQueue, longQueue}, nil))
@@ -39,16 +40,16 @@
 	f.Expect(actions.Starts).To(BeEmpty(), "the worker is full until the stopped run has ended")
 	f.Expect(actions.Stops).To(HaveLen(1))
 	stop := actions.Stops[0]
-	f.Expect(f.plan().Stops).To(BeEmpty(), "one is on its way")
+	f.Expect(f.plan().Stops).To(BeEmpty(), "one stop is on its way")
 	f.report(0, Report{Finished: []FinishedRun{{Number: 1, Task: stop.Task, Run: stop.Run, Reason: EndStopped}}})
 	starts := f.plan().Starts
 	f.Expect(starts).To(HaveLen(1))
-	f.Expect(starts[0].Task.Job).To(Equal(job.ID("a")), "the room is kept for it")
+	f.Expect(starts[0].Task.Job).To(Equal(job.ID("a")), "the room is reserved for it")
 }
 
 func TestPreemptedTaskIsNoFailureAndGoesOnFromItsCheckpoint(t *testing.T) {
 	f := fullWorker(t, func(s *job.Step) { s.Checkpointing = true })
-	f.pass(5 * time.Second) // its work is saved, so that a stop throws little away
+	f.pass(5 * time.Second) // the progress is in a checkpoint, so a stop loses little work
 	f.report(0, Report{})
 	f.add(testJob("a", testStep(1)))
 	stop := f.plan().Stops[0]
@@ -69,12 +70,12 @@
 		pass   time.Duration
 		urgent func(*job.Record)
 	}{
-		"much work would be thrown away": {nil, 3 * time.Second, nil},
-		"the runs end soon":              {func(s *job.Step) { s.Estimate = time.Second }, 600 * time.Millisecond, nil},
-		"gangs would stop as a whole":    {func(s *job.Step) { s.Gang = true }, 500 * time.Millisecond, nil},
-		"lasting tasks stay":             {func(s *job.Step) { s.LongRunning = true }, 500 * time.Millisecond, nil},
-		"the job is not urgent":          {nil, 500 * time.Millisecond, func(r *job.Record) { r.Queue = longQueue }},
-		"it would be late all the same": {nil, 500 * time.Millisecond, func(r *job.Record) {
+		"much work would be lost":     {nil, 3 * time.Second, nil},
+		"the runs end soon":           {func(s *job.Step) { s.Estimate = time.Second }, 600 * time.Millisecond, nil},
+		"gangs would stop as a whole": {func(s *job.Step) { s.Gang = true }, 500 * time.Millisecond, nil},
+		"long-running tasks stay":     {func(s *job.Step) { s.LongRunning = true }, 500 * time.Millisecond, nil},
+		"the job is not urgent":       {nil, 500 * time.Millisecond, func(r *job.Record) { r.Queue = longQueue }},
+		"the job would be late all the same": {nil, 500 * time.Millisecond, func(r *job.Record) {
 			r.Job.Steps[0].Estimate, r.Queue.TargetLatency, r.Queue.Extension = time.Second, 0, 1
 		}},
 	} {
@@ -93,7 +94,7 @@
 	}
 }
 
-// activeRows lists all runs as going on.
+// activeRows lists all runs of worker w0 as active.
 func activeRows(f *fixture) []ActiveRun {
 	var rows []ActiveRun
 	for _, r := range sortedRuns(f.pool.workers["w0"]) {
@@ -102,7 +103,7 @@
 	return rows
 }
 
-// gpuPool has workers of 64 cores and 8 accelerators, and queues of two priorities.
+// newGPUPool returns a pool with workers of 64 cores and 8 accelerators, and queues of two priorities.
 func gpuPool(t *testing.T, workers int) (f *fixture, first, second queue.Queue) {
 	f = newFixture(t, 0, func(c *Config) { c.StopGrace, c.RestoreTime = 400*time.Millisecond, 600*time.Millisecond })
 	first, second = testQueue, testQueue
@@ -124,7 +125,7 @@
 	}
 }
 
-// runAll plans and has all starts accepted.
+// acceptAll makes a plan and answers all its starts as carried out.
 func (f *fixture) runAll() []StartOrder {
 	starts := f.plan().Starts
 	for _, o := range starts {
@@ -133,8 +134,8 @@
 	return starts
 }
 
-// Seen on the market stalls: a gang for whole workers waited 22 s while small tasks of a lower priority
-// took each accelerator that came free.
+// Guards against a gang that waits long for whole workers while small tasks of a lower priority take
+// each accelerator that becomes free (22 s on the market stalls workload).
 func TestGangPreemptsSeveralRunsOfALowerPriorityForAllItsMembers(t *testing.T) {
 	f, first, second := gpuPool(t, 3)
 	f.add(job.Record{Job: job.Job{ID: "small", Steps: []job.Step{gpuStep(20, 1)}}, Queue: second})
@@ -175,6 +176,6 @@
 	one := f.runAll()[0]
 	f.add(job.Record{Job: job.Job{ID: "small", Steps: []job.Step{gpuStep(4, 1)}}, Queue: second})
 	for _, o := range f.runAll() {
-		f.Expect(o.Worker).To(Equal(one.Worker), "by accelerators, of which they take most")
+		f.Expect(o.Worker).To(Equal(one.Worker), "placed by accelerators, of which the tasks take the largest share")
 	}
 }
--- a/pkg/dispatch/quota_test.go
+++ b/pkg/dispatch/quota_test.go
@@ -16,13 +16,13 @@
 	return customer.Customer{Name: "north", Weight: 2, Quota: cell.Resources{CPUMillis: quota}}
 }
 
-// of gives a job to a customer.
+// withCustomer assigns a job to a customer.
 func of(c customer.Customer, r job.Record) job.Record {
 	r.Customer = c
 	return r
 }
 
-// configure puts a configuration in force that names customers.
+// configureCustomers puts a configuration with these customers in force.
 func (f *fixture) configure(version int64, customers ...customer.Customer) {
 	cfg := queue.NewConfig(version, []queue.Queue{testQueue}, nil)
 	var entries []customer.Entry
@@ -33,7 +33,8 @@
 	f.pool.SetConfig(cfg)
 }
 
-// quotaFixture is a pool with room for 8 tasks of one core, and a customer that may have 3 of them.
+// newQuotaFixture returns a pool with room for 8 tasks of one core, and a customer with a quota for 3 of
+// them.
 func quotaFixture(t *testing.T) *fixture {
 	f := newFixture(t, 2, nil)
 	f.configure(2, north(3000))
@@ -51,7 +52,7 @@
 	f := quotaFixture(t)
 	f.add(of(north(9000), testJob("a", testStep(5))))
 	starts := f.plan().Starts
-	f.Expect(starts).To(HaveLen(3), "the configuration goes before the record")
+	f.Expect(starts).To(HaveLen(3), "the quota of the configuration goes before that of the record")
 	f.Expect(f.plan().Starts).To(BeEmpty())
 	f.accept(starts[0])
 	f.pool.HandleStartAnswer(starts[1], Answer{}, ErrNotSent, f.now) // certainly not running
@@ -74,7 +75,7 @@
 	for _, s := range f.plan().Starts {
 		f.noAnswer(s)
 	}
-	f.Expect(f.plan().Starts).To(BeEmpty(), "any of them may be carried out late")
+	f.Expect(f.plan().Starts).To(BeEmpty(), "any of the starts may be carried out late")
 }
 
 func TestRunThatIsBeingStoppedCountsAgainstTheQuota(t *testing.T) {
@@ -138,7 +139,8 @@
 	f.Expect(f.plan().Starts).To(HaveLen(3))
 }
 
-// Smaller steps that come later would take the room of each end, so that the gang never finds enough at once.
+// Without a reservation, smaller steps that come later would take the quota that each end frees, so that
+// the gang never finds enough at once.
 func TestGangHoldsTheQuotaThatComes(t *testing.T) {
 	f := quotaFixture(t)
 	f.add(of(north(0), testJob("a", testStep(2))))
@@ -150,10 +152,10 @@
 	f.add(of(north(0), testJob("c", testStep(1))))
 	f.Expect(f.plan().Starts).To(BeEmpty())
 	f.add(of(customer.Customer{Name: "south"}, testJob("d", testStep(1))))
-	f.Expect(f.plan().Starts).To(HaveLen(1), "others are not held up")
+	f.Expect(f.plan().Starts).To(HaveLen(1), "other customers are not blocked")
 }
 
-// A gang that a lowered quota keeps from ever starting holds nothing.
+// A gang that a lowered quota keeps from ever starting reserves nothing.
 func TestGangWiderThanTheQuotaHoldsNothing(t *testing.T) {
 	f := quotaFixture(t)
 	f.add(of(north(0), testJob("b", gangOf(4))))
@@ -161,37 +163,39 @@
 	f.Expect(f.plan().Starts).To(HaveLen(1))
 }
 
-// A new owner has not heard of a worker that may run tasks of the customer for a former one.
+// A worker that has not reported to a new owner may run tasks of the customer that a previous owner
+// started.
 func TestNewOwnerCountsWhatMayRunUnheard(t *testing.T) {
 	f := newFixture(t, 2, func(c *Config) {
 		c.HasPreviousOwner, c.Term, c.Token = true, 2, nextEpoch
 	})
 	f.configure(2, north(3000))
-	former := of(north(0), testJob("a", testStep(2)))
-	former.Term = 1
-	f.add(former)
+	previous := of(north(0), testJob("a", testStep(2)))
+	previous.Term = 1
+	f.add(previous)
 	later := of(north(0), testJob("b", testStep(3)))
 	later.Term = 2
 	f.add(later)
 	f.report(0, Report{})
-	f.Expect(f.plan().Starts).To(BeEmpty(), "the former owner may still start jobs that are not known here on the other worker")
+	f.Expect(f.plan().Starts).To(BeEmpty(), "the previous owner may still start jobs that are not known here on the other worker")
 	f.pass(f.pool.cfg.AuthorityTerm)
 	f.report(0, Report{})
-	f.Expect(f.plan().Starts).To(HaveLen(1), "two of the former owner's may run on the other worker")
+	f.Expect(f.plan().Starts).To(HaveLen(1), "two tasks that the previous owner started may run on the other worker")
 	f.report(1, Report{})
 	f.Expect(f.plan().Starts).To(HaveLen(2))
 }
 
-// A worker that a new owner has not heard of may have ended a step, and the former owner may have begun the next one before that end was
-// committed. Only the step that the store shows as begun was counted, so that a customer could have both running: six tasks of three.
+// Guards against a new owner that counts only the step that the store shows as begun: a worker that has
+// not reported may have ended that step, and the previous owner may have begun the next one before the
+// end was committed. A customer could then have both running: six tasks with a quota of three.
 func TestNewOwnerCountsTheNextStepThatMayHaveBegun(t *testing.T) {
 	f := newFixture(t, 2, func(c *Config) { c.HasPreviousOwner, c.Term, c.Token = true, 2, nextEpoch })
 	f.configure(2, north(3000))
 	next := testStep(3)
 	next.After = []int{0}
-	former := of(north(0), testJob("a", testStep(1), next))
-	former.Term = 1
-	f.add(former)
+	previous := of(north(0), testJob("a", testStep(1), next))
+	previous.Term = 1
+	f.add(previous)
 	later := of(north(0), testJob("b", testStep(3)))
 	later.Term = 2
 	f.add(later)
@@ -226,14 +230,15 @@
 	f.Expect(x.Steps[0].WaitReason).To(HavePrefix("its customer's quota: cpu=3000m"))
 }
 
-// A job is cancelled just as a new owner takes over, and its runs are found after that. They were not counted, since the job was forgotten when
-// its cancelling was in the store: customer south has 10000 running of 6000, seed 606.
+// Guards against runs that do not count against the quota: a job is cancelled just as a new owner takes
+// over, and its runs are found after the job was forgotten, since its cancellation was committed. Seen
+// with seed 606: customer south had 10000 of 6000 running.
 func TestRunsOfACancelledJobThatAreFoundLateCount(t *testing.T) {
 	f := newFixture(t, 2, func(c *Config) { c.HasPreviousOwner, c.Term, c.Token = true, 2, nextEpoch })
 	f.configure(2, north(3000))
-	former := of(north(0), testJob("a", testStep(3)))
-	former.Term = 1
-	f.add(former)
+	previous := of(north(0), testJob("a", testStep(3)))
+	previous.Term = 1
+	f.add(previous)
 	f.pool.Cancel("a")
 	f.pool.ApplyCommit(f.pool.PrepareCommit())
 	f.report(0, Report{})
@@ -250,7 +255,8 @@
 	f.Expect(actions.Stops).To(HaveLen(3))
 }
 
-// runOfEndedJob has a new owner find a run of a job that had ended before it read the store, on worker 1, and take in another job of the customer.
+// newRunOfEndedJob returns a pool whose new owner finds a run on worker 1 of a job that had ended before
+// the owner loaded the jobs, and has another job of the customer waiting.
 func runOfEndedJob(t *testing.T) *fixture {
 	f := newFixture(t, 2, func(c *Config) { c.HasPreviousOwner, c.Term, c.Token = true, 2, nextEpoch })
 	f.configure(2, north(3000))
@@ -263,7 +269,8 @@
 	return f
 }
 
-// Its worker falls silent, and the run has lapsed with what else may run there.
+// The worker of the run falls silent; the run counts against the quota until the leases there have
+// expired.
 func TestRunOfAJobThatHadEndedHoldsItsCustomerNoLongerThanItsLease(t *testing.T) {
 	f := runOfEndedJob(t)
 	for range 5 {
@@ -276,20 +283,21 @@
 	f.Expect(f.plan().Starts).To(HaveLen(3))
 }
 
-// What may run of a job that had ended counts while a worker is unheard that may run it, but not as long after as it has lapsed.
+// The remaining use of a job that had ended counts while a worker that may run its tasks has not
+// reported, but not once the leases must have expired.
 func TestNewOwnerCountsWhatRunsOfAJobThatHadEnded(t *testing.T) {
 	for ago, starts := range map[time.Duration]int{time.Second: 1, time.Minute: 3} {
 		f := newFixture(t, 2, func(c *Config) { c.HasPreviousOwner, c.Term, c.Token = true, 2, nextEpoch })
 		f.pool.jobsLoaded = false
 		f.configure(2, north(3000))
-		unended := job.Unended{Need: cell.Resources{CPUMillis: 2000, MemoryMB: 2000}, At: f.wall.Add(-ago)}
-		f.pool.AddOutcome("a", job.Record{Outcome: job.Cancelled, Customer: customer.Customer{Name: "north"}, Unended: unended}, f.now)
+		remaining := job.Unended{Need: cell.Resources{CPUMillis: 2000, MemoryMB: 2000}, At: f.wall.Add(-ago)}
+		f.pool.AddOutcome("a", job.Record{Outcome: job.Cancelled, Customer: customer.Customer{Name: "north"}, Unended: remaining}, f.now)
 		f.pool.MarkJobsLoaded()
 		later := of(north(0), testJob("b", testStep(3)))
 		later.Term = 2
 		f.add(later)
 		f.report(0, Report{})
-		f.Expect(f.plan().Starts).To(BeEmpty(), "the former owner may still give orders to the other worker")
+		f.Expect(f.plan().Starts).To(BeEmpty(), "the previous owner may still send orders to the other worker")
 		f.pass(f.pool.cfg.AuthorityTerm)
 		f.report(0, Report{})
 		f.Expect(f.plan().Starts).To(HaveLen(starts), "ended %s ago", ago)
@@ -298,7 +306,8 @@
 	}
 }
 
-// The store is told what still counts of a job that ends: what is being stopped, also at a worker that can't be heard.
+// The commit of a job's end includes what still counts against the quota: the runs that are being
+// stopped, also on a worker that can't be reached.
 func TestStoreIsToldWhatRunsOfAJobThatEnds(t *testing.T) {
 	f := quotaFixture(t)
 	f.add(of(north(0), testJob("a", testStep(2))))
@@ -311,7 +320,8 @@
 	f.Expect(changes[0].RemainingUse).To(Equal(job.Unended{Need: cell.Resources{CPUMillis: 2000, MemoryMB: 2000}, At: f.wall}))
 }
 
-// The members of a gang end together: nothing runs of one that is done, though some have not told yet.
+// The members of a gang end together: nothing of a gang that is done still runs, though some members
+// have not been reported yet.
 func TestNothingRunsOfAGangThatIsDone(t *testing.T) {
 	f := quotaFixture(t)
 	f.add(of(north(0), testJob("a", gangOf(3))))
@@ -327,7 +337,8 @@
 	f.Expect(changes[0].RemainingUse).To(Equal(job.Unended{}))
 }
 
-// A task was found done while it ran elsewhere: that run is being stopped, and counts for later owners, too.
+// A task is found done while it runs elsewhere: that run is being stopped, and has to count for later
+// owners, too.
 func TestStoreIsToldWhatRunsForADoneTask(t *testing.T) {
 	f := quotaFixture(t)
 	f.add(of(north(0), testJob("a", testStep(2))))
@@ -339,20 +350,22 @@
 	f.Expect(changes[0].Progress.Unended.Need.CPUMillis).To(BeEquivalentTo(1000))
 }
 
-// What a former owner counted for a done task is not told to a later owner as if it were this one's, once all workers have told.
+// Once all workers have reported, the remaining use that a previous owner counted for a done task is not
+// passed on to a later owner as this owner's.
 func TestWhatAFormerOwnerCountedIsForgottenWhenAllIsKnown(t *testing.T) {
 	f := newFixture(t, 1, func(c *Config) { c.HasPreviousOwner, c.Term, c.Token = true, 2, nextEpoch })
 	f.configure(2, north(3000))
-	unended := job.Unended{Need: cell.Resources{CPUMillis: 1000, MemoryMB: 1000}, At: f.wall}
-	f.pool.AddJob(of(north(0), testJob("a", testStep(2))), job.Progress{Tasks: []job.TaskProgress{{Done: true}}, Unended: unended}, true, 0, f.now)
+	remaining := job.Unended{Need: cell.Resources{CPUMillis: 1000, MemoryMB: 1000}, At: f.wall}
+	f.pool.AddJob(of(north(0), testJob("a", testStep(2))), job.Progress{Tasks: []job.TaskProgress{{Done: true}}, Unended: remaining}, true, 0, f.now)
 	j := f.pool.jobs["a"]
-	f.Expect(f.pool.remainingUse(j).Need).To(Equal(unended.Need))
+	f.Expect(f.pool.remainingUse(j).Need).To(Equal(remaining.Need))
 	f.report(0, Report{})
 	f.plan()
 	f.Expect(f.pool.remainingUse(j)).To(Equal(job.Unended{}))
 }
 
-// Nothing is known of what a run takes whose job had ended before a new owner read the store.
+// A run whose job had ended before a new owner loaded the jobs has an unknown use, so it blocks its
+// customer's starts.
 func TestRunOfAJobThatHadEndedHoldsItsCustomer(t *testing.T) {
 	f := runOfEndedJob(t)
 	f.Expect(f.plan().Starts).To(BeEmpty())
--- a/pkg/dispatch/recorded_incarnations_test.go
+++ b/pkg/dispatch/recorded_incarnations_test.go
@@ -8,31 +8,32 @@
 	. "github.com/onsi/gomega"
 )
 
-// namedFromFirst has all owners name workers.
+// recordingFromFirstTerm has owners of all terms record the workers of their jobs.
 func namedFromFirst(c *Config) {
 	c.Term, c.RecordWorkersFromTerm = 1, 1
 }
 
+// afterRecordingOwner is the configuration of an owner whose previous owner recorded workers.
 func afterOwnerThatNames(c *Config) {
 	afterFormerOwner(c)
 	c.RecordWorkersFromTerm = 1
 }
 
-// namedJob is a job of the first term.
+// jobWithRecordedWorkers is a job accepted in the first term, for which workers are recorded.
 func namedJob(id string) job.Record {
 	r := testJob(id, testStep(1))
 	r.Term = 1
 	return r
 }
 
-// namedStart is the one start of a plan after the store has taken the names of its workers.
+// startAfterRecording is the one start of a plan that is made after the recorded workers were committed.
 func (f *fixture) namedStart() StartOrder {
-	f.Expect(f.plan().Starts).To(BeEmpty(), "the store has no name yet")
+	f.Expect(f.plan().Starts).To(BeEmpty(), "no worker is recorded in the store yet")
 	f.commits()
 	return f.onlyStart()
 }
 
-// A start may be carried out by the next life of its worker, so a job waits for that one, too.
+// The next incarnation of a recorded worker may carry out a start, so a job waits for that one, too.
 func TestJobIsHeldWhileTheNextLifeOfANamedWorkerIsSilent(t *testing.T) {
 	f := newFixture(t, 0, afterOwnerThatNames)
 	f.lists(firstLife(0))
@@ -42,14 +43,14 @@
 	f.answers(f.hold(firstLife(0), false), secondLife(0), Report{})
 	f.Expect(f.pool.workers[firstLife(0).id].terminated).To(BeTrue())
 	f.plan()
-	f.Expect(f.pool.Status(f.now).BlockedJobs).To(Equal(1), "the next life of w0 has not told what it runs")
+	f.Expect(f.pool.Status(f.now).BlockedJobs).To(Equal(1), "the next incarnation of w0 has not reported what it runs")
 	f.reports(secondLife(0), Report{})
 	f.reports(firstLife(1), Report{})
 	f.plan()
 	f.Expect(f.pool.Status(f.now).BlockedJobs).To(BeZero())
 }
 
-// The name of a worker stays in the store while its next life may run what was sent to the one before.
+// A worker stays recorded while its next incarnation may run what was sent to the one before.
 func TestNameStaysWithTheNextLifeOfAWorker(t *testing.T) {
 	f := newLives(t, 1, namedFromFirst)
 	f.add(namedJob("a"))
--- a/pkg/dispatch/recorded_workers_test.go
+++ b/pkg/dispatch/recorded_workers_test.go
@@ -8,7 +8,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// An owner that dies before the store has a name would leave a run that a later owner does not look for.
+// Guards against a run that a later owner does not look for, as its owner dies before the worker is
+// recorded in the store.
 func TestNameCountsOnlyOnceItsCommitIsDone(t *testing.T) {
 	f := newFixture(t, 1, namedFromFirst)
 	f.reportAll(1)
@@ -22,7 +23,8 @@
 	f.Expect(f.plan().Starts).To(HaveLen(1))
 }
 
-// While the store is slow, jobs went on to be offered workers on which they could not start.
+// Guards against a job that is offered workers on which it may not start, as they are not recorded while
+// the store is slow.
 func TestJobMakesDoWithNamedWorkersWhileTheStoreIsSlow(t *testing.T) {
 	f := newFixture(t, 2, namedFromFirst)
 	f.reportAll(2)
@@ -36,26 +38,27 @@
 	f.pass(recordingTimeout + 10*time.Millisecond)
 	f.Expect(f.pool.isRecordingOverdue(f.now)).To(BeTrue())
 	s := f.pool.jobs["b"].occurrences[0].steps[0]
-	f.Expect(f.pool.isEligible(s, f.pool.workers[workerID(0)], f.now)).To(BeFalse(), "no name of b is stored")
+	f.Expect(f.pool.isEligible(s, f.pool.workers[workerID(0)], f.now)).To(BeFalse(), "no worker of b is recorded")
 }
 
-// All jobs of a former term waited for each silent worker.
+// Guards against a takeover in which all jobs of previous terms wait for each silent worker.
 func TestTakeoverFreesJobsByTheirNames(t *testing.T) {
 	f := newFixture(t, 2, afterOwnerThatNames)
 	f.add(namedJob("never started"))
 	f.pool.AddJob(namedJob("there"), job.Progress{Workers: []string{"w1"}}, true, 0, f.now)
 	f.pool.AddJob(namedJob("elsewhere"), job.Progress{Workers: []string{"w0"}}, true, 0, f.now)
-	f.add(testJob("before names", testStep(1)))
+	f.add(testJob("before recording", testStep(1)))
 	f.report(0, Report{})
 	f.plan()
-	held := map[job.ID]bool{}
+	blocked := map[job.ID]bool{}
 	for id, j := range f.pool.jobs {
-		held[id] = f.pool.isBlockedByTakeover(j)
+		blocked[id] = f.pool.isBlockedByTakeover(j)
 	}
-	f.Expect(held).To(Equal(map[job.ID]bool{"never started": false, "there": true, "elsewhere": false, "before names": true}))
+	f.Expect(blocked).To(Equal(map[job.ID]bool{"never started": false, "there": true, "elsewhere": false, "before recording": true}))
 }
 
-// Members of a gang that a former owner had started wait for the others until they give up.
+// Guards against gang members that a previous owner started and that wait for the others until they give
+// up.
 func TestPartialGangIsStoppedWhenItsJobBecomesFree(t *testing.T) {
 	f := newFixture(t, 3, afterOwnerThatNames)
 	step := testStep(2)
@@ -65,7 +68,7 @@
 	f.pool.AddJob(r, job.Progress{Workers: []string{"w0", "w1"}}, true, 0, f.now)
 	member := ActiveRun{Task: job.TaskID{StepID: job.StepID{Job: "a"}}, Run: 1}
 	f.report(0, Report{Active: []ActiveRun{member}})
-	f.Expect(f.plan().Stops).To(BeEmpty(), "the other may run on w1")
+	f.Expect(f.plan().Stops).To(BeEmpty(), "the other member may run on w1")
 	f.report(1, Report{})
-	f.Expect(f.plan().Stops).To(HaveLen(1), "w2, which is silent, is not named")
+	f.Expect(f.plan().Stops).To(HaveLen(1), "w2, which is silent, is not recorded")
 }
--- a/pkg/dispatch/refused_queues_test.go
+++ b/pkg/dispatch/refused_queues_test.go
@@ -15,7 +15,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// adviceLoad hands in more work than two processes can ask for advice on, to workers that have room for all of it.
+// adviceLoad submits more jobs than two hosts can make advice calls for, to workers that have room for
+// all of them.
 type adviceLoad struct {
 	*fixture
 	rand    *rand.Rand
@@ -26,10 +27,10 @@
 	answers []adviceAnswer
 	handed  map[job.ID]clock.Time
 	refused int
-	last    clock.Time // when jobs were handed in before
+	last    clock.Time // when jobs were last submitted
 }
 
-// adviceQueue is a queue with its load: jobs a second, tasks of a job and how long they run.
+// adviceQueue is a queue with its load: jobs per second, tasks per job and their run time.
 type adviceQueue struct {
 	queue  queue.Queue
 	perS   float64
@@ -51,7 +52,8 @@
 const (
 	loadTick    = 20 * time.Millisecond
 	loadWorkers = 24
-	// loadTime is for how long jobs are handed in, and askedAfter when the last of them has to have begun.
+	// loadTime is for how long jobs are submitted; after askedAfter more, the last of them must have
+	// begun.
 	loadTime   = 40 * time.Second
 	askedAfter = 14 * time.Second
 )
@@ -88,26 +90,27 @@
 	return l
 }
 
-// play hands jobs in for loadTime, and goes on for askedAfter; heeded says that doors refuse what the owner tells them to.
-func (l *adviceLoad) play(heeded bool) {
+// simulate submits jobs for loadTime, and goes on for askedAfter. If heedRefusals, jobs of the queues that the
+// owner refuses are not submitted.
+func (l *adviceLoad) play(heedRefusals bool) {
 	stop := l.now.Add(loadTime)
 	l.last = l.now
 	for end := stop.Add(askedAfter); l.now < end; l.pass(loadTick) {
 		if l.now < stop {
-			l.handIn(heeded)
+			l.handIn(heedRefusals)
 		}
 		l.carryOut()
 	}
 }
 
-func (l *adviceLoad) handIn(heeded bool) {
+func (l *adviceLoad) handIn(heedRefusals bool) {
 	refusals := l.pool.RefusedQueues(l.now)
 	defer func() { l.last = l.now }()
 	for i, q := range l.queues {
 		if l.rand.Float64() >= q.perS*l.now.Sub(l.last).Seconds() {
 			continue
 		}
-		if heeded && slices.ContainsFunc(refusals, func(r admission.Refusal) bool { return r.Queue == q.queue.Name }) {
+		if heedRefusals && slices.ContainsFunc(refusals, func(r admission.Refusal) bool { return r.Queue == q.queue.Name }) {
 			l.refused++
 			continue
 		}
@@ -142,7 +145,8 @@
 	}
 }
 
-// answer has a call for advice answered after its time: 45 of 100 workers may run a step.
+// answerAdviceCall schedules the answer of an advice call after its duration: 45 of 100 workers may run
+// a step.
 func (l *adviceLoad) answer(a AdviceCall) {
 	q := l.queues[a.Step.Job[0]-'0'].queue
 	var tickets []Ticket
@@ -156,22 +160,22 @@
 
 func (l *adviceLoad) reportOf(id WorkerID) Report {
 	var r Report
-	over := func(x runningTask) bool { return l.now >= x.endsAt }
+	hasEnded := func(x runningTask) bool { return l.now >= x.endsAt }
 	for _, x := range l.running[id] {
-		if over(x) {
+		if hasEnded(x) {
 			l.number[id]++
 			l.ended[id] = append(l.ended[id], FinishedRun{Number: l.number[id], Task: x.start.Task, Run: x.start.Run, Reason: EndDone})
 		} else {
 			r.Active = append(r.Active, activeRow(x.start))
 		}
 	}
-	l.running[id] = slices.DeleteFunc(l.running[id], over)
+	l.running[id] = slices.DeleteFunc(l.running[id], hasEnded)
 	r.Finished = l.ended[id]
 	l.ended[id] = nil
 	return r
 }
 
-// notBegun counts the accepted jobs of which no task has begun.
+// unstartedJobs counts the accepted jobs of which no task has started.
 func (l *adviceLoad) notBegun() int {
 	n := 0
 	for _, j := range l.pool.jobs {
@@ -182,8 +186,8 @@
 	return n
 }
 
-// More advice is needed than two processes ask for, while the workers have room. Without refusals some jobs have not begun 14 s after the last was
-// handed in.
+// More advice is needed than two hosts can call for, while the workers have room. Without refusals some
+// jobs have not started 14 s after the last one was submitted.
 func TestAcceptedJobsBeginThoughAdviceIsShort(t *testing.T) {
 	l := newAdviceLoad(t)
 	l.play(true)
@@ -191,10 +195,11 @@
 	l.Expect(l.refused).To(BeNumerically("<", len(l.handed)/2))
 	ignored := newAdviceLoad(t)
 	ignored.play(false)
-	ignored.Expect(ignored.notBegun()).NotTo(BeZero(), "the load is not more than what is got through")
+	ignored.Expect(ignored.notBegun()).NotTo(BeZero(), "the load must exceed what two hosts can call for")
 }
 
-// An owner that knows what it needs to: 20 calls of 0.7 s wait for one process.
+// newAdviceBacklog returns a pool that has run for admission.AdviserJoinTime, in which 20 advice calls
+// of 0.7 s wait for one host.
 func owesAdvice(t *testing.T) *fixture {
 	f := newFixture(t, 2, nil)
 	f.pass(admission.AdviserJoinTime)
@@ -214,18 +219,18 @@
 func TestQueueRefusesWhatAdviceComesTooLateFor(t *testing.T) {
 	f := owesAdvice(t)
 	refusals := f.pool.RefusedQueues(f.now)
-	f.Expect(refusals).To(HaveLen(1), "calls of higher priority go before, and a queue without advice needs none")
+	f.Expect(refusals).To(HaveLen(1), "calls of a higher priority go first, and a queue without advice needs none")
 	f.Expect(refusals[0].Queue).To(Equal("long"))
 	f.Expect(refusals[0].Wait).To(Equal(20 * 700 * time.Millisecond))
 	f.Expect(refusals[0].RetryAfter).To(Equal(refusals[0].Wait - admission.MaxAdviceWait))
 	f.pool.AddAdviser("b")
-	f.Expect(f.pool.RefusedQueues(f.now)).To(BeEmpty(), "two processes get through it")
+	f.Expect(f.pool.RefusedQueues(f.now)).To(BeEmpty(), "two hosts are enough")
 }
 
 func TestQueueRefusesNothingWhileRoomIsShortOrNobodyKnows(t *testing.T) {
 	f := owesAdvice(t)
 	f.pool.RemoveAdviser("a", f.now)
-	f.Expect(f.pool.RefusedQueues(f.now)).To(BeEmpty(), "no process has joined yet")
+	f.Expect(f.pool.RefusedQueues(f.now)).To(BeEmpty(), "no host has joined yet")
 	f.pool.AddAdviser("a")
 	r := testJob("fills", testStep(6))
 	f.add(r)
@@ -241,7 +246,7 @@
 	f.Expect(f.pool.RefusedQueues(f.now)).To(BeEmpty())
 }
 
-// A queue whose steps need several rounds of calls owes more for each that waits.
+// A queue whose steps need several rounds of calls needs more call time for each waiting step.
 func TestAdviceOwedIsLearnedFromWhatStepsTook(t *testing.T) {
 	f := owesAdvice(t)
 	before := f.pool.pendingAdviceTime()[1]
@@ -251,7 +256,8 @@
 	f.Expect(f.pool.pendingAdviceTime()[1].Seconds()).To(BeNumerically("~", 1.2*before.Seconds(), 0.01))
 }
 
-// A new owner knows of itself alone before the others have joined: it refuses nothing by that, and sends nobody away for longer than a job may wait.
+// A new owner knows only itself before the other hosts have joined: until then it refuses nothing, and
+// later it sends no caller away for longer than a job may wait.
 func TestNewOwnerRefusesNothingBeforeHostsHaveJoined(t *testing.T) {
 	f := owesAdvice(t)
 	for n := range 40 {
--- a/pkg/dispatch/reservations_test.go
+++ b/pkg/dispatch/reservations_test.go
@@ -14,7 +14,8 @@
 	return job.Step{Count: n, Gang: true, Resources: cell.Resources{CPUMillis: 4000, MemoryMB: 1000}, Estimate: time.Second}
 }
 
-// waitingGang has a gang that needs all of four workers, which are all allowed, wait for one.
+// newWaitingGang returns a pool in which a gang waits that needs four workers; advice allows it exactly
+// four.
 func waitingGang(t *testing.T) *fixture {
 	f := newFixture(t, 20, nil)
 	f.reportAll(20)
@@ -38,14 +39,14 @@
 	f := waitingGang(t)
 	r := f.reservedFor("a")
 	priority := testQueue.Priority
-	held := 0
+	reserved := 0
 	for n := range 20 {
 		if r.isReserved(workerID(n), priority) {
-			held++
+			reserved++
 		}
 	}
-	f.Expect(held).To(Equal(3), "15 in a hundred of the workers at most")
-	f.Expect(r.isReserved("w3", priority+1)).To(BeTrue(), "from lower priorities it holds all that may run it")
+	f.Expect(reserved).To(Equal(3), "at most 15 percent of the workers")
+	f.Expect(r.isReserved("w3", priority+1)).To(BeTrue(), "all workers that may run it are reserved from lower priorities")
 	f.Expect(r.isReserved("w9", priority+1)).To(BeFalse())
 }
 
@@ -83,9 +84,9 @@
 		f.add(testJob(string(workerID(n)), s))
 	}
 	f.runAll()
-	held := f.reservedFor("a")
-	f.Expect(held.priorities).To(HaveLen(2))
-	for id := range held.priorities {
+	reserved := f.reservedFor("a")
+	f.Expect(reserved.priorities).To(HaveLen(2))
+	for id := range reserved.priorities {
 		busy := time.Duration(0)
 		for _, r := range f.pool.workers[id].runs {
 			busy = max(busy, r.timeLeft(f.now))
--- a/pkg/dispatch/restart_number_test.go
+++ b/pkg/dispatch/restart_number_test.go
@@ -8,176 +8,183 @@
 	. "github.com/onsi/gomega"
 )
 
-// losesStartsOfNewNumbers has worker 0 leave the first start of task 0 of a job without an answer, and the first one of its next number.
-func (h *hall) losesStartsOfNewNumbers() {
-	h.loses = func(s StartOrder) bool {
-		if s.Task.Index != 0 || len(h.kept) == 2 {
+// loseTwoRunNumbers has worker 0 leave two starts of task 0 of a job without an answer: its first start,
+// and the first one under another run number.
+func (sim *hall) losesStartsOfNewNumbers() {
+	sim.loses = func(s StartOrder) bool {
+		if s.Task.Index != 0 || len(sim.kept) == 2 {
 			return false
 		}
-		return len(h.kept) == 0 || s.Run != h.kept[0].Run
+		return len(sim.kept) == 0 || s.Run != sim.kept[0].Run
 	}
 }
 
-// nextLifeTakesKept has worker 0 crash, and its next life carry out all starts that it may still carry out, as soon as it is there.
-func (h *hall) nextLifeTakesKept() {
-	h.crashes(0)
-	h.passes(600 * time.Millisecond)
-	h.comesUnlisted(secondLife(0))
-	h.takes["a"] = 10 * time.Second
-	for _, k := range h.kept {
-		if h.now.Sub(k.sentAt) <= maxOrderDelay {
-			h.takes0(k.StartOrder)
+// executePendingOnNextIncarnation crashes worker 0, and has its next incarnation carry out all pending
+// starts that have not expired, as soon as it has begun.
+func (sim *hall) nextLifeTakesKept() {
+	sim.crashes(0)
+	sim.passes(600 * time.Millisecond)
+	sim.comesUnlisted(secondLife(0))
+	sim.takes["a"] = 10 * time.Second
+	for _, k := range sim.kept {
+		if sim.now.Sub(k.sentAt) <= maxOrderDelay {
+			sim.takes0(k.StartOrder)
 		}
 	}
-	h.checkNoneRunsTwice()
+	sim.checkNoneRunsTwice()
 }
 
-// crashesAtAnyTime plays a job of which two starts with numbers of their own get no answer, with a crash of their worker at each half second. The second start is
-// to be sent when the first one can't be carried out any more.
-func crashesAtAnyTime(t *testing.T, r job.Record, ends func(*hall)) {
+// testCrashAtAnyTime simulates a job of which two starts with numbers of their own get no answer, with a
+// crash of their worker after each half second. The second start should be sent when the first one can't
+// be carried out any more.
+func crashesAtAnyTime(t *testing.T, r job.Record, endRun func(*hall)) {
 	const last = maxOrderDelay + 2*time.Second
 	for after := 500 * time.Millisecond; after <= last; after += 500 * time.Millisecond {
 		t.Run(after.String(), func(t *testing.T) {
-			h := newHall(t, 1)
-			h.losesStartsOfNewNumbers()
-			h.gets(r)
-			for end := h.now.Add(after); h.now < end; h.beats() {
-				ends(h)
+			sim := newHall(t, 1)
+			sim.losesStartsOfNewNumbers()
+			sim.gets(r)
+			for end := sim.now.Add(after); sim.now < end; sim.beats() {
+				endRun(sim)
 			}
-			h.Expect(h.kept).NotTo(BeEmpty())
+			sim.Expect(sim.kept).NotTo(BeEmpty())
 			if after == last {
-				h.Expect(h.kept).To(HaveLen(2))
+				sim.Expect(sim.kept).To(HaveLen(2))
 			}
-			h.nextLifeTakesKept()
+			sim.nextLifeTakesKept()
 		})
 	}
 }
 
-// Guards against a start after a run that failed, which has a number of its own and is carried out by the next life beside a void start of before.
+// Guards against two runs after a failed run: the start after it has a number of its own, and the next
+// incarnation carries it out beside the invalidated start.
 func TestStartAfterAFailureIsNotCarriedOutBesideAVoidOne(t *testing.T) {
-	crashesAtAnyTime(t, testJob("a", testStep(1)), func(h *hall) { h.how["a"] = EndFailed })
+	crashesAtAnyTime(t, testJob("a", testStep(1)), func(sim *hall) { sim.how["a"] = EndFailed })
 }
 
-// Guards against the same after a run that was stopped to make room for others.
+// Guards against the same after a run was stopped to make room for others.
 func TestStartAfterAStopIsNotCarriedOutBesideAVoidOne(t *testing.T) {
-	crashesAtAnyTime(t, testJob("a", testStep(1)), func(h *hall) {
-		h.takes["a"] = time.Hour
-		if r := h.pool.task(taskOf("a", 0)).current; len(h.kept) == 1 && r != nil && r.state == runActive {
-			h.pool.stopRun(r)
+	crashesAtAnyTime(t, testJob("a", testStep(1)), func(sim *hall) {
+		sim.takes["a"] = time.Hour
+		if r := sim.pool.task(taskOf("a", 0)).current; len(sim.kept) == 1 && r != nil && r.state == runActive {
+			sim.pool.stopRun(r)
 		}
 	})
 }
 
-// Guards against the same of a gang, of which all members start again with one number.
+// Guards against the same for a gang, of which all members start again with one number.
 func TestGangThatStartsAgainIsNotCarriedOutBesideAVoidStart(t *testing.T) {
-	crashesAtAnyTime(t, voidGang(2), func(h *hall) { h.how["a"] = EndFailed })
+	crashesAtAnyTime(t, voidGang(2), func(sim *hall) { sim.how["a"] = EndFailed })
 }
 
-// Guards against the same after a crash, where the life after the next one carries out both.
+// Guards against the same after a crash, where the third incarnation carries out both starts.
 func TestStartAfterACrashIsNotCarriedOutBesideAVoidOne(t *testing.T) {
-	h := newHall(t, 1)
-	h.losesStartsOfNewNumbers()
-	h.takes["a"] = time.Hour
-	h.gets(testJob("a", testStep(1)))
-	h.passes(time.Second)
-	h.Expect(h.there[0].active).To(HaveLen(1))
-	h.crashes(0)
-	h.passes(600 * time.Millisecond)
-	h.comes(secondLife(0))
-	h.passes(2 * time.Second)
-	h.crashes(0)
-	h.passes(600 * time.Millisecond)
-	h.comesUnlisted(thirdLife(0))
-	for _, k := range h.kept {
-		h.takes0(k.StartOrder)
+	sim := newHall(t, 1)
+	sim.losesStartsOfNewNumbers()
+	sim.takes["a"] = time.Hour
+	sim.gets(testJob("a", testStep(1)))
+	sim.passes(time.Second)
+	sim.Expect(sim.there[0].active).To(HaveLen(1))
+	sim.crashes(0)
+	sim.passes(600 * time.Millisecond)
+	sim.comes(secondLife(0))
+	sim.passes(2 * time.Second)
+	sim.crashes(0)
+	sim.passes(600 * time.Millisecond)
+	sim.comesUnlisted(thirdLife(0))
+	for _, k := range sim.kept {
+		sim.takes0(k.StartOrder)
 	}
-	h.checkNoneRunsTwice()
+	sim.checkNoneRunsTwice()
 }
 
-// Guards against a wait of a gang none of whose members has begun: it starts again under the same number.
+// Guards against a needless wait of a gang of which no member has started: it starts again under the
+// same number.
 func TestGangWhoseStartsAreAllVoidStartsAgainAtOnce(t *testing.T) {
-	h := newHall(t, 1)
-	h.loses = func(StartOrder) bool { return len(h.kept) < 4 }
-	h.gets(voidGang(2))
-	h.isDoneWithin(5*time.Second, "a")
-	h.Expect(h.started).To(HaveLen(6))
-	for _, s := range h.started {
-		h.Expect(s.Run).To(Equal(h.started[0].Run))
+	sim := newHall(t, 1)
+	sim.loses = func(StartOrder) bool { return len(sim.kept) < 4 }
+	sim.gets(voidGang(2))
+	sim.isDoneWithin(5*time.Second, "a")
+	sim.Expect(sim.started).To(HaveLen(6))
+	for _, s := range sim.started {
+		sim.Expect(s.Run).To(Equal(sim.started[0].Run))
 	}
 }
 
-// failedBesideAVoidStart is a hall of one worker in which task 0 of a job has failed while a void start of it may be carried out.
+// newFailureBesideLateStart returns a simulation of one worker in which task 0 of a job has failed while
+// a late start of it may still be carried out.
 func failedBesideAVoidStart(t *testing.T, r job.Record) *hall {
-	h := newHall(t, 1)
-	h.loses = func(s StartOrder) bool { return len(h.kept) == 0 && s.Task.Index == 0 }
-	h.how["a"] = EndFailed
-	h.gets(r)
-	h.passes(2 * time.Second)
-	h.Expect(h.kept).To(HaveLen(1))
-	h.Expect(h.pool.task(taskOf("a", 0)).failures).NotTo(BeEmpty())
-	delete(h.how, "a")
-	return h
+	sim := newHall(t, 1)
+	sim.loses = func(s StartOrder) bool { return len(sim.kept) == 0 && s.Task.Index == 0 }
+	sim.how["a"] = EndFailed
+	sim.gets(r)
+	sim.passes(2 * time.Second)
+	sim.Expect(sim.kept).To(HaveLen(1))
+	sim.Expect(sim.pool.task(taskOf("a", 0)).failures).NotTo(BeEmpty())
+	delete(sim.how, "a")
+	return sim
 }
 
-// Guards against waits of what has no void start, and against a wait that is longer than that start may be carried out.
+// Guards against waits of tasks that have no late start, and against a wait that goes on after the late
+// start has expired.
 func TestTaskThatOutwaitsAVoidStartHoldsUpNothingElse(t *testing.T) {
 	t.Run("another task of its step", func(t *testing.T) {
-		h := failedBesideAVoidStart(t, testJob("a", testStep(2)))
-		h.passes(1500 * time.Millisecond)
-		h.Expect(h.pool.task(taskOf("a", 1)).done).To(BeTrue())
-		h.Expect(h.pool.task(taskOf("a", 0)).done).To(BeFalse())
+		sim := failedBesideAVoidStart(t, testJob("a", testStep(2)))
+		sim.passes(1500 * time.Millisecond)
+		sim.Expect(sim.pool.task(taskOf("a", 1)).done).To(BeTrue())
+		sim.Expect(sim.pool.task(taskOf("a", 0)).done).To(BeFalse())
 	})
 	t.Run("a job of a lower priority on its worker", func(t *testing.T) {
-		h := failedBesideAVoidStart(t, testJob("a", testStep(1)))
+		sim := failedBesideAVoidStart(t, testJob("a", testStep(1)))
 		r := testJob("b", testStep(4)) // all that the worker has room for
 		r.Queue.Name, r.Queue.Priority = "later", 5
-		h.gets(r)
-		h.isDoneWithin(2*time.Second, "b")
+		sim.gets(r)
+		sim.isDoneWithin(2*time.Second, "b")
 	})
 	t.Run("its cancelling", func(t *testing.T) {
-		h := failedBesideAVoidStart(t, testJob("a", testStep(1)))
-		h.pool.Cancel("a")
-		h.passes(200 * time.Millisecond)
-		state, _, _ := h.pool.JobState("a")
-		h.Expect(state).To(Equal(job.Cancelled))
+		sim := failedBesideAVoidStart(t, testJob("a", testStep(1)))
+		sim.pool.Cancel("a")
+		sim.passes(200 * time.Millisecond)
+		state, _, _ := sim.pool.JobState("a")
+		sim.Expect(state).To(Equal(job.Cancelled))
 	})
-	t.Run("its own end once the start is over", func(t *testing.T) {
-		h := failedBesideAVoidStart(t, testJob("a", testStep(1)))
-		over := h.kept[0].sentAt.Add(maxOrderDelay)
-		again := h.startsWithin(maxOrderDelay, "a")
-		h.Expect(h.now.Sub(over)).To(And(BeNumerically(">", 0), BeNumerically("<", 5*beat)))
-		h.Expect(again.Run).To(BeNumerically(">", h.kept[0].Run))
-		h.isDoneWithin(2*time.Second, "a")
+	t.Run("its own end once the late start has expired", func(t *testing.T) {
+		sim := failedBesideAVoidStart(t, testJob("a", testStep(1)))
+		expiry := sim.kept[0].sentAt.Add(maxOrderDelay)
+		again := sim.startsWithin(maxOrderDelay, "a")
+		sim.Expect(sim.now.Sub(expiry)).To(And(BeNumerically(">", 0), BeNumerically("<", 5*beat)))
+		sim.Expect(again.Run).To(BeNumerically(">", sim.kept[0].Run))
+		sim.isDoneWithin(2*time.Second, "a")
 	})
 }
 
-// Guards against an operator who is told nothing of what a job waits for, by the present owner and by the next.
+// Guards against an operator who is not told what a job waits for, by the present owner and by the next.
 func TestTaskThatOutwaitsAVoidStartSaysSo(t *testing.T) {
-	h := failedBesideAVoidStart(t, testJob("a", testStep(1)))
-	e, _ := h.pool.Explain("a", h.now)
-	h.Expect(e.Steps[0].WaitReason).To(HavePrefix("an earlier start without an answer"))
-	h.Expect(h.delays()).To(Equal(1))
-	h.nextOwner()
-	h.passes(time.Second)
-	e, _ = h.pool.Explain("a", h.now)
-	h.Expect(e.Steps[0].WaitReason).To(HavePrefix("an earlier start without an answer"))
-	h.Expect(h.delays()).To(Equal(2))
+	sim := failedBesideAVoidStart(t, testJob("a", testStep(1)))
+	e, _ := sim.pool.Explain("a", sim.now)
+	sim.Expect(e.Steps[0].WaitReason).To(HavePrefix("an earlier start without an answer"))
+	sim.Expect(sim.delays()).To(Equal(1))
+	sim.nextOwner()
+	sim.passes(time.Second)
+	e, _ = sim.pool.Explain("a", sim.now)
+	sim.Expect(e.Steps[0].WaitReason).To(HavePrefix("an earlier start without an answer"))
+	sim.Expect(sim.delays()).To(Equal(2))
 }
 
-// Guards against a log that tells of a delayed start of a task that is done.
+// Guards against a log line about the delayed start of a task that is done.
 func TestDoneTaskIsNotLoggedAsDelayed(t *testing.T) {
-	h := newHall(t, 1)
-	h.loses = func(StartOrder) bool { return len(h.kept) == 0 }
-	h.gets(testJob("a", testStep(1)))
-	h.isDoneWithin(3*time.Second, "a")
-	h.Expect(h.kept).To(HaveLen(1))
-	h.Expect(h.delays()).To(Equal(0))
+	sim := newHall(t, 1)
+	sim.loses = func(StartOrder) bool { return len(sim.kept) == 0 }
+	sim.gets(testJob("a", testStep(1)))
+	sim.isDoneWithin(3*time.Second, "a")
+	sim.Expect(sim.kept).To(HaveLen(1))
+	sim.Expect(sim.delays()).To(Equal(0))
 }
 
-// delays counts the lines of the log that tell of a start that is delayed.
-func (h *hall) delays() int {
+// delayEvents counts the logged events that report a delayed start.
+func (sim *hall) delays() int {
 	n := 0
-	for _, e := range h.events {
+	for _, e := range sim.events {
 		if e.Name == "start_delayed" {
 			n++
 		}
@@ -185,20 +192,21 @@
 	return n
 }
 
-// Guards against a start of a later owner that is carried out beside a void one of a former owner, whose number had ended or had not.
+// Guards against a start of a later owner that is carried out beside a late start of a previous owner,
+// whose run has ended or not.
 func TestStartOfALaterOwnerIsNotCarriedOutBesideAVoidOne(t *testing.T) {
 	for name, before := range map[string]time.Duration{"before its run has ended": 200 * time.Millisecond, "after its run has failed": 2 * time.Second} {
 		t.Run(name, func(t *testing.T) {
-			h := newHall(t, 1)
-			h.loses = func(s StartOrder) bool { return len(h.kept) == 0 }
-			h.how["a"] = EndFailed
-			h.gets(testJob("a", testStep(1)))
-			h.passes(before)
-			h.Expect(h.kept).To(HaveLen(1))
-			h.nextOwner()
-			h.loses = func(s StartOrder) bool { return len(h.kept) == 1 }
-			h.passes(2 * time.Second)
-			h.nextLifeTakesKept()
+			sim := newHall(t, 1)
+			sim.loses = func(s StartOrder) bool { return len(sim.kept) == 0 }
+			sim.how["a"] = EndFailed
+			sim.gets(testJob("a", testStep(1)))
+			sim.passes(before)
+			sim.Expect(sim.kept).To(HaveLen(1))
+			sim.nextOwner()
+			sim.loses = func(s StartOrder) bool { return len(sim.kept) == 1 }
+			sim.passes(2 * time.Second)
+			sim.nextLifeTakesKept()
 		})
 	}
 }
--- a/pkg/dispatch/retirement_test.go
+++ b/pkg/dispatch/retirement_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// retired has worker w1 of two run a task of job a and drain, and returns the roster's record of it.
+// retiredWorker has worker w1 of two run a task of job a and drain, and returns its entry in the roster.
 func retired(t *testing.T) WorkerInfo {
 	f := newFixture(t, 2, nil)
 	f.reportAll(2)
@@ -25,7 +25,8 @@
 	return infos[0]
 }
 
-// Workers that were told to leave before their owner died never report again, and held back all jobs until their leases lapsed.
+// Guards against a takeover that blocks all jobs until the leases of workers expire that were retired
+// before their owner died and never report again.
 func TestTakeoverHoldsBackOnlyJobsOfARetiredWorker(t *testing.T) {
 	record := retired(t)
 	f := newFixture(t, 2, afterFormerOwner)
@@ -37,15 +38,16 @@
 	f.Expect(starts).To(HaveLen(1))
 	f.Expect(starts[0].Task.Job).To(Equal(job.ID("b")))
 	f.Expect(f.pool.Status(f.now).BlockedJobs).To(Equal(1))
-	f.Expect(f.pool.RosterEntries(workerID(1).Name())[0].Jobs).To(Equal([]job.ID{"a"}), "the next owner has to know it, too")
+	f.Expect(f.pool.RosterEntries(workerID(1).Name())[0].Jobs).To(Equal([]job.ID{"a"}), "the next owner has to know the jobs, too")
 	f.pass(8500 * time.Millisecond)
 	f.report(0, Report{})
 	starts = f.plan().Starts
-	f.Expect(starts).To(HaveLen(1), "everything on the worker has lapsed")
+	f.Expect(starts).To(HaveLen(1), "all leases of the worker have expired")
 	f.Expect(starts[0].Task.Job).To(Equal(job.ID("a")))
 }
 
-// The list of jobs is final, so a worker must not be given another one when its entry changes again.
+// The list of jobs of a retired worker is final, so the worker must not be given another job when its
+// entry changes back.
 func TestRetiredWorkerGetsNoStartThoughItsEntryNoLongerDrains(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.reportAll(1)
@@ -56,7 +58,7 @@
 	f.Expect(f.plan().Starts).To(BeEmpty())
 }
 
-// A worker that lists a run of a job that is not known yet may run more than is counted.
+// A worker that reports a run of a job that is not known yet may run more than is counted.
 func TestWorkerWithUnknownRunsIsNotRetired(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.report(0, Report{Active: []ActiveRun{{Task: job.TaskID{StepID: job.StepID{Job: "x"}}, Run: 1}}})
@@ -65,7 +67,8 @@
 	f.Expect(f.pool.RosterEntries(workerID(0).Name())[0].Retired).To(BeFalse())
 }
 
-// A report that is cut short may leave out a run of a job that becomes known later, and that a later owner would free.
+// A truncated report may leave out a run of a job that becomes known later; a later owner would start
+// that job beside the run.
 func TestWorkerIsNotRetiredByAReportThatIsCutShort(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.report(0, Report{Active: []ActiveRun{{Task: job.TaskID{StepID: job.StepID{Job: "x"}}, Run: 1}}})
--- a/pkg/dispatch/roster_test.go
+++ b/pkg/dispatch/roster_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// Roster is the whole roster, by id.
+// Roster returns the whole roster, sorted by id.
 func (p *Pool) Roster() []WorkerInfo {
 	var out []WorkerInfo
 	for name := range p.workerHistories {
@@ -22,7 +22,8 @@
 	return out
 }
 
-// partingUnknown are workers in the roster of which only the roster of a former owner has told.
+// crashedWithoutHistory returns the workers that are known only from the roster of a previous owner, as
+// crashed and not counted yet.
 func (p *Pool) partingUnknown() []WorkerInfo {
 	if _, known := p.workerHistories[p.uncountedCrash.ID.Name()]; known || !p.takeover.hasUncountedCrash || !p.hasJobOfPreviousOwner() {
 		return nil
@@ -30,7 +31,8 @@
 	return []WorkerInfo{p.uncountedCrash}
 }
 
-// rosterCopy is a roster that is kept record by record, as the store has it.
+// rosterCopy is a copy of the roster that is updated entry by entry, like the one in the store. Its keys
+// are the names of workers.
 type rosterCopy map[string][]WorkerInfo
 
 func (c rosterCopy) follow(p *Pool) {
@@ -61,14 +63,15 @@
 	return out
 }
 
-// checkRoster judges that the records that an owner has written by its news are those that it should have.
+// checkRoster checks that the entries that an owner has written after its changes are those that the
+// roster should have.
 func (w *world) checkRoster(o *modelOwner) {
 	if o.roster == nil {
 		o.roster = rosterCopy{}
 	}
 	o.roster.follow(o.pool)
 	if got, want := o.roster.ids(), rosterIDs(w.roster); !slices.Equal(got, want) {
-		w.broken("ROSTER its records name %v, not %v", got, want)
+		w.broken("ROSTER its entries are %v, not %v", got, want)
 	}
 }
 
@@ -76,7 +79,7 @@
 	f := newFixture(t, 3, nil)
 	f.Expect(f.pool.TakeRosterChanges()).To(HaveLen(3))
 	f.reportAll(3)
-	f.Expect(f.pool.TakeRosterChanges()).To(BeEmpty(), "an answer changes nothing")
+	f.Expect(f.pool.TakeRosterChanges()).To(BeEmpty(), "a report changes nothing")
 	f.lists(firstLife(7))
 	f.Expect(f.pool.TakeRosterChanges()).To(Equal([]string{firstLife(7).id.Name()}))
 	f.pool.terminateWorker(f.pool.workers[workerID(1)], "test", f.now)
@@ -87,7 +90,7 @@
 	f.Expect(f.pool.RosterEntries(workerID(1).Name())).To(BeEmpty())
 }
 
-// BenchmarkRosterChange is a worker that comes and goes in pools of several sizes.
+// BenchmarkRosterChange adds and removes a worker in pools of several sizes.
 func BenchmarkRosterChange(b *testing.B) {
 	for _, n := range []int{1100, 6000, 12000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/pkg/dispatch/takeover_test.go
+++ b/pkg/dispatch/takeover_test.go
@@ -8,12 +8,13 @@
 	. "github.com/onsi/gomega"
 )
 
+// afterPreviousOwner is the configuration of an owner that takes over from a previous one.
 func afterFormerOwner(c *Config) {
 	c.Token, c.HasPreviousOwner, c.RunNumberBase, c.Term = nextEpoch, true, 1000, 2
 }
 
-// Seed: trouble-3 of hanbit-ops. A new owner reads three failures from two workers, the
-// later one first; the earlier one must count.
+// Guards against an attempt that is not counted: a new owner reads three failures from two workers, the
+// later one first. Seen with seed trouble-3 of hanbit-ops.
 func TestFailuresOfFormerOwnerCountInAnyOrder(t *testing.T) {
 	f := newFixture(t, 3, afterFormerOwner)
 	f.add(testJob("a", testStep(1)))
@@ -24,8 +25,8 @@
 	f.Expect(f.plan().Starts).To(BeEmpty(), "three attempts have failed")
 }
 
-// Seed: trouble-2 of hanbit-ops. A host tells of a job that was handed in again after its
-// end, before the new owner has listed the outcomes.
+// Guards against a job that runs again: a host reports a job that was submitted again after its end,
+// before the new owner has read the outcomes. Seen with seed trouble-2 of hanbit-ops.
 func TestOutcomeOfTheStoreEndsAJobThatWasToldAgain(t *testing.T) {
 	f := newFixture(t, 1, afterFormerOwner)
 	f.add(testJob("a", testStep(1)))
@@ -46,7 +47,7 @@
 	f.Expect(f.plan().Starts).To(BeEmpty(), "2 s of authority and 6 s of a lease may not be over")
 	f.pass(1500 * time.Millisecond)
 	f.report(0, Report{})
-	f.Expect(f.plan().Starts).To(HaveLen(1), "what the former owner started has lapsed")
+	f.Expect(f.plan().Starts).To(HaveLen(1), "the leases of what the previous owner started have expired")
 }
 
 func TestJobAcceptedUnderTheNewTermStartsAtOnce(t *testing.T) {
@@ -60,8 +61,8 @@
 	f.Expect(starts[0].Run).To(Equal(1))
 }
 
-// Seed: trouble-1 of mmda-foldarch. A worker of the roster had left for good; each new owner
-// waited for it.
+// Guards against each new owner waiting for a worker of the roster that has left for good. Seen with
+// seed trouble-1 of mmda-foldarch.
 func TestWorkerOfTheRosterThatNeverAnswersIsGivenUp(t *testing.T) {
 	f := newFixture(t, 1, afterFormerOwner)
 	f.pool.UpsertWorker(WorkerInfo{ID: "left", Pool: "pool"}, false, f.now)
@@ -85,8 +86,8 @@
 	f.Expect(starts[0].Run).To(BeNumerically(">", 1000))
 }
 
-// Found on 3,000 workers with hosts of 0.5 cores: a new owner took 1.7 s from a worker's first
-// answer to its next call there, and held the leases of the former owner for lapsed.
+// Guards against leases of the previous owner that are taken for expired too early: a new owner took 1.7
+// s from a worker's first answer to its next poll there. Seen with 3,000 workers and hosts of 0.5 cores.
 func TestLeasesOfAFormerOwnerOutlastTheFirstAnswerOfASilentWorker(t *testing.T) {
 	f := newFixture(t, 2, afterFormerOwner)
 	f.add(testJob("a", testStep(1)))
@@ -96,27 +97,27 @@
 	for elapsed := time.Duration(0); elapsed < 5*time.Second; elapsed += 500 * time.Millisecond {
 		f.pass(500 * time.Millisecond)
 		f.report(1, Report{})
-		f.Expect(f.plan().Starts).To(BeEmpty(), "the former owner may have leased the run for 6 s")
+		f.Expect(f.plan().Starts).To(BeEmpty(), "the previous owner may have leased the run for 6 s")
 	}
 	f.pass(1400 * time.Millisecond)
 	f.report(1, Report{})
-	f.Expect(f.plan().Starts).To(HaveLen(1), "every lease of the former owner has lapsed")
+	f.Expect(f.plan().Starts).To(HaveLen(1), "every lease of the previous owner has expired")
 }
 
 func TestHigherTokenAtAWorkerEndsTheOwner(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.reportAll(1)
-	h, _ := f.pool.NewPoll("w0", false, true, f.now)
-	f.pool.HandlePollAnswer(h, Answer{Verdict: VerdictFenced}, Report{}, f.now)
+	poll, _ := f.pool.NewPoll("w0", false, true, f.now)
+	f.pool.HandlePollAnswer(poll, Answer{Verdict: VerdictFenced}, Report{}, f.now)
 	f.Expect(f.pool.IsFenced()).To(BeTrue())
 }
 
 func TestOwnHigherTokenDoesNotEndTheOwner(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.reportAll(1)
-	h, _ := f.pool.NewPoll("w0", false, true, f.now)
+	poll, _ := f.pool.NewPoll("w0", false, true, f.now)
 	_, _ = f.pool.NewPoll("w0", true, true, f.now)
-	f.pool.HandlePollAnswer(h, Answer{Verdict: VerdictFenced}, Report{}, f.now)
+	f.pool.HandlePollAnswer(poll, Answer{Verdict: VerdictFenced}, Report{}, f.now)
 	f.Expect(f.pool.IsFenced()).To(BeFalse())
 }
 
@@ -136,7 +137,7 @@
 	f.Expect(state).To(Equal(job.Completed))
 }
 
-// startedAgain lets time pass, with one worker answering, until a task is started there.
+// waitForRestart lets time pass, with one worker reporting, until a task is started there.
 func (f *fixture) startedAgain(worker int) StartOrder {
 	for range 100 {
 		f.pass(200 * time.Millisecond)
@@ -149,9 +150,10 @@
 	return StartOrder{}
 }
 
-// Seed 32 of the random histories. A worker that was cut off had done a task; the task was started
-// elsewhere when its lease had lapsed. The end was noted all the same when the worker was back,
-// but the task was not taken for done, and it was started once more after its second run was lost.
+// Guards against an end that is acknowledged but not counted: an unreachable worker had done a task,
+// which was started elsewhere when its lease had expired. When the worker was back, its end was
+// acknowledged, but the task was not marked as done, and was started once more after its second run was
+// lost. Seen with seed 32 of the random histories.
 func TestEndOfALapsedRunCountsThoughTheTaskRunsElsewhere(t *testing.T) {
 	f := newFixture(t, 2, nil)
 	f.reportAll(2)
@@ -182,7 +184,7 @@
 	f.report(numberOf(first.Worker), f.end(first, 1, EndDone)) // the second start is on its way
 	next := f.plan().Starts
 	f.Expect(next).To(HaveLen(1))
-	f.Expect(next[0].Task.Step).To(Equal(1), "the next step's turn has come")
+	f.Expect(next[0].Task.Step).To(Equal(1), "the next step may begin")
 	f.accept(second)
 	stops := f.plan().Stops
 	f.Expect(stops).To(HaveLen(1))
--- a/pkg/dispatch/tickets_test.go
+++ b/pkg/dispatch/tickets_test.go
@@ -10,7 +10,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// Guards against tickets that are counted twice, not at all, or under a cause that hides why calls were wasted.
+// Guards against tickets that are counted twice, not at all, or under a cause that hides why calls were
+// wasted.
 func TestTicketsAreCountedByHowTheyEnd(t *testing.T) {
 	one := func(f *fixture) { f.add(advisedJob("a", testStep(1))) }
 	gang := func(f *fixture) { f.add(advisedJob("a", gangOf(8))) }
@@ -23,7 +24,7 @@
 			f.accept(s)
 		}
 		f.add(of(c, advisedJob("a", testStep(1))))
-		f.pool.jobs["a"].occurrences[0].steps[0].promoted = true // its tickets are to be there when the quota has room
+		f.pool.jobs["a"].occurrences[0].steps[0].promoted = true // so that advice is requested before the quota has room
 	}
 	fill := func(f *fixture) {
 		for _, w := range f.pool.workers {
@@ -32,14 +33,14 @@
 	}
 	for name, test := range map[string]struct {
 		job    func(*fixture)
-		answer func(f *fixture, s *step, named []WorkerID)
+		answer func(f *fixture, s *step, targets []WorkerID)
 		after  func(*fixture)
 		want   map[advice.TicketOutcome]int64
 	}{
 		"one of two is used": {one, nil, nil, map[advice.TicketOutcome]int64{advice.TicketUsed: 1, advice.TicketStepDone: 1}},
 		"cancelled":          {one, nil, func(f *fixture) { f.pool.Cancel("a") }, map[advice.TicketOutcome]int64{advice.TicketStepDone: 2}},
 		"room is taken":      {one, nil, fill, map[advice.TicketOutcome]int64{advice.TicketRoomTaken: 2}},
-		"a gang lacks others": {gang, nil, func(f *fixture) {
+		"a gang lacks tickets": {gang, nil, func(f *fixture) {
 			f.pool.workers["w0"].suspendedUntil = f.now.Add(time.Minute)
 		}, map[advice.TicketOutcome]int64{advice.TicketGangIncomplete: 1, advice.TicketRoomTaken: 1}},
 	} {
@@ -62,29 +63,31 @@
 	})
 }
 
-// expectTicketEnds has tickets for all workers given, something happen, and the tickets lapse.
+// expectTicketOutcomes has an advice call answered with tickets for all workers, runs after, lets the
+// tickets expire, and checks how their outcomes are counted.
 func expectTicketEnds(f *fixture, after func(*fixture), want map[advice.TicketOutcome]int64) {
-	ask := f.plan().AdviceCalls[0]
+	call := f.plan().AdviceCalls[0]
 	f.pass(50 * time.Millisecond)
-	f.pool.HandleAdviceAnswer(ask.Number, []Ticket{{"w0", "t"}, {"w1", "t"}}, true, f.now)
+	f.pool.HandleAdviceAnswer(call.Number, []Ticket{{"w0", "t"}, {"w1", "t"}}, true, f.now)
 	if after != nil {
 		after(f)
 	}
-	var ends []StartOrder
+	var starts []StartOrder
 	for range 3 {
-		ends = append(ends, f.plan().Starts...)
+		starts = append(starts, f.plan().Starts...)
 		f.pass(time.Second)
 		f.pool.workers["w0"].lastAnsweredAt, f.pool.workers["w1"].lastAnsweredAt = f.now, f.now
 	}
 	f.pool.countExpiredTickets(f.now)
 	f.pool.countExpiredTickets(f.now)
-	for end := advice.TicketUsed; end <= advice.TicketStepDone; end++ {
-		f.Expect(f.pool.advice.tally.Tickets(end)).To(Equal(want[end]), "end %d", end)
+	for outcome := advice.TicketUsed; outcome <= advice.TicketStepDone; outcome++ {
+		f.Expect(f.pool.advice.tally.Tickets(outcome)).To(Equal(want[outcome]), "outcome %d", outcome)
 	}
-	f.Expect(f.pool.advice.tally.Starts()).To(Equal(int64(len(ends))))
+	f.Expect(f.pool.advice.tally.Starts()).To(Equal(int64(len(starts))))
 }
 
-// Guards against seconds of calls that are missing in the sums by standing or by customer, also of calls that fail.
+// Guards against call time that is missing in the sums by value class or by customer, also of calls that
+// fail.
 func TestSecondsOfCallsAreSummedUpByStandingAndCustomer(t *testing.T) {
 	f := newFixture(t, 2, nil)
 	f.reportAll(2)
@@ -92,10 +95,10 @@
 	f.add(of(north(0), advisedJob("a", testStep(1))))
 	for _, ok := range []bool{true, false} {
 		f.pool.workers["w0"].lastAnsweredAt, f.pool.workers["w1"].lastAnsweredAt = f.now, f.now
-		asks := f.plan().AdviceCalls
-		f.Expect(asks).To(HaveLen(1))
+		calls := f.plan().AdviceCalls
+		f.Expect(calls).To(HaveLen(1))
 		f.pass(100 * time.Millisecond)
-		f.pool.HandleAdviceAnswer(asks[0].Number, nil, ok, f.now)
+		f.pool.HandleAdviceAnswer(calls[0].Number, nil, ok, f.now)
 		f.pool.jobs["a"].occurrences[0].steps[0].advice = stepAdvice{}
 		f.pool.jobs["a"].occurrences[0].latestUsefulEnd = f.now - 1
 		f.pool.jobs["a"].occurrences[0].objective = f.now - 1
--- a/pkg/dispatch/unreported_test.go
+++ b/pkg/dispatch/unreported_test.go
@@ -8,15 +8,16 @@
 	. "github.com/onsi/gomega"
 )
 
-// What a job may have running on workers that a new owner has not heard of, in thousandths of a core; each task takes a core.
+// What a job may have running on workers that have not reported to a new owner, in thousandths of a
+// core; each task takes a core.
 func TestWhatAJobMayHaveRunningUnheard(t *testing.T) {
 	after := func(count int, steps ...int) job.Step {
 		s := testStep(count)
 		s.After = steps
 		return s
 	}
-	lasting := testStep(2)
-	lasting.LongRunning = true
+	longRunning := testStep(2)
+	longRunning.LongRunning = true
 	for _, x := range []struct {
 		name  string
 		steps []job.Step
@@ -29,7 +30,7 @@
 		{"the step after the next is larger", []job.Step{testStep(2), after(1, 0), after(4, 1)}, nil, 4000},
 		{"two steps after one", []job.Step{testStep(2), after(2, 0), after(1, 0)}, nil, 3000},
 		{"one step after two", []job.Step{testStep(2), testStep(1), after(9, 0, 1)}, nil, 18000},
-		{"a step after one that lasts never begins", []job.Step{lasting, after(5, 0)}, nil, 2000},
+		{"a step after a long-running one never begins", []job.Step{longRunning, after(5, 0)}, nil, 2000},
 		{"the first step is done", []job.Step{testStep(1), after(3, 0)}, []job.TaskProgress{{Done: true}}, 3000},
 		{"one task of the first step is done", []job.Step{testStep(2), after(1, 0)}, []job.TaskProgress{{Done: true}}, 1000},
 	} {
@@ -39,7 +40,7 @@
 	}
 }
 
-// A task of the first step runs on a worker that has told so: the next step can't have begun.
+// A worker has reported a task of the first step as running: the next step can't have begun.
 func TestNoStepBeginsBeforeOneOfWhichATaskRuns(t *testing.T) {
 	f := newFixture(t, 2, func(c *Config) { c.HasPreviousOwner, c.Term, c.Token = true, 2, nextEpoch })
 	next := testStep(5)
--- a/pkg/dispatch/worker_test.go
+++ b/pkg/dispatch/worker_test.go
@@ -21,12 +21,12 @@
 	actions := f.plan()
 	f.Expect(actions.Starts).To(BeEmpty())
 	f.Expect(actions.FenceWorkers).To(Equal([]WorkerID{s.Worker}))
-	f.report(w, Report{}) // of a hold with the same token: it may still be carried out
+	f.report(w, Report{}) // answers a poll with the same token: the start may still be carried out
 	f.Expect(f.plan().Starts).To(BeEmpty())
-	h, _ := f.pool.NewPoll(s.Worker, true, true, f.now)
-	f.Expect(h.Token).To(BeNumerically(">", s.Token))
+	poll, _ := f.pool.NewPoll(s.Worker, true, true, f.now)
+	f.Expect(poll.Token).To(BeNumerically(">", s.Token))
 	f.pass(time.Millisecond)
-	f.pool.HandlePollAnswer(h, Answer{Verdict: VerdictDone, Clock: f.workerClock}, Report{}, f.now)
+	f.pool.HandlePollAnswer(poll, Answer{Verdict: VerdictDone, Clock: f.workerClock}, Report{}, f.now)
 	again := f.plan().Starts
 	f.Expect(again).To(HaveLen(1))
 	f.Expect(again[0].Run).To(BeNumerically(">", s.Run))
@@ -63,8 +63,8 @@
 	f.Expect(numberOf(starts[0].Worker)).To(Equal(other))
 }
 
-// Seed: mix 625966707817 of mmda-foldarch. A worker left; every hold that it did not answer
-// put off the time from which its runs were known to have ended.
+// Guards against a lost worker whose runs are never taken for ended: the worker had left, and every
+// unanswered poll postponed the expiry of its leases. Seen with seed mix 625966707817 of mmda-foldarch.
 func TestUnansweredHoldsDoNotPutOffTheLapse(t *testing.T) {
 	f := newFixture(t, 2, nil)
 	f.reportAll(2)
@@ -114,7 +114,8 @@
 	f.Expect(again[0].Checkpoint).To(Equal("c1"))
 }
 
-// Seed 2965 of the random histories: an owner with much to do had not asked a worker for 1.65 s.
+// Guards against a run that is taken for stuck because its worker was not polled: a busy owner had not
+// polled a worker for 1.65 s. Seen with seed 2965 of the random histories.
 func TestRunIsNotStuckBecauseItsWorkerWasNotAsked(t *testing.T) {
 	f := newFixture(t, 2, nil)
 	f.reportAll(2)
@@ -196,7 +197,7 @@
 	}
 }
 
-// Calls to workers must not grow as the pool does.
+// The number of calls to workers per second must not grow with the pool.
 func TestHoldsWaitLongerInALargePool(t *testing.T) {
 	small := newFixture(t, 48, nil)
 	small.Expect(small.pool.PollWait("w0")).To(Equal(pollWait))
@@ -209,7 +210,7 @@
 	large.Expect(maxIdlePollWait).To(BeNumerically("<", answerTimeout))
 }
 
-// All entries lapse while the store is away and come back one by one.
+// All entries expire while the store can't be reached, and come back one by one.
 func TestWorkerWhoseEntryLapsedIsUsedForAWhileIfItAnswers(t *testing.T) {
 	f := newFixture(t, 2, nil)
 	f.reportAll(2)
@@ -228,12 +229,12 @@
 	f := newFixture(t, 1, nil)
 	f.report(0, Report{UnparsableRuns: 1})
 	f.add(testJob("a", testStep(1)))
-	f.Expect(f.plan().Starts).To(BeEmpty(), "nobody knows what room that takes")
+	f.Expect(f.plan().Starts).To(BeEmpty(), "nobody knows how much room the run takes")
 	f.report(0, Report{})
 	f.Expect(f.plan().Starts).To(HaveLen(1))
 }
 
-// Another writer has replaced its entry.
+// Another writer has replaced the worker's entry.
 func TestWorkerWithAnUnusableEntryGetsNothingAndRunsOn(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.reportAll(1)
@@ -264,7 +265,7 @@
 	f.Expect(f.plan().Starts).To(HaveLen(1))
 }
 
-// A worker that leaves has said so before its entry goes.
+// A worker that leaves announces it before its entry is removed.
 func TestDrainingWorkerWhoseEntryWentGetsNothing(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.reportAll(1)
@@ -279,9 +280,9 @@
 func TestOnlyAnswersThatBringNewsCallForAPlan(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	answer := func(r Report) bool {
-		h, _ := f.pool.NewPoll("w0", false, true, f.now)
+		poll, _ := f.pool.NewPoll("w0", false, true, f.now)
 		f.pass(time.Millisecond)
-		return f.pool.HandlePollAnswer(h, Answer{Verdict: VerdictDone, Clock: f.workerClock}, r, f.now)
+		return f.pool.HandlePollAnswer(poll, Answer{Verdict: VerdictDone, Clock: f.workerClock}, r, f.now)
 	}
 	f.Expect(answer(Report{})).To(BeTrue(), "the worker may be given tasks from now on")
 	f.Expect(answer(Report{})).To(BeFalse())
@@ -304,9 +305,9 @@
 		f.report(1, Report{})
 		f.plan()
 	}
-	f.Expect(f.pool.workers).NotTo(HaveKey(WorkerID("w0")), "it is taken for one that left")
+	f.Expect(f.pool.workers).NotTo(HaveKey(WorkerID("w0")), "the worker counts as one that has left")
 	f.addWorker(0)
-	h, ok := f.pool.NewPoll("w0", false, true, f.now)
+	poll, ok := f.pool.NewPoll("w0", false, true, f.now)
 	f.Expect(ok).To(BeTrue())
-	f.Expect(h.Token).To(BeNumerically(">=", raised.Token), "the worker does nothing for a lower one")
+	f.Expect(poll.Token).To(BeNumerically(">=", raised.Token), "the worker rejects a lower token")
 }
