--- a/pkg/dispatch/invalidated_start_fixture_test.go
+++ b/pkg/dispatch/invalidated_start_fixture_test.go
@@ -21,7 +21,7 @@
 	t       *testing.T
 	begunAt clock.Time
 	there   map[int]*resident
-	// records has the jobs as they were added.
+	// records has the submitted jobs, as the store keeps them.
 	records map[job.ID]job.Record
 	stored  map[job.ID]JobChange // the last committed change of each job
 	// runTimes says how long the runs of a job take (default: a second), and endReasons how they end
@@ -92,13 +92,13 @@
 	return sim
 }
 
-// begin starts an incarnation and writes its entry.
+// addIncarnation starts an incarnation and writes its entry.
 func (sim *hall) comes(l life) {
 	sim.comesUnlisted(l)
 	sim.lists(l)
 }
 
-// beginWithoutEntry starts an incarnation that has not written its entry yet.
+// addIncarnationWithoutEntry starts an incarnation that has not written its entry yet.
 func (sim *hall) comesUnlisted(l life) {
 	sim.notes("%s begins", l.id)
 	sim.there[l.number] = &resident{life: l, endedAt: map[int64]clock.Time{}, ending: map[job.TaskID]bool{}}
@@ -115,7 +115,7 @@
 	sim.add(r)
 }
 
-// advance lets time pass: at least one tick.
+// advanceTicks lets time pass in whole ticks, at least one.
 func (sim *hall) passes(d time.Duration) {
 	for end := sim.now.Add(d); sim.now < end; {
 		sim.beats()
@@ -155,9 +155,9 @@
 		sim.pass(next.Sub(sim.now))
 	}
 	sim.checkNoneRunsTwice()
-	for _, k := range sim.kept {
-		if sim.now.Sub(k.sentAt) <= maxOrderDelay {
-			sim.mayBeCarriedOut(k)
+	for _, pending := range sim.kept {
+		if sim.now.Sub(pending.sentAt) <= maxOrderDelay {
+			sim.mayBeCarriedOut(pending)
 		}
 	}
 }
@@ -170,34 +170,34 @@
 	sim.pool.ApplyCommit(c)
 }
 
-// endRuns ends the runs of a worker whose time is over.
-func (sim *hall) endRuns(r *resident) {
-	for i := range r.active {
-		if x := &r.active[i]; !sim.together(x.start) {
+// endDueRuns ends the runs of a worker whose time is over.
+func (sim *hall) endRuns(w *resident) {
+	for i := range w.active {
+		if x := &w.active[i]; !sim.together(x.start) {
 			x.until = x.until.Add(beat) // the run waits for the other members of its gang
 		}
 	}
-	r.active = slices.DeleteFunc(r.active, func(x residentRun) bool {
-		reason := EndDone
+	w.active = slices.DeleteFunc(w.active, func(x residentRun) bool {
+		how := EndDone
 		final, given := sim.how[x.start.Task.Job]
 		switch {
-		case r.ending[x.start.Task]:
-			reason = EndStopped
+		case w.ending[x.start.Task]:
+			how = EndStopped
 		case !sim.together(x.start) && sim.now.Sub(x.since) > membersWait:
-			reason = EndGangIncomplete
+			how = EndGangIncomplete
 		case sim.now < x.until:
 			return false
 		case given:
-			reason = final
+			how = final
 		}
-		r.lastEnd++
-		r.finished = append(r.finished, FinishedRun{Number: r.lastEnd, Task: x.start.Task, Run: x.start.Run, Reason: reason})
-		r.endedAt[r.lastEnd] = sim.now
-		sim.ends[runKey{x.start.Task, x.start.Run}] = reason
-		sim.notes("%s: run %d of %s ends as %s", r.id, x.start.Run, x.start.Task, reason)
+		w.lastEnd++
+		w.finished = append(w.finished, FinishedRun{Number: w.lastEnd, Task: x.start.Task, Run: x.start.Run, Reason: how})
+		w.endedAt[w.lastEnd] = sim.now
+		sim.ends[runKey{x.start.Task, x.start.Run}] = how
+		sim.notes("%s: run %d of %s ends as %s", w.id, x.start.Run, x.start.Task, how)
 		return true
 	})
-	clear(r.ending)
+	clear(w.ending)
 }
 
 // gangComplete reports whether all members of a start's gang are running, or done, under the number of
@@ -211,8 +211,8 @@
 	for i := range step.Count {
 		present[i] = sim.ends[runKey{job.TaskID{StepID: s.Task.StepID, Index: i}, s.Run}] == EndDone
 	}
-	for _, r := range sim.there {
-		for _, x := range r.active {
+	for _, w := range sim.there {
+		for _, x := range w.active {
 			if x.start.Task.StepID == s.Task.StepID && x.start.Run == s.Run {
 				present[x.start.Task.Index] = true
 			}
@@ -233,38 +233,38 @@
 		return
 	}
 	sim.pass(time.Millisecond)
-	r := sim.there[numberOf(id)]
-	if r == nil || r.cut {
+	w := sim.there[numberOf(id)]
+	if w == nil || w.cut {
 		sim.pool.HandlePollFailure(id, sim.now)
 		return
 	}
-	if o.Token < r.token {
-		sim.pool.HandlePollAnswer(o, Answer{Verdict: VerdictFenced, Clock: sim.workerClock - r.behind}, Report{IncarnationStart: r.born}, sim.now)
+	if o.Token < w.token {
+		sim.pool.HandlePollAnswer(o, Answer{Verdict: VerdictFenced, Clock: sim.workerClock - w.behind}, Report{IncarnationStart: w.born}, sim.now)
 		return
 	}
-	r.token = o.Token
-	r.finished = slices.DeleteFunc(r.finished, func(f FinishedRun) bool {
+	w.token = o.Token
+	w.finished = slices.DeleteFunc(w.finished, func(f FinishedRun) bool {
 		if f.Number > o.AckedEnd {
 			return false
 		}
-		sim.notes("the end of run %d of %s as %s on %s is acknowledged", f.Run, f.Task, f.Reason, r.id)
-		sim.noted = append(sim.noted, notedEnd{f, r.id, r.endedAt[f.Number]})
+		sim.notes("the end of run %d of %s as %s on %s is acknowledged", f.Run, f.Task, f.Reason, w.id)
+		sim.noted = append(sim.noted, notedEnd{f, w.id, w.endedAt[f.Number]})
 		sim.checkNotBegunSince(sim.noted[len(sim.noted)-1])
 		return true
 	})
-	report := Report{Finished: slices.Clone(r.finished)}
-	for _, x := range r.active {
+	report := Report{Finished: slices.Clone(w.finished)}
+	for _, x := range w.active {
 		row := activeRow(x.start)
 		row.Percent = int(100 * sim.now.Sub(x.since) / x.until.Sub(x.since))
 		report.Active = append(report.Active, row)
 	}
-	sim.answers(o, r.life, report)
+	sim.answers(o, w.life, report)
 }
 
 func (sim *hall) carryOut(a Actions) {
 	for _, s := range a.Stops {
-		if r := sim.there[numberOf(s.Worker)]; r != nil && r.id == s.Worker && s.Token >= r.token {
-			r.ending[s.Task] = true
+		if w := sim.there[numberOf(s.Worker)]; w != nil && w.id == s.Worker && s.Token >= w.token {
+			w.ending[s.Task] = true
 		}
 	}
 	for _, s := range a.Starts {
@@ -272,8 +272,8 @@
 	}
 	for _, call := range a.AdviceCalls {
 		var tickets []Ticket
-		for _, w := range call.Workers {
-			tickets = append(tickets, Ticket{w, "of " + string(w)})
+		for _, target := range call.Workers {
+			tickets = append(tickets, Ticket{target, "of " + string(target)})
 		}
 		sim.pool.HandleAdviceAnswer(call.Number, tickets, true, sim.now)
 	}
@@ -284,7 +284,7 @@
 
 func (sim *hall) sends(s StartOrder) {
 	sim.started = append(sim.started, s)
-	r := sim.there[numberOf(s.Worker)]
+	w := sim.there[numberOf(s.Worker)]
 	switch {
 	case sim.loses(s):
 		sim.notes("run %d of %s is sent to %s, without an answer", s.Run, s.Task, s.Worker)
@@ -295,42 +295,42 @@
 		if !sim.unheard {
 			sim.noAnswer(s)
 		}
-	case r == nil || r.id != s.Worker:
+	case w == nil || w.id != s.Worker:
 		sim.pool.HandleStartAnswer(s, Answer{}, ErrNotSent, sim.now)
-	case sim.takeStart(r, s):
+	case sim.takeStart(w, s):
 		sim.notes("run %d of %s begins on %s", s.Run, s.Task, s.Worker)
-		sim.acceptBy(s, r.life)
+		sim.acceptBy(s, w.life)
 	default:
-		sim.pool.HandleStartAnswer(s, Answer{Verdict: VerdictFenced, Clock: sim.workerClock - r.behind}, nil, sim.now)
+		sim.pool.HandleStartAnswer(s, Answer{Verdict: VerdictFenced, Clock: sim.workerClock - w.behind}, nil, sim.now)
 	}
 }
 
 // executeStart has a worker carry out a start, unless the worker has seen a higher token. It reports
 // whether the start was carried out.
-func (sim *hall) takeStart(r *resident, s StartOrder) bool {
-	if s.Token < r.token {
+func (sim *hall) takeStart(w *resident, s StartOrder) bool {
+	if s.Token < w.token {
 		return false
 	}
-	r.token = s.Token
-	runTime, given := sim.takes[s.Task.Job]
+	w.token = s.Token
+	takes, given := sim.takes[s.Task.Job]
 	if !given {
-		runTime = time.Second
+		takes = time.Second
 	}
-	r.active = append(r.active, residentRun{s, sim.now, sim.now.Add(runTime)})
+	w.active = append(w.active, residentRun{s, sim.now, sim.now.Add(takes)})
 	return true
 }
 
 // executeLate has the incarnation that is alive carry out a pending start, which is then no longer
 // pending. It reports whether the start was carried out.
-func (sim *hall) carriesOutLate(k keptStart) bool {
-	sim.Expect(sim.now.Sub(k.sentAt)).To(BeNumerically("<=", maxOrderDelay), "the start may still be carried out")
-	if !sim.takeStart(sim.there[numberOf(k.Worker)], k.StartOrder) {
+func (sim *hall) carriesOutLate(pending keptStart) bool {
+	sim.Expect(sim.now.Sub(pending.sentAt)).To(BeNumerically("<=", maxOrderDelay), "the start may still be carried out")
+	if !sim.takeStart(sim.there[numberOf(pending.Worker)], pending.StartOrder) {
 		return false
 	}
-	sim.notes("%s carries out the start of run %d of %s", sim.there[numberOf(k.Worker)].id, k.Run, k.Task)
-	sim.mayBeCarriedOut(k)
-	sim.kept = slices.DeleteFunc(sim.kept, func(o keptStart) bool { return o == k })
-	sim.begun[k.Task] = sim.now
+	sim.notes("%s carries out the start of run %d of %s", sim.there[numberOf(pending.Worker)].id, pending.Run, pending.Task)
+	sim.mayBeCarriedOut(pending)
+	sim.kept = slices.DeleteFunc(sim.kept, func(o keptStart) bool { return o == pending })
+	sim.begun[pending.Task] = sim.now
 	return true
 }
 
@@ -341,20 +341,20 @@
 
 // checkLateStartHarmless checks that nothing would break if the next incarnation of a pending start's
 // worker, not polled by anyone yet, carried out the start now.
-func (sim *hall) mayBeCarriedOut(k keptStart) {
-	at := fmt.Sprintf("%d ms after run %d of %s was sent to %s", sim.now.Sub(k.sentAt).Milliseconds(), k.Run, k.Task, k.Worker)
-	for n, r := range sim.there {
-		for _, x := range r.active {
-			sim.Expect(x.start.Task != k.Task || n == numberOf(k.Worker)).To(BeTrue(), "%s, the task runs on %s as run %d", at, r.id, x.start.Run)
+func (sim *hall) mayBeCarriedOut(pending keptStart) {
+	at := fmt.Sprintf("%d ms after run %d of %s was sent to %s", sim.now.Sub(pending.sentAt).Milliseconds(), pending.Run, pending.Task, pending.Worker)
+	for n, w := range sim.there {
+		for _, x := range w.active {
+			sim.Expect(x.start.Task != pending.Task || n == numberOf(pending.Worker)).To(BeTrue(), "%s, the task runs on %s as run %d", at, w.id, x.start.Run)
 		}
 	}
 	failed := 0
 	for _, e := range sim.noted {
-		if !sim.ofOneGang(e.Task, k.Task) {
+		if !sim.ofOneGang(e.Task, pending.Task) {
 			continue
 		}
 		sim.Expect(e.Reason).NotTo(Equal(EndDone), "%s, the end of run %d of %s on %s is acknowledged", at, e.Run, e.Task, e.worker)
-		if e.Reason == EndFailed && e.Task == k.Task {
+		if e.Reason == EndFailed && e.Task == pending.Task {
 			failed++
 		}
 	}
--- a/pkg/dispatch/invalidated_start_test.go
+++ b/pkg/dispatch/invalidated_start_test.go
@@ -82,8 +82,8 @@
 func TestVoidedStartHoldsUpNothingElse(t *testing.T) {
 	for name, test := range map[string]func(*testing.T){
 		"a gang is done while the store is away":             voidedMemberTakenLate,
-		"its end comes after the time":                       voidedAndDoneLater,
-		"another worker has room after the time":             voidedWithRoomLater,
+		"its end comes after the expiry":                     voidedAndDoneLater,
+		"another worker has room after the expiry":           voidedWithRoomLater,
 		"a queue with advice":                                voidedWithTicket,
 		"workers that do not report their incarnation start": voidedWithoutBeginnings,
 		"a speculative step":                                 voidedSpeculative,
@@ -156,8 +156,8 @@
 // isInvalidated reports whether the worker of the first start without an answer has answered a poll with
 // a higher token.
 func (sim *hall) isVoid() bool {
-	r := sim.there[numberOf(sim.lost.Worker)]
-	return r != nil && r.token > sim.lost.Token
+	w := sim.there[numberOf(sim.lost.Worker)]
+	return w != nil && w.token > sim.lost.Token
 }
 
 // waitUntilInvalidated lets time pass until the first start without an answer is invalidated, which
@@ -181,9 +181,9 @@
 }
 
 func voidedAndDone(t *testing.T) {
-	sim, k := lost(t)
+	sim, pending := lost(t)
 	sim.becomesVoid()
-	sim.takenByNextLife(k)
+	sim.takenByNextLife(pending)
 	sim.lists(secondLife(0))
 	sim.isDoneWithin(10*time.Second, "a")
 }
@@ -214,8 +214,8 @@
 	sim.becomesVoid()
 	sim.passes(maxOrderDelay + time.Second)
 	running := 0
-	for _, r := range sim.there {
-		running += len(r.active)
+	for _, w := range sim.there {
+		running += len(w.active)
 	}
 	sim.Expect(running).To(Equal(4), "the service runs beside the three other tasks")
 }
@@ -246,12 +246,12 @@
 
 // executeOnNextIncarnation crashes worker 0 just before the late start expires; the next incarnation
 // carries out the start before the owner learns of that incarnation.
-func (sim *hall) takenByNextLife(k keptStart) {
-	sim.passes(k.sentAt.Add(maxOrderDelay - 300*time.Millisecond).Sub(sim.now))
+func (sim *hall) takenByNextLife(pending keptStart) {
+	sim.passes(pending.sentAt.Add(maxOrderDelay - 300*time.Millisecond).Sub(sim.now))
 	sim.crashes(0)
 	sim.passes(beat)
 	sim.comesUnlisted(secondLife(0))
-	sim.Expect(sim.carriesOutLate(k)).To(BeTrue())
+	sim.Expect(sim.carriesOutLate(pending)).To(BeTrue())
 }
 
 // While the store is away, the ends of the other members can't be acknowledged before the start is
@@ -259,10 +259,10 @@
 func voidedMemberTakenLate(t *testing.T) {
 	r := voidGang(2)
 	r.Job.Steps[0].MaxPerWorker = 1
-	sim, k := lostOf(t, 2, r)
+	sim, pending := lostOf(t, 2, r)
 	sim.storeAway = true
 	sim.becomesVoid()
-	sim.takenByNextLife(k)
+	sim.takenByNextLife(pending)
 	sim.passes(500 * time.Millisecond)
 	sim.storeAway = false
 	sim.lists(secondLife(0))
@@ -270,7 +270,7 @@
 }
 
 func voidedBeforeNextLifeAnswers(t *testing.T) {
-	sim, k := lost(t)
+	sim, pending := lost(t)
 	sim.takes["a"] = 5 * time.Second
 	sim.comes(firstLife(1))
 	sim.closed(1)
@@ -280,12 +280,12 @@
 	sim.closed()
 	sim.passes(time.Second)
 	sim.comesUnlisted(secondLife(0))
-	sim.Expect(sim.carriesOutLate(k)).To(BeTrue())
+	sim.Expect(sim.carriesOutLate(pending)).To(BeTrue())
 	sim.isDoneWithin(30*time.Second, "a")
 }
 
 func voidedBeforeThirdLife(t *testing.T) {
-	sim, k := lost(t)
+	sim, pending := lost(t)
 	sim.becomesVoid()
 	sim.crashes(0)
 	sim.passes(600 * time.Millisecond)
@@ -294,7 +294,7 @@
 	sim.crashes(0)
 	sim.passes(600 * time.Millisecond)
 	sim.comesUnlisted(thirdLife(0))
-	sim.Expect(sim.carriesOutLate(k)).To(BeTrue())
+	sim.Expect(sim.carriesOutLate(pending)).To(BeTrue())
 	sim.lists(thirdLife(0))
 	sim.isDoneWithin(20*time.Second, "a")
 }
@@ -317,14 +317,14 @@
 // The owner does not learn of the incarnation that carries out the start, and has to wait until the
 // leases there have expired.
 func voidedAndTakenUnseen(t *testing.T) {
-	sim, k := lost(t)
+	sim, pending := lost(t)
 	sim.takes["a"] = 5 * time.Second
 	sim.comes(firstLife(1))
 	sim.closed(0, 1)
 	sim.becomesVoid()
-	sim.takenByNextLife(k)
+	sim.takenByNextLife(pending)
 	sim.there[0].cut = true
-	sim.passes(k.sentAt.Add(maxOrderDelay + beat).Sub(sim.now))
+	sim.passes(pending.sentAt.Add(maxOrderDelay + beat).Sub(sim.now))
 	sim.closed()
 	sim.isDoneWithin(30*time.Second, "a")
 }
@@ -356,9 +356,9 @@
 // The start after the invalidated one reuses its number, so a report that lists the run does not show
 // that the invalidated start was carried out.
 func startedAgainUnderFormerOwner(t *testing.T) {
-	sim, k := lost(t)
+	sim, pending := lost(t)
 	sim.becomesVoid()
-	sim.Expect(sim.startsWithin(time.Second, "a").Run).To(Equal(k.Run))
+	sim.Expect(sim.startsWithin(time.Second, "a").Run).To(Equal(pending.Run))
 	sim.passes(300 * time.Millisecond)
 	sim.nextOwner()
 	sim.isDoneWithin(5*time.Second, "a")
@@ -370,7 +370,7 @@
 // The job is done on the same incarnation, and its end is not acknowledged yet; the next owner has only
 // the outcome of the job.
 func voidedAndCompletedUnderFormerOwner(t *testing.T) {
-	sim, k := lost(t)
+	sim, pending := lost(t)
 	sim.becomesVoid()
 	sim.isDoneWithin(5*time.Second, "a")
 	sim.Expect(sim.stored["a"].Outcome).To(Equal(job.Completed))
@@ -378,7 +378,7 @@
 	sim.nextOwner()
 	sim.passes(2 * time.Second)
 	sim.Expect(sim.noted).To(BeEmpty())
-	sim.takenByNextLife(k)
+	sim.takenByNextLife(pending)
 	sim.lists(secondLife(0))
 	sim.passes(time.Second)
 	sim.Expect(sim.there[0].active).To(BeEmpty(), "the run is stopped")
@@ -388,12 +388,12 @@
 func voidedMemberUnderFormerOwner(t *testing.T) {
 	r := voidGang(2)
 	r.Job.Steps[0].MaxPerWorker = 1
-	sim, k := lostOf(t, 2, r)
+	sim, pending := lostOf(t, 2, r)
 	sim.takes["a"] = 3 * time.Second
 	sim.becomesVoid()
 	again := sim.startsWithin(500*time.Millisecond, "a")
-	sim.Expect(again.Task).To(Equal(k.Task))
-	sim.Expect(again.Run).To(Equal(k.Run))
+	sim.Expect(again.Task).To(Equal(pending.Task))
+	sim.Expect(again.Run).To(Equal(pending.Run))
 	sim.passes(time.Second)
 	sim.nextOwner()
 	sim.isDoneWithin(30*time.Second, "a")
@@ -409,7 +409,8 @@
 	sim.becomesVoid()
 	sim.nextOwner()
 	sim.closed(0, 1)
-	sim.pool.markProgressChanged(sim.pool.task(sim.lost.Task)) // so that the second owner writes the job's progress again
+	// The second owner has to write the job's progress again.
+	sim.pool.markProgressChanged(sim.pool.task(sim.lost.Task))
 	sim.passes(2 * time.Second)
 	sim.nextOwner()
 	sim.closed(0)
@@ -418,7 +419,7 @@
 
 // Only the job's progress records the worker, whose next incarnation begins later.
 func keptFromFormerOwnerByOneThatLeft(t *testing.T) {
-	sim, k := lost(t)
+	sim, pending := lost(t)
 	sim.takes["a"] = 5 * time.Second
 	sim.comes(firstLife(1))
 	sim.crashes(0)
@@ -426,26 +427,26 @@
 	sim.passes(4 * time.Second)
 	sim.comes(secondLife(0))
 	sim.closed(0)
-	sim.passes(k.sentAt.Add(maxOrderDelay).Sub(sim.now))
+	sim.passes(pending.sentAt.Add(maxOrderDelay).Sub(sim.now))
 	sim.isDoneWithin(30*time.Second, "a")
 }
 
 // newLostAnswer returns a simulation in which the only start of a job was carried out, but its answer
 // did not reach the owner.
 func lostAnswerOf(t *testing.T) (*hall, keptStart) {
-	sim, k := lost(t)
-	sim.Expect(sim.takeStart(sim.there[0], k.StartOrder)).To(BeTrue())
+	sim, pending := lost(t)
+	sim.Expect(sim.takeStart(sim.there[0], pending.StartOrder)).To(BeTrue())
 	sim.kept = nil
-	return sim, k
+	return sim, pending
 }
 
 // The next owner finds the run in a report, so its end is acknowledged at once.
 func carriedOutUnderFormerOwner(t *testing.T) {
-	sim, k := lostAnswerOf(t)
+	sim, pending := lostAnswerOf(t)
 	sim.nextOwner()
 	sim.isDoneWithin(2*time.Second, "a")
 	sim.Expect(sim.noted).To(HaveLen(1))
-	sim.Expect(sim.noted[0].Run).To(Equal(k.Run))
+	sim.Expect(sim.noted[0].Run).To(Equal(pending.Run))
 }
 
 // The previous owner never learned of the run; the next one finds its end.
@@ -614,13 +615,13 @@
 	sim.gets(advisedJob("a", testStep(1)))
 	sim.passes(2 * beat)
 	sim.Expect(sim.kept).To(HaveLen(1))
-	k := sim.kept[0]
-	sim.Expect(k.Ticket).To(Equal("of "+string(k.Worker)), "no other incarnation accepts it")
+	pending := sim.kept[0]
+	sim.Expect(pending.Ticket).To(Equal("of "+string(pending.Worker)), "no other incarnation accepts it")
 	sim.kept = nil
-	sim.closed(numberOf(k.Worker))
+	sim.closed(numberOf(pending.Worker))
 	sim.becomesVoid()
 	sim.isDoneWithin(2*time.Second, "a")
-	sim.Expect(sim.started[len(sim.started)-1].Worker).NotTo(Equal(k.Worker))
+	sim.Expect(sim.started[len(sim.started)-1].Worker).NotTo(Equal(pending.Worker))
 }
 
 func voidedWithoutBeginnings(t *testing.T) {
@@ -633,12 +634,12 @@
 	sim.gets(testJob("a", testStep(1)))
 	sim.beats()
 	sim.Expect(sim.kept).To(HaveLen(1))
-	k := sim.kept[0]
+	pending := sim.kept[0]
 	sim.kept = nil // the next incarnation has another name, and so answers VerdictWrongWorker
-	sim.closed(numberOf(k.Worker))
+	sim.closed(numberOf(pending.Worker))
 	sim.becomesVoid()
 	sim.isDoneWithin(2*time.Second, "a")
-	sim.Expect(sim.started[len(sim.started)-1].Worker).NotTo(Equal(k.Worker))
+	sim.Expect(sim.started[len(sim.started)-1].Worker).NotTo(Equal(pending.Worker))
 }
 
 func voidedSpeculative(t *testing.T) {
@@ -653,17 +654,17 @@
 // task beside it. If this start gets no answer either, the next incarnation may carry out both: they
 // have one number, so only one run begins.
 func voidedOnTheOnlyWorker(t *testing.T) {
-	sim, k := lost(t)
+	sim, pending := lost(t)
 	again := sim.startsWithin(500*time.Millisecond, "a")
-	sim.Expect(again.Worker).To(Equal(k.Worker))
-	sim.Expect(again.Run).To(Equal(k.Run))
-	sim.Expect(again.Token).To(BeNumerically(">", k.Token))
+	sim.Expect(again.Worker).To(Equal(pending.Worker))
+	sim.Expect(again.Run).To(Equal(pending.Run))
+	sim.Expect(again.Token).To(BeNumerically(">", pending.Token))
 }
 
 // The next incarnation has seen a higher token by then, so nothing can carry out the first start any
 // more.
 func voidedThenNextLife(t *testing.T) {
-	sim, k := lost(t)
+	sim, pending := lost(t)
 	sim.closed(0)
 	sim.becomesVoid()
 	sim.crashes(0)
@@ -673,13 +674,13 @@
 	sim.comes(secondLife(0))
 	again := sim.startsWithin(time.Second, "a")
 	sim.Expect(again.Worker).To(Equal(secondLife(0).id))
-	sim.Expect(again.Token).To(BeNumerically(">", k.Token))
-	sim.Expect(sim.carriesOutLate(k)).To(BeFalse(), "the next incarnation has seen a higher token")
+	sim.Expect(again.Token).To(BeNumerically(">", pending.Token))
+	sim.Expect(sim.carriesOutLate(pending)).To(BeFalse(), "the next incarnation has seen a higher token")
 }
 
 // A cancelled job ends at once, and a run of it on the next incarnation is stopped.
 func voidedAndCancelled(t *testing.T) {
-	sim, k := lost(t)
+	sim, pending := lost(t)
 	sim.takes["a"] = time.Hour
 	sim.closed(0)
 	sim.becomesVoid()
@@ -690,7 +691,7 @@
 	sim.crashes(0)
 	sim.passes(600 * time.Millisecond)
 	sim.comesUnlisted(secondLife(0))
-	sim.Expect(sim.carriesOutLate(k)).To(BeTrue())
+	sim.Expect(sim.carriesOutLate(pending)).To(BeTrue())
 	sim.lists(secondLife(0))
 	sim.passes(time.Second)
 	sim.Expect(sim.there[0].active).To(BeEmpty(), "the run is stopped")
@@ -719,7 +720,7 @@
 }
 
 func voidedBesideOthers(t *testing.T) {
-	sim, k := lostOf(t, 1, testJob("a", testStep(6)))
+	sim, pending := lostOf(t, 1, testJob("a", testStep(6)))
 	sim.takes["a"] = time.Minute
 	sim.comes(firstLife(1))
 	sim.passes(time.Second)
@@ -728,7 +729,7 @@
 		tasks[s.Task] = true
 	}
 	sim.Expect(tasks).To(HaveLen(6))
-	sim.Expect(tasks).To(HaveKey(k.Task))
+	sim.Expect(tasks).To(HaveKey(pending.Task))
 }
 
 func voidedBesideAnotherJob(t *testing.T) {
--- a/pkg/dispatch/late_starts_test.go
+++ b/pkg/dispatch/late_starts_test.go
@@ -20,7 +20,7 @@
 	w0, w1 := f.pool.workers[firstLife(0).id], f.pool.workers[firstLife(1).id]
 	until := f.now.Add(maxOrderDelay)
 	s.tasks[0].lateStarts.Add(latestart.Start{ExpiresAt: until})                          // its worker was lost
-	s.tasks[1].lateStarts.Add(latestart.Start{Worker: w0.history.name, ExpiresAt: until}) // its worker is alive and has seen a higher token
+	s.tasks[1].lateStarts.Add(latestart.Start{Worker: w0.history.name, ExpiresAt: until}) // fenced
 	w0.used.CPUMillis, w1.used.CPUMillis = 3000, 3000                                     // room for one on each
 	chosen := f.pool.gangWorkers(s, []*worker{w0, w1})
 	g.Expect(chosen != nil && chosen[0] == w1 && chosen[1] == w0).To(BeTrue(), "each has room")
@@ -79,14 +79,15 @@
 // Guards against a task that an owner starts elsewhere without having confirmed its ownership: a later
 // owner may have extended the leases on the incarnation that carried out the late start.
 func TestVoidStartIsHeldForOverOnlyAfterAConfirmation(t *testing.T) {
-	sim, k := lost(t)
+	sim, pending := lost(t)
 	sim.takes["a"] = time.Hour
 	sim.comes(firstLife(1))
 	sim.closed(0, 1)
 	sim.becomesVoid()
-	sim.takenByNextLife(k)
+	sim.takenByNextLife(pending)
 	sim.there[0].cut = true
-	sim.storeAway = true // a later owner may hold the lease by now, and extend the leases on the next incarnation
+	// A later owner may own the shard by now, and extend the leases on the next incarnation.
+	sim.storeAway = true
 	sim.closed()
 	before := len(sim.started)
 	for end := sim.now.Add(20 * time.Second); sim.now < end; {
@@ -123,14 +124,14 @@
 // executeOnWorker0 has worker 0 carry out a start as the platform does: a run that exists already is not
 // begun again.
 func (sim *hall) takes0(s StartOrder) {
-	r := sim.there[0]
-	for _, x := range r.active {
-		if x.start.Task == s.Task && x.start.Run == s.Run && s.Token >= r.token {
-			r.token = s.Token
+	w := sim.there[0]
+	for _, x := range w.active {
+		if x.start.Task == s.Task && x.start.Run == s.Run && s.Token >= w.token {
+			w.token = s.Token
 			return
 		}
 	}
-	sim.takeStart(r, s)
+	sim.takeStart(w, s)
 }
 
 // Guards against two runs of a task whose second start gets no answer either: the next incarnation may
@@ -145,8 +146,8 @@
 	sim.crashes(0)
 	sim.passes(600 * time.Millisecond)
 	sim.comesUnlisted(secondLife(0))
-	for _, k := range sim.kept {
-		sim.takes0(k.StartOrder)
+	for _, pending := range sim.kept {
+		sim.takes0(pending.StartOrder)
 	}
 	sim.checkNoneRunsTwice()
 }
@@ -154,7 +155,7 @@
 // Guards against a start that reaches the next incarnation, which has carried out the invalidated start:
 // the owner does not know yet that the incarnation before has ended.
 func TestStartAgainDoesNotReachALifeThatHasTheTask(t *testing.T) {
-	sim, k := lost(t)
+	sim, pending := lost(t)
 	sim.takes["a"] = 10 * time.Second
 	sim.closed(0)
 	sim.becomesVoid()
@@ -162,7 +163,7 @@
 	sim.crashes(0)
 	sim.pass(600 * time.Millisecond)
 	sim.comesUnlisted(secondLife(0))
-	sim.takes0(k.StartOrder)
+	sim.takes0(pending.StartOrder)
 	sim.closed()
 	starts := sim.plan().Starts
 	sim.Expect(starts).To(HaveLen(1))
@@ -189,8 +190,8 @@
 	sim.crashes(0)
 	sim.passes(600 * time.Millisecond)
 	sim.comesUnlisted(thirdLife(0))
-	for _, k := range sim.kept {
-		sim.takes0(k.StartOrder)
+	for _, pending := range sim.kept {
+		sim.takes0(pending.StartOrder)
 	}
 	sim.checkNoneRunsTwice()
 }
@@ -213,9 +214,9 @@
 
 // newTwoUnansweredStarts returns a simulation in which both starts got no answer, and the second
 // incarnation of their worker has carried out the first one.
-func twiceLost(t *testing.T, runTime time.Duration) *hall {
+func twiceLost(t *testing.T, takes time.Duration) *hall {
 	sim := startedAgain8sLater(t, 2)
-	sim.takes["a"] = runTime
+	sim.takes["a"] = takes
 	sim.crashes(0)
 	sim.passes(600 * time.Millisecond)
 	sim.comesUnlisted(secondLife(0))
@@ -233,7 +234,7 @@
 			sim.passes(600 * time.Millisecond)
 			sim.comes(thirdLife(0))
 		},
-		"the incarnation lists the run no more": func(sim *hall) { sim.there[0].active = nil },
+		"the incarnation no longer reports the run": func(sim *hall) { sim.there[0].active = nil },
 	} {
 		t.Run(name, func(t *testing.T) {
 			sim := twiceLost(t, time.Hour)
--- a/pkg/dispatch/long_running_test.go
+++ b/pkg/dispatch/long_running_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// servingStep is a long-running step of a service, with a target for its tail latency.
+// serviceStep is a long-running step of a service, with a target for its tail latency.
 func servingStep(count int) job.Step {
 	return job.Step{
 		Count: count, LongRunning: true, TargetTail: 100 * time.Millisecond, MissAllowed: 1,
--- a/pkg/dispatch/mechanism_test.go
+++ b/pkg/dispatch/mechanism_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// only disables one mechanism.
+// disableOnly disables one mechanism.
 func only(disabled Mechanism) DisabledMechanisms {
 	return func(m Mechanism) bool { return m == disabled }
 }
--- a/pkg/dispatch/plan_equivalence_test.go
+++ b/pkg/dispatch/plan_equivalence_test.go
@@ -147,7 +147,7 @@
 	plain := kinds[1]
 	plain.queue.Name, plain.queue.Advice, plain.queue.Priority = "plain", nil, int(seed%3)
 	longRunning := kinds[2]
-	longRunning.queue.Name, longRunning.step.LongRunning, longRunning.perSecond = "lasting", true, 0.3
+	longRunning.queue.Name, longRunning.step.LongRunning, longRunning.perSecond = "long running", true, 0.3
 	kinds = append(kinds, plain, longRunning)
 	b := newBusyPoolOf(kinds, workers, busyAdvisers*workers/busyWorkers, seed, nil)
 	if seed%2 == 0 {
--- a/pkg/dispatch/preempt_test.go
+++ b/pkg/dispatch/preempt_test.go
@@ -40,7 +40,7 @@
 	f.Expect(actions.Starts).To(BeEmpty(), "the worker is full until the stopped run has ended")
 	f.Expect(actions.Stops).To(HaveLen(1))
 	stop := actions.Stops[0]
-	f.Expect(f.plan().Stops).To(BeEmpty(), "one stop is on its way")
+	f.Expect(f.plan().Stops).To(BeEmpty(), "one stop is in flight")
 	f.report(0, Report{Finished: []FinishedRun{{Number: 1, Task: stop.Task, Run: stop.Run, Reason: EndStopped}}})
 	starts := f.plan().Starts
 	f.Expect(starts).To(HaveLen(1))
--- a/pkg/dispatch/quota_test.go
+++ b/pkg/dispatch/quota_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// north is a customer with a quota, in thousandths of a core.
+// northWithQuota is a customer with a quota, in thousandths of a core.
 func north(quota int64) customer.Customer {
 	return customer.Customer{Name: "north", Weight: 2, Quota: cell.Resources{CPUMillis: quota}}
 }
@@ -106,7 +106,7 @@
 	f.Expect(actions.Stops).To(BeEmpty())
 	f.Expect(actions.Starts).To(BeEmpty())
 	f.report(numberOf(starts[0].Worker), f.end(starts[0], 1, EndDone))
-	f.Expect(f.plan().Starts).To(BeEmpty(), "2 of 1 still run")
+	f.Expect(f.plan().Starts).To(BeEmpty(), "2 cores are still in use, of a quota of 1")
 	f.configure(4, north(4000))
 	f.Expect(f.plan().Starts).To(HaveLen(2))
 }
@@ -200,7 +200,7 @@
 	later.Term = 2
 	f.add(later)
 	f.report(0, Report{})
-	f.Expect(f.plan().Starts).To(BeEmpty(), "three of the next step may run on the other worker")
+	f.Expect(f.plan().Starts).To(BeEmpty(), "three tasks of the next step may run on the other worker")
 	f.report(1, Report{})
 	f.Expect(f.plan().Starts).To(HaveLen(3))
 }
--- a/pkg/dispatch/refused_queues_test.go
+++ b/pkg/dispatch/refused_queues_test.go
@@ -52,8 +52,8 @@
 const (
 	loadTick    = 20 * time.Millisecond
 	loadWorkers = 24
-	// loadTime is for how long jobs are submitted; after askedAfter more, the last of them must have
-	// begun.
+	// loadDuration is for how long jobs are submitted; the last of them must have started maxStartWait
+	// later.
 	loadTime   = 40 * time.Second
 	askedAfter = 14 * time.Second
 )
@@ -90,8 +90,8 @@
 	return l
 }
 
-// simulate submits jobs for loadTime, and goes on for askedAfter. If heedRefusals, jobs of the queues that the
-// owner refuses are not submitted.
+// simulate submits jobs for loadDuration, and goes on for maxStartWait. With heedRefusals, no jobs are
+// submitted to queues that the owner refuses.
 func (l *adviceLoad) play(heedRefusals bool) {
 	stop := l.now.Add(loadTime)
 	l.last = l.now
--- a/pkg/dispatch/restart_number_test.go
+++ b/pkg/dispatch/restart_number_test.go
@@ -26,9 +26,9 @@
 	sim.passes(600 * time.Millisecond)
 	sim.comesUnlisted(secondLife(0))
 	sim.takes["a"] = 10 * time.Second
-	for _, k := range sim.kept {
-		if sim.now.Sub(k.sentAt) <= maxOrderDelay {
-			sim.takes0(k.StartOrder)
+	for _, pending := range sim.kept {
+		if sim.now.Sub(pending.sentAt) <= maxOrderDelay {
+			sim.takes0(pending.StartOrder)
 		}
 	}
 	sim.checkNoneRunsTwice()
@@ -92,8 +92,8 @@
 	sim.crashes(0)
 	sim.passes(600 * time.Millisecond)
 	sim.comesUnlisted(thirdLife(0))
-	for _, k := range sim.kept {
-		sim.takes0(k.StartOrder)
+	for _, pending := range sim.kept {
+		sim.takes0(pending.StartOrder)
 	}
 	sim.checkNoneRunsTwice()
 }
@@ -141,7 +141,7 @@
 		sim.gets(r)
 		sim.isDoneWithin(2*time.Second, "b")
 	})
-	t.Run("its cancelling", func(t *testing.T) {
+	t.Run("its cancellation", func(t *testing.T) {
 		sim := failedBesideAVoidStart(t, testJob("a", testStep(1)))
 		sim.pool.Cancel("a")
 		sim.passes(200 * time.Millisecond)
--- a/pkg/dispatch/takeover_test.go
+++ b/pkg/dispatch/takeover_test.go
@@ -181,7 +181,7 @@
 	f.accept(first)
 	other := 1 - numberOf(first.Worker)
 	second := f.startedAgain(other)
-	f.report(numberOf(first.Worker), f.end(first, 1, EndDone)) // the second start is on its way
+	f.report(numberOf(first.Worker), f.end(first, 1, EndDone)) // the second start is in flight
 	next := f.plan().Starts
 	f.Expect(next).To(HaveLen(1))
 	f.Expect(next[0].Task.Step).To(Equal(1), "the next step may begin")
--- a/pkg/dispatch/tickets_test.go
+++ b/pkg/dispatch/tickets_test.go
@@ -24,7 +24,8 @@
 			f.accept(s)
 		}
 		f.add(of(c, advisedJob("a", testStep(1))))
-		f.pool.jobs["a"].occurrences[0].steps[0].promoted = true // so that advice is requested before the quota has room
+		// A promoted step needs its tickets by the time the quota has room.
+		f.pool.jobs["a"].occurrences[0].steps[0].promoted = true
 	}
 	fill := func(f *fixture) {
 		for _, w := range f.pool.workers {
--- a/pkg/dispatch/worker_test.go
+++ b/pkg/dispatch/worker_test.go
@@ -192,7 +192,7 @@
 		if fresh {
 			f.Expect(f.plan().Starts).To(HaveLen(1))
 		} else {
-			f.Expect(f.plan().Starts).To(BeEmpty(), "it may have been cut off from the store")
+			f.Expect(f.plan().Starts).To(BeEmpty(), "the worker may have been cut off from the store")
 		}
 	}
 }
@@ -222,7 +222,7 @@
 	f.pass(2 * time.Second)
 	f.report(0, Report{})
 	f.add(testJob("b", testStep(8)))
-	f.Expect(f.plan().Starts).To(BeEmpty(), "worker 1 is silent, and on worker 0 the first runs count")
+	f.Expect(f.plan().Starts).To(BeEmpty(), "worker 1 is silent, and worker 0 has no room beside the first runs")
 }
 
 func TestWorkerThatRunsWhatIsNotOursGetsNothing(t *testing.T) {
@@ -291,7 +291,7 @@
 	f.accept(start)
 	f.Expect(answer(Report{Active: []ActiveRun{{Task: start.Task, Run: start.Run, Percent: 3}}})).To(BeFalse())
 	f.Expect(answer(f.end(start, 1, EndDone))).To(BeTrue(), "there is room")
-	f.Expect(answer(Report{Active: []ActiveRun{{Task: start.Task, Run: 99}}})).To(BeTrue(), "a run that must not go on")
+	f.Expect(answer(Report{Active: []ActiveRun{{Task: start.Task, Run: 99}}})).To(BeTrue(), "the run must not go on")
 }
 
 func TestWorkerThatComesBackAfterALongCutKnowsTheSameOwner(t *testing.T) {
