--- a/pkg/dispatch/invalidated_start_test.go
+++ b/pkg/dispatch/invalidated_start_test.go
@@ -81,7 +81,7 @@
 // Guards against tasks that wait for a start that nobody can carry out any more, or that does no harm.
 func TestVoidedStartHoldsUpNothingElse(t *testing.T) {
 	for name, test := range map[string]func(*testing.T){
-		"a gang is done while the store is away":             voidedMemberTakenLate,
+		"a gang is done while the store is unreachable":      voidedMemberTakenLate,
 		"its end comes after the expiry":                     voidedAndDoneLater,
 		"another worker has room after the expiry":           voidedWithRoomLater,
 		"a queue with advice":                                voidedWithTicket,
@@ -254,7 +254,7 @@
 	sim.Expect(sim.carriesOutLate(pending)).To(BeTrue())
 }
 
-// While the store is away, the ends of the other members can't be acknowledged before the start is
+// While the store can't be reached, the ends of the other members can't be acknowledged before the start is
 // carried out; they are acknowledged later.
 func voidedMemberTakenLate(t *testing.T) {
 	r := voidGang(2)
--- a/pkg/dispatch/over_share_test.go
+++ b/pkg/dispatch/over_share_test.go
@@ -18,9 +18,9 @@
 }
 
 // One customer sends fifteen times its weight. Its jobs over share are ranked after another customer's
-// later job while that one is in time. With the rank before, a day with two such customers in turn
-// earned 0.46, and 0.63 with this one (one simulation each, processor time not charged; with the
-// customers' dominant shares by weight as the rank 0.47).
+// later job while that one is in time. Without this rule, a day with two such customers in turn earned
+// 0.46, and 0.63 with it (one simulation each, processor time not charged; with the customers' dominant
+// shares by weight in the rank instead 0.47).
 func TestJobsBeyondTheWeightGoAfterOthers(t *testing.T) {
 	f := newFixture(t, 1, nil) // room for 4 tasks
 	hot, other := customer.Customer{Name: "hot", Weight: 1}, customer.Customer{Name: "other", Weight: 1}
