--- a/pkg/dispatch/history_test.go
+++ b/pkg/dispatch/history_test.go
@@ -14,62 +14,62 @@
 )
 
 var (
-	historySeeds = flag.Int("history.seeds", 150, "number of random histories to simulate")
-	historyAll   = flag.Bool("history.all", false, "print the whole log of a history that violated an invariant")
-	historySeed  = flag.Uint64("history.seed", 1, "seed of the first random history")
+	historySeedCount = flag.Int("history.seeds", 150, "number of random histories to simulate")
+	historyFullLog   = flag.Bool("history.all", false, "print the whole log of a history that violated an invariant")
+	historyFirstSeed = flag.Uint64("history.seed", 1, "seed of the first random history")
 )
 
 const (
-	historyTick   = 20 * time.Millisecond
-	historyLength = 60 * time.Second
+	historyTick     = 20 * time.Millisecond
+	historyDuration = 60 * time.Second
 	// historyCalmTime is the end of a history in which no more faults are injected, so that all jobs can end.
-	historyCalm = 40 * time.Second
+	historyCalmTime = 40 * time.Second
 	// crashExtraTime is how much longer a history goes on in which tasks crash their workers: each crash
 	// takes seconds to be detected.
-	crashingLength = 60 * time.Second
+	crashExtraTime = 60 * time.Second
 	// quotaExtraTime is how much longer a history goes on in which a customer's tasks run two at a time:
 	// twelve jobs of up to eight tasks of 4 s each take up to 190 s then.
-	quotaLength    = 120 * time.Second
-	historyWorkers = 4
-	historyJobs    = 12
+	quotaExtraTime     = 120 * time.Second
+	historyWorkerCount = 4
+	historyJobCount    = 12
 	// platformMaxLease is the longest lease that a worker gives, by its own clock.
-	platformHold = 6 * time.Second
+	platformMaxLease = 6 * time.Second
 	// ownerTerm is for how long at most a replaced owner still acts.
 	ownerTerm   = 2 * time.Second
-	callLimit   = 160 * time.Millisecond
+	callTimeout = 160 * time.Millisecond
 	gangTimeout = 3 * time.Second
 )
 
 // modelOwner is a simulated owner.
 type modelOwner struct {
 	// roster is the roster as this owner has written it, record by record.
-	roster rosterCopy
-	pool   *Pool
-	term   int64
-	until  clock.Time // end of its authority; 0 for the present owner
-	// holding are the times of the next polls.
-	holding map[WorkerID]clock.Time
+	roster       rosterCopy
+	pool         *Pool
+	term         int64
+	authorityEnd clock.Time // end of its authority; 0 for the present owner
+	// nextPollAt are the times of the next polls.
+	nextPollAt map[WorkerID]clock.Time
 	// ended says that the owner has stopped acting.
 	ended bool
 	// storeUnreachableUntil is until when this owner does not reach the store, and entryVersions are the
 	// versions of the workers' entries that it has read.
-	storeAwayUntil clock.Time
-	entries        map[int]int
+	storeUnreachableUntil clock.Time
+	entryVersions         map[int]int
 	// confirming says that the owner is asking the store who the owner is.
 	confirming bool
 	// loading says that the owner has not read the jobs yet, and jobsBeingRead are the jobs whose records
 	// it reads since a worker reported runs of them.
-	loading bool
-	reading map[job.ID]bool
+	loading       bool
+	jobsBeingRead map[job.ID]bool
 	// reportedDone are the tasks that workers have reported to this owner as done, with the incarnation
 	// of the worker. It is filled in histories with informedOwner.
-	doneAt map[job.TaskID]modelLife
+	reportedDone map[job.TaskID]modelIncarnation
 }
 
 // delayedCall is a call on its way, or another event at a set time.
-type call struct {
-	at clock.Time
-	do func()
+type delayedCall struct {
+	arrivesAt clock.Time
+	do        func()
 }
 
 // world is a simulated pool with its workers, its store and its owners. Its random histories have owners
@@ -77,95 +77,95 @@
 // and calls that are delayed, lost, answered late or carried out seconds later. The invariants are
 // checked at the workers, where callers would see them violated.
 type world struct {
-	t      *testing.T
-	seed   uint64
-	rand   *rand.Rand
-	now    clock.Time
-	wall   time.Time
-	store  map[job.ID]*storedJob
-	owners []*modelOwner
-	term   int64
-	worker []*modelWorker
-	calls  []call
-	gangs  map[gangKey]*modelGang
-	done   map[job.TaskID]bool       // tasks with an acknowledged end as done, see recordAckedEnd
-	ended  map[job.TaskID]bool       // tasks of which a run ended as done
-	begun  map[job.TaskID]clock.Time // last start that was not carried out late
-	failed map[job.TaskID]int        // acknowledged ends as failed; those of a gang count at its task 0
-	ends   map[job.TaskID]int        // all ends as failed; those of a gang count at its task 0
-	log    []string
-	bad    bool
-	handed int  // number of jobs submitted so far
-	late   bool // a call whose caller has got no answer is being carried out
+	t             *testing.T
+	seed          uint64
+	rand          *rand.Rand
+	now           clock.Time
+	wallTime      time.Time
+	store         map[job.ID]*storedJob
+	owners        []*modelOwner
+	term          int64
+	workers       []*modelWorker
+	pendingCalls  []delayedCall
+	gangs         map[gangKey]*modelGang
+	ackedDone     map[job.TaskID]bool       // tasks with an acknowledged end as done, see recordAckedEnd
+	ended         map[job.TaskID]bool       // tasks of which a run ended as done
+	lastBegunAt   map[job.TaskID]clock.Time // last start that was not carried out late
+	ackedFailures map[job.TaskID]int        // acknowledged ends as failed; those of a gang count at its task 0
+	failureCounts map[job.TaskID]int        // all ends as failed; those of a gang count at its task 0
+	log           []string
+	violated      bool
+	submittedJobs int  // number of jobs submitted so far
+	late          bool // a call whose caller has got no answer is being carried out
 	// unansweredStarts are the starts without an answer that were recorded in the store.
-	unanswered map[runKey]bool
+	unansweredStarts map[runKey]bool
 	// disabled are mechanisms that all owners leave out.
-	without DisabledMechanisms
+	disabled DisabledMechanisms
 	// recordWorkersFrom is the first term whose owner records the workers of jobs in the store; 0 for
 	// none.
-	namedFrom int64
+	recordWorkersFrom int64
 	// slowRelays says that some answers are delayed by relays that are slow or frozen for a while.
-	relayed bool
+	slowRelays bool
 	// tasksCrash says that tasks of some jobs crash the workers that start them. crashingMembers has, for
 	// each of these jobs, the highest task index that does so. crashesByTask counts the workers that
 	// crashed under a task, and startsAfterCrashes the starts of the task since the third of these
 	// crashes.
-	crashing bool
+	tasksCrash bool
 	// roster is the roster in the store. It is kept in histories with crashing tasks, leaving or
 	// restarting workers.
 	roster []WorkerInfo
 	// workersRestart says that workers start again under the name that they had.
-	reborn bool
+	workersRestart bool
 	// workersLeave says that workers drain and end without a report.
-	leaves bool
+	workersLeave bool
 	// shortDowntime says that workers are back within half a second.
-	brief bool
+	shortDowntime bool
 	// quotas are the customers' quotas; nil in histories in which no job has a customer.
 	quotas *modelQuotas
 	// countedCrashes counts the crashes that an owner counted against a task and whose worker had really
 	// crashed.
-	lost map[job.TaskID]int
+	countedCrashes map[job.TaskID]int
 	// announceToPrevious says that hosts announce jobs to previous owners, and slowLoading that a new
 	// owner takes long to read the jobs.
-	tellsFormer, slow bool
+	announceToPrevious, slowLoading bool
 	// earlyTakeover says that the owner often changes soon after an event that a later owner has to learn
 	// of, and takeoverScheduled that it is about to change.
-	soon, changing bool
+	earlyTakeover, takeoverScheduled bool
 	// informedOwner says that hosts take the previous owner for the present one for a while after a
 	// change (history_informed_owner_test.go).
-	told bool
+	informedOwner bool
 	// conditionalAccept says that these hosts store jobs only on condition that the owner's record is the
 	// present one.
-	conditional bool
+	conditionalAccept bool
 	// faultsUntil is the time at which fault injection stops.
-	troubleUntil clock.Time
-	crashers     map[job.ID]int
-	under        map[job.TaskID]int
-	after        map[job.TaskID]int
+	faultsUntil        clock.Time
+	crashingMembers    map[job.ID]int
+	crashesByTask      map[job.TaskID]int
+	startsAfterCrashes map[job.TaskID]int
 }
 
 // storedJob is what the store holds of a job.
 type storedJob struct {
-	record   job.Record
-	progress job.Progress
-	stored   bool
-	outcome  job.State
-	unended  job.Unended // written with the outcome
+	record       job.Record
+	progress     job.Progress
+	hasProgress  bool
+	outcome      job.State
+	remainingUse job.RemainingUse // written with the outcome
 	// lastLateStart is written with the outcome, too.
-	lateStart time.Time
-	shownAt   clock.Time // when the job was shown as completed; 0 before
+	lastLateStart    time.Time
+	shownCompletedAt clock.Time // when the job was shown as completed; 0 before
 	// cancelled says that the cancellation of the job is stored.
 	cancelled bool
 }
 
 func newWorld(t *testing.T, seed uint64) *world {
 	w := &world{
-		t: t, seed: seed, rand: rand.New(rand.NewPCG(seed, 0)), now: 100_000, wall: time.Unix(1_700_000_000, 0),
+		t: t, seed: seed, rand: rand.New(rand.NewPCG(seed, 0)), now: 100_000, wallTime: time.Unix(1_700_000_000, 0),
 		store: map[job.ID]*storedJob{}, gangs: map[gangKey]*modelGang{},
-		done: map[job.TaskID]bool{}, begun: map[job.TaskID]clock.Time{}, ended: map[job.TaskID]bool{}, failed: map[job.TaskID]int{},
-		ends: map[job.TaskID]int{}, unanswered: map[runKey]bool{}, crashers: map[job.ID]int{}, under: map[job.TaskID]int{}, after: map[job.TaskID]int{}, lost: map[job.TaskID]int{},
+		ackedDone: map[job.TaskID]bool{}, lastBegunAt: map[job.TaskID]clock.Time{}, ended: map[job.TaskID]bool{}, ackedFailures: map[job.TaskID]int{},
+		failureCounts: map[job.TaskID]int{}, unansweredStarts: map[runKey]bool{}, crashingMembers: map[job.ID]int{}, crashesByTask: map[job.TaskID]int{}, startsAfterCrashes: map[job.TaskID]int{}, countedCrashes: map[job.TaskID]int{},
 	}
-	for range historyWorkers {
+	for range historyWorkerCount {
 		w.addWorker()
 	}
 	return w
@@ -175,96 +175,96 @@
 	return w.rand.Float64() < p
 }
 
-func (w *world) between(least, most time.Duration) time.Duration {
+func (w *world) drawDuration(least, most time.Duration) time.Duration {
 	return least + time.Duration(w.rand.Int64N(int64(most-least)))
 }
 
-func (w *world) note(format string, args ...any) {
+func (w *world) logf(format string, args ...any) {
 	w.log = append(w.log, fmt.Sprintf("%d ", w.now)+fmt.Sprintf(format, args...))
 }
 
-func (w *world) broken(format string, args ...any) {
-	w.bad = true
+func (w *world) reportViolation(format string, args ...any) {
+	w.violated = true
 	w.t.Errorf("seed %d at %d: "+format, append([]any{w.seed, w.now}, args...)...)
 }
 
 // injectFaults draws which faults and changes happen at a tick.
-func (w *world) trouble() {
-	if w.chance(w.electChance()) {
+func (w *world) injectFaults() {
+	if w.chance(w.electionProbability()) {
 		w.change()
 	}
-	if ids := w.jobs(); len(ids) > 0 && w.chance(w.cancelChance()) {
+	if ids := w.jobs(); len(ids) > 0 && w.chance(w.cancelProbability()) {
 		id := ids[w.rand.IntN(len(ids))]
-		w.ownerMayChange()
-		w.cancel(id)
+		w.maybeScheduleTakeover()
+		w.cancelJob(id)
 	}
 	if w.quotas != nil && w.chance(0.01) {
 		w.quotas.change(w)
 	}
-	for _, m := range w.worker {
-		if !m.dead && w.chance(w.crashChance()) {
-			w.crash(m)
+	for _, m := range w.workers {
+		if !m.dead && w.chance(w.crashProbability()) {
+			w.crashWorker(m)
 		}
-		if w.chance(w.cutChance()) {
-			w.cutOff(m)
+		if w.chance(w.isolationProbability()) {
+			w.isolateWorker(m)
 		}
 	}
-	w.mayLeave()
+	w.startRandomLeaves()
 }
 
 // isolateWorker makes a worker unreachable for a while.
-func (w *world) cutOff(m *modelWorker) {
-	m.cut = true
-	w.note("%s is unreachable", m.id)
-	w.later(w.between(200*time.Millisecond, 9*time.Second), func() { m.cut = false })
+func (w *world) isolateWorker(m *modelWorker) {
+	m.unreachable = true
+	w.logf("%s is unreachable", m.id)
+	w.schedule(w.drawDuration(200*time.Millisecond, 9*time.Second), func() { m.unreachable = false })
 }
 
 // cancelProbability is the probability that a job is cancelled at a tick.
-func (w *world) cancelChance() float64 {
-	if w.soon {
-		return soonCancels
+func (w *world) cancelProbability() float64 {
+	if w.earlyTakeover {
+		return earlyTakeoverCancelChance
 	}
 	return 0.001
 }
 
 // crashProbability is the probability that a worker crashes at a tick. It is higher in histories with
 // restarts, which are about crashes.
-func (w *world) crashChance() float64 {
-	if w.reborn {
+func (w *world) crashProbability() float64 {
+	if w.workersRestart {
 		return 0.002
 	}
 	return 0.0005
 }
 
 // submitJob has a host accept a job.
-func (w *world) handIn() {
-	w.handInFor(w.hearsOfJobs())
+func (w *world) submitJob() {
+	w.submitJobVia(w.ownerToInform())
 }
 
 // submitJobVia has a host accept a job that takes o for the present owner.
-func (w *world) handInFor(o *modelOwner) {
-	id := job.ID(fmt.Sprintf("%016d", w.handed))
-	w.handed++
-	steps := []job.Step{w.someStep()}
+func (w *world) submitJobVia(o *modelOwner) {
+	id := job.ID(fmt.Sprintf("%016d", w.submittedJobs))
+	w.submittedJobs++
+	steps := []job.Step{w.drawStep()}
 	if w.chance(0.3) {
-		steps = append(steps, w.someStep())
+		steps = append(steps, w.drawStep())
 		steps[1].After = []int{0}
 	}
 	r := job.Record{Job: job.Job{ID: id, Spec: "spec", Steps: steps}, Queue: testQueue, Term: o.term}
 	if w.quotas != nil {
-		r.Customer = w.quotas.draw(w, steps)
+		r.Customer = w.quotas.drawCustomer(w, steps)
 	}
 	w.store[id] = &storedJob{record: r}
-	if w.crashing && w.chance(0.25) {
-		w.crashers[id] = w.rand.IntN(steps[0].Count)
+	if w.tasksCrash && w.chance(0.25) {
+		w.crashingMembers[id] = w.rand.IntN(steps[0].Count)
 	}
-	if w.tellsFormer {
-		w.findLater(id)
+	if w.announceToPrevious {
+		w.scheduleFinds(id)
 	}
-	w.tell(o, r)
+	w.announceJob(o, r)
 }
 
-func (w *world) someStep() job.Step {
+func (w *world) drawStep() job.Step {
 	return job.Step{
 		Count: 1 + w.rand.IntN(4), Resources: cell.Resources{CPUMillis: 1000 + 500*w.rand.Int64N(4), MemoryMB: 500},
 		Estimate: time.Second, Gang: w.chance(0.25),
@@ -272,74 +272,74 @@
 }
 
 // deliverCalls carries out the calls that are due.
-func (w *world) deliver() {
+func (w *world) deliverCalls() {
 	for {
-		due := slices.IndexFunc(w.calls, func(c call) bool { return c.at <= w.now })
+		due := slices.IndexFunc(w.pendingCalls, func(c delayedCall) bool { return c.arrivesAt <= w.now })
 		if due < 0 {
 			return
 		}
-		c := w.calls[due]
-		w.calls = slices.Delete(w.calls, due, due+1)
+		c := w.pendingCalls[due]
+		w.pendingCalls = slices.Delete(w.pendingCalls, due, due+1)
 		c.do()
 	}
 }
 
 // simulate runs a history. No faults are injected during its last historyCalmTime and the extra time of
 // its kind.
-func (w *world) play() {
-	if w.reborn {
-		for _, m := range w.worker {
-			w.bear(m)
-			m.entry = modelEntry{info: w.infoOf(m), version: 1, written: w.now}
+func (w *world) simulate() {
+	if w.workersRestart {
+		for _, m := range w.workers {
+			w.startIncarnation(m)
+			m.entry = modelEntry{info: w.workerInfo(m), version: 1, writtenAt: w.now}
 		}
 	}
 	w.elect()
-	end := w.now.Add(historyLength)
-	if w.crashing {
-		end = end.Add(crashingLength)
+	end := w.now.Add(historyDuration)
+	if w.tasksCrash {
+		end = end.Add(crashExtraTime)
 	}
 	if w.quotas != nil {
-		end = end.Add(quotaLength)
+		end = end.Add(quotaExtraTime)
 	}
-	lastFaultAt := w.now.Add(historyLength - historyCalm)
-	w.troubleUntil = lastFaultAt
-	for ; w.now < end && !w.bad; w.now = w.now.Add(historyTick) {
-		w.wall = w.wall.Add(historyTick)
+	lastFaultAt := w.now.Add(historyDuration - historyCalmTime)
+	w.faultsUntil = lastFaultAt
+	for ; w.now < end && !w.violated; w.now = w.now.Add(historyTick) {
+		w.wallTime = w.wallTime.Add(historyTick)
 		if w.now < lastFaultAt {
-			w.trouble()
+			w.injectFaults()
 		} else if w.quotas != nil {
-			w.quotas.raise(w)
+			w.quotas.raiseAll(w)
 		}
-		if w.handed < w.jobsAtAnyTime() && w.chance(0.02) {
-			if w.tellsFormer && w.now < lastFaultAt && w.chance(0.3) {
+		if w.submittedJobs < w.jobsAtRandomTimes() && w.chance(0.02) {
+			if w.announceToPrevious && w.now < lastFaultAt && w.chance(0.3) {
 				w.elect()
 			}
-			w.handIn()
+			w.submitJob()
 		}
-		for _, m := range w.worker {
-			w.advance(m)
+		for _, m := range w.workers {
+			w.advanceWorker(m)
 		}
 		w.expireEntries()
-		w.deliver()
+		w.deliverCalls()
 		for _, o := range w.owners {
-			w.act(o)
+			w.advanceOwner(o)
 		}
 	}
-	w.checkEnd(lastFaultAt)
+	w.checkFinalState(lastFaultAt)
 }
 
 // checkFinalState checks that all jobs have ended and that nothing runs any more.
-func (w *world) checkEnd(lastFaultAt clock.Time) {
+func (w *world) checkFinalState(lastFaultAt clock.Time) {
 	for _, id := range w.jobs() {
-		if !w.bad && w.store[id].outcome == "" {
-			x, _ := w.present().pool.Explain(id, w.now)
-			w.broken("job %s has not ended %s after the last fault: %+v; cancelled %t", id, w.now.Sub(lastFaultAt), x, w.store[id].cancelled)
+		if !w.violated && w.store[id].outcome == "" {
+			x, _ := w.presentOwner().pool.Explain(id, w.now)
+			w.reportViolation("job %s has not ended %s after the last fault: %+v; cancelled %t", id, w.now.Sub(lastFaultAt), x, w.store[id].cancelled)
 		}
 	}
-	for _, m := range w.worker {
+	for _, m := range w.workers {
 		for key := range m.runs {
-			if !w.bad {
-				w.broken("%s run %d still runs on %s", key.task, key.run, m.id)
+			if !w.violated {
+				w.reportViolation("%s run %d still runs on %s", key.task, key.run, m.id)
 			}
 		}
 	}
@@ -348,30 +348,30 @@
 // regressionSeeds are seeds that once violated an invariant, with the cause. Earlier ones drew other
 // histories, and are tests of their own in history_regressions_test.go;
 // docs/incidents/random-histories.md describes them.
-var keptSeeds = []uint64{
+var regressionSeeds = []uint64{
 	1008461, // a worker's lease was taken for expired although a later owner had reached the worker meanwhile
 	109531,  // a previous owner used a worker that came after the takeover, which the roster forbids
 }
 
-func TestPromisesHoldInRandomHistories(t *testing.T) {
-	playHistories(t, func(*world) {})
+func TestInvariantsHoldInRandomHistories(t *testing.T) {
+	simulateHistories(t, func(*world) {})
 }
 
-func TestPromisesHoldWhenRelaysHoldAnswersUp(t *testing.T) {
-	playHistories(t, func(w *world) { w.relayed = true })
+func TestInvariantsHoldWithSlowRelays(t *testing.T) {
+	simulateHistories(t, func(w *world) { w.slowRelays = true })
 }
 
-func TestPromisesHoldWhenTasksCrashTheirWorkers(t *testing.T) {
-	playCrashes(t, crashingWorld)
+func TestInvariantsHoldWhenTasksCrashWorkers(t *testing.T) {
+	simulateCrashes(t, withCrashingTasks)
 }
 
-func TestPromisesHoldWhenTasksCrashTheirWorkersBehindRelays(t *testing.T) {
-	playCrashes(t, func(w *world) { w.relayed = true })
+func TestInvariantsHoldWhenTasksCrashWorkersBehindRelays(t *testing.T) {
+	simulateCrashes(t, func(w *world) { w.slowRelays = true })
 }
 
 // restartSeeds are seeds of histories with restarting workers that once violated an invariant, with the
 // cause.
-var lifeSeeds = []uint64{
+var restartSeeds = []uint64{
 	3,   // a report of the next incarnation was taken for overtaken by the clock of the previous one
 	5,   // an end was acknowledged by the end numbers of the previous incarnation
 	386, // a poll that was sent when the next incarnation was known acknowledged ends of that one seconds later
@@ -380,36 +380,36 @@
 	997, // the same
 }
 
-func TestPromisesHoldWhenWorkersStartAgainUnderTheirIDs(t *testing.T) {
+func TestInvariantsHoldWhenWorkersRestartUnderTheirNames(t *testing.T) {
 	t.Run("on their own", func(t *testing.T) {
-		playLives(t, func(*world) {})
+		simulateRestarts(t, func(*world) {})
 	})
 	t.Run("behind relays", func(t *testing.T) {
-		playLives(t, func(w *world) { w.relayed = true })
+		simulateRestarts(t, func(w *world) { w.slowRelays = true })
 	})
 	t.Run("with downtimes below half a second", func(t *testing.T) {
-		playLives(t, func(w *world) { w.brief = true })
+		simulateRestarts(t, func(w *world) { w.shortDowntime = true })
 	})
 	t.Run("under tasks that crash them", func(t *testing.T) {
-		playCrashes(t, func(w *world) {
-			w.reborn = true
-			crashingWorld(w)
+		simulateCrashes(t, func(w *world) {
+			w.workersRestart = true
+			withCrashingTasks(w)
 		})
 	})
 }
 
-func TestPromisesHoldWhenQuotasBind(t *testing.T) {
-	t.Run("on their own", func(t *testing.T) { playQuotas(t, withQuotas) })
+func TestInvariantsHoldWhenQuotasBind(t *testing.T) {
+	t.Run("on their own", func(t *testing.T) { simulateQuotas(t, withQuotas) })
 	t.Run("behind relays", func(t *testing.T) {
-		playQuotas(t, func(w *world) {
+		simulateQuotas(t, func(w *world) {
 			withQuotas(w)
-			w.relayed = true
+			w.slowRelays = true
 		})
 	})
 	t.Run("with workers that restart", func(t *testing.T) {
-		playQuotas(t, func(w *world) {
+		simulateQuotas(t, func(w *world) {
 			withQuotas(w)
-			w.reborn = true
+			w.workersRestart = true
 		})
 	})
 }
@@ -427,9 +427,9 @@
 }
 
 // simulateHistories simulates the regression seeds and as many other histories as the flags say.
-func playHistories(t *testing.T, change func(*world)) {
+func simulateHistories(t *testing.T, change func(*world)) {
 	t.Parallel()
-	playSeeds(t, append(slices.Clone(keptSeeds), drawnSeeds(t, all)...), change)
+	simulateSeeds(t, append(slices.Clone(regressionSeeds), selectSeeds(t, allSeeds)...), change)
 }
 
 // quotaSeeds are seeds of histories with quotas that once violated an invariant, with the cause.
@@ -441,74 +441,74 @@
 }
 
 // seedShare is the part of -history.seeds that a kind of history uses: one in so many.
-type share int
+type seedShare int
 
 const (
-	all share = 1
+	allSeeds seedShare = 1
 	// fifthOfSeeds is for histories with quotas, which take three times as long, for those with crashing
 	// tasks, which take twice as long, and for those with early takeovers, of which there are seven
 	// kinds. The race detector makes them ten times slower.
-	fifth share = 5
+	fifthOfSeeds seedShare = 5
 	// eighthOfSeeds and fifteenthOfSeeds are for simulated machines that crash at times of their own
 	// (crash_test.go).
-	eighth    share = 8
-	fifteenth share = 15
+	eighthOfSeeds    seedShare = 8
+	fifteenthOfSeeds seedShare = 15
 )
 
 // count returns how many histories are simulated when the flag counts so many seeds.
-func (s share) of(seeds int) int {
+func (s seedShare) count(seeds int) int {
 	return seeds / int(s)
 }
 
 // simulateQuotas simulates histories in which quotas bind.
-func playQuotas(t *testing.T, change func(*world)) {
+func simulateQuotas(t *testing.T, change func(*world)) {
 	t.Parallel()
-	playSeeds(t, append(slices.Clone(quotaSeeds), drawnSeeds(t, fifth)...), change)
+	simulateSeeds(t, append(slices.Clone(quotaSeeds), selectSeeds(t, fifthOfSeeds)...), change)
 }
 
 // simulateRestarts simulates histories in which workers start again under the names that they had.
-func playLives(t *testing.T, change func(*world)) {
+func simulateRestarts(t *testing.T, change func(*world)) {
 	t.Parallel()
-	playSeeds(t, append(slices.Clone(lifeSeeds), drawnSeeds(t, all)...), func(w *world) {
-		w.reborn = true
+	simulateSeeds(t, append(slices.Clone(restartSeeds), selectSeeds(t, allSeeds)...), func(w *world) {
+		w.workersRestart = true
 		change(w)
 	})
 }
 
 // simulateCrashes simulates histories in which tasks crash their workers.
-func playCrashes(t *testing.T, change func(*world)) {
+func simulateCrashes(t *testing.T, change func(*world)) {
 	t.Parallel()
-	playSeeds(t, append(slices.Clone(crashSeeds), drawnSeeds(t, fifth)...), func(w *world) {
-		w.crashing = true
+	simulateSeeds(t, append(slices.Clone(crashSeeds), selectSeeds(t, fifthOfSeeds)...), func(w *world) {
+		w.tasksCrash = true
 		change(w)
 	})
 }
 
 // simulateShare simulates a share of the histories that the flag counts.
-func playDrawn(t *testing.T, s share, change func(*world)) {
+func simulateShare(t *testing.T, s seedShare, change func(*world)) {
 	t.Parallel()
-	playSeeds(t, drawnSeeds(t, s), change)
+	simulateSeeds(t, selectSeeds(t, s), change)
 }
 
 // selectSeeds returns the seeds of a share of the histories that the flag counts, and logs how many these
 // are (shown with -v).
-func drawnSeeds(t *testing.T, s share) []uint64 {
-	seeds := make([]uint64, s.of(*historySeeds))
-	t.Logf("simulating %d of the %d histories that -history.seeds counts, from seed %d", len(seeds), *historySeeds, *historySeed)
+func selectSeeds(t *testing.T, s seedShare) []uint64 {
+	seeds := make([]uint64, s.count(*historySeedCount))
+	t.Logf("simulating %d of the %d histories that -history.seeds counts, from seed %d", len(seeds), *historySeedCount, *historyFirstSeed)
 	for i := range seeds {
-		seeds[i] = *historySeed + uint64(i)
+		seeds[i] = *historyFirstSeed + uint64(i)
 	}
 	return seeds
 }
 
-func playSeeds(t *testing.T, seeds []uint64, change func(*world)) {
+func simulateSeeds(t *testing.T, seeds []uint64, change func(*world)) {
 	for _, seed := range seeds {
 		w := newWorld(t, seed)
 		change(w)
-		w.play()
-		if w.bad {
+		w.simulate()
+		if w.violated {
 			lines := 60
-			if *historyAll {
+			if *historyFullLog {
 				lines = len(w.log)
 			}
 			t.Logf("last log lines of seed %d:\n%s", w.seed, lastLines(w.log, lines))
--- a/pkg/dispatch/hot_customer_test.go
+++ b/pkg/dispatch/hot_customer_test.go
@@ -14,7 +14,7 @@
 )
 
 // sharedPoolJobKinds are the kinds of jobs with which other customers use a part of the pool.
-var sharedKinds = []busyKind{
+var sharedPoolJobKinds = []busyJobKind{
 	{
 		queue.Queue{Name: "gangs", Pool: "pool", Priority: 1, MaxAttempts: 2, Extension: 2.2, TargetLatency: time.Second, Advice: &queue.AdviceCost{
 			Base: 710 * time.Millisecond, PerWorker: 11 * time.Millisecond, Validity: 2 * time.Second,
@@ -39,8 +39,8 @@
 var hotCustomer = customer.Customer{Name: "hot", Weight: 10, Quota: cell.Resources{CPUMillis: 580_000, MemoryMB: 980_000}}
 
 // newSharedPool returns a pool that other customers use in part.
-func newHotPool(seed uint64, load float64) *calmPool {
-	p := newCalmPoolOf(sharedKinds, customer.Customer{Name: "others", Weight: 100}, seed, load)
+func newSharedPool(seed uint64, load float64) *idleJobPool {
+	p := newIdleJobPool(sharedPoolJobKinds, customer.Customer{Name: "others", Weight: 100}, seed, load)
 	for _, w := range p.pool.workers {
 		w.info.Capacity = cell.Resources{CPUMillis: 16_000, MemoryMB: 32_768}
 	}
@@ -49,21 +49,21 @@
 
 // addBacklog adds the jobs that the hot customer has waiting: gangs of 10 to 52 members, and smaller
 // jobs.
-func (p *calmPool) handInBacklog(gangs, others int) {
+func (p *idleJobPool) addBacklog(gangs, others int) {
 	random := rand.New(rand.NewPCG(uint64(gangs), p.rand.Uint64()))
-	addJob := func(k busyKind, members int) {
-		p.jobs++
+	addJob := func(k busyJobKind, members int) {
+		p.jobCount++
 		s := k.step
 		s.Count = members
-		r := job.Record{Job: job.Job{ID: job.ID(fmt.Sprintf("%016x", p.jobs)), Spec: "spec", Steps: []job.Step{s}}, Queue: k.queue, Customer: hotCustomer}
+		r := job.Record{Job: job.Job{ID: job.ID(fmt.Sprintf("%016x", p.jobCount)), Spec: "spec", Steps: []job.Step{s}}, Queue: k.queue, Customer: hotCustomer}
 		p.add(r)
 	}
 	for range gangs {
-		addJob(sharedKinds[0], 10+random.IntN(43))
+		addJob(sharedPoolJobKinds[0], 10+random.IntN(43))
 	}
 	for range others {
-		addJob(sharedKinds[1], 1+random.IntN(50))
-		addJob(sharedKinds[2], 1+random.IntN(5))
+		addJob(sharedPoolJobKinds[1], 1+random.IntN(50))
+		addJob(sharedPoolJobKinds[2], 1+random.IntN(5))
 	}
 }
 
@@ -72,11 +72,11 @@
 	for _, load := range []float64{0.4, 0.7} {
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprintf("load %.1f, seed %d", load, seed), func(t *testing.T) {
-				p := newHotPool(seed, load)
-				p.watch(6 * time.Second)
-				p.handInBacklog(12, 60)
-				p.watch(20 * time.Second)
-				NewWithT(t).Expect(p.lost).To(BeEmpty())
+				p := newSharedPool(seed, load)
+				p.simulateAndCheck(6 * time.Second)
+				p.addBacklog(12, 60)
+				p.simulateAndCheck(20 * time.Second)
+				NewWithT(t).Expect(p.lostJobs).To(BeEmpty())
 			})
 		}
 	}
@@ -84,7 +84,7 @@
 
 // Guards against quota that is reserved for gangs which cannot start, while less than half of the quota
 // is used and a smaller job waits.
-func TestHotCustomerQuotaLeavesAGangUndone(t *testing.T) {
+func TestSmallJobStartsWhileGangsReserveHotCustomerQuota(t *testing.T) {
 	const workers, quota, run = 20, 20, 6
 	for name, test := range map[string]struct{ first, second, small int }{
 		"for two gangs at once":                         {8, 8, 2},
@@ -92,18 +92,18 @@
 		"for three quarters of the quota, and one more": {14, 10, 4},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := starvingGangOn(t, workers, quota, run, test.first)
-			second := adviceJob("second", 1, 200*time.Millisecond)
-			second.Job.Steps = []job.Step{gangOf(test.second)}
+			f := gangWaitingForQuotaOn(t, workers, quota, run, test.first)
+			second := jobWithAdviceTime("second", 1, 200*time.Millisecond)
+			second.Job.Steps = []job.Step{gangStep(test.second)}
 			second.Queue.TargetLatency = time.Minute // not delayed
-			f.add(of(north(0), second))
-			f.wait(adviceDelayLimit + 100*time.Millisecond)
+			f.add(withCustomer(northWithQuota(0), second))
+			f.passWithReports(adviceDelayLimit + 100*time.Millisecond)
 			small := testJob("small", testStep(test.small))
 			small.Queue.Name, small.Queue.Priority = "later", 5
-			f.add(of(north(0), small))
+			f.add(withCustomer(northWithQuota(0), small))
 			started := 0
-			for end := f.now.Add(lostAfter); f.now < end; {
-				for _, s := range f.wait(beat).Starts {
+			for end := f.now.Add(maxIdleJobTime); f.now < end; {
+				for _, s := range f.passWithReports(tickInterval).Starts {
 					f.accept(s)
 					started++
 				}
--- a/pkg/dispatch/incarnations.go
+++ b/pkg/dispatch/incarnations.go
@@ -12,7 +12,7 @@
 	// minRestartTime is less than the time that a worker's process takes to end, restart, receive a start and
 	// finish it. Ends may be acknowledged to a worker that has answered within this time, even while starts are
 	// on their way to it (mayAcknowledge).
-	ackWithin = 500 * time.Millisecond
+	minRestartTime = 500 * time.Millisecond
 	// maxEndedIncarnations is how many ended incarnations of a worker are remembered: one a second for as
 	// long as an entry may be late (30 s, the longest wait of a store watch).
 	maxEndedIncarnations = 30
@@ -254,5 +254,5 @@
 // now, it would forget its own ends of the same numbers: the ends of starts that were meant for this
 // incarnation, including invalidated ones.
 func (w *worker) mayAcknowledge(now clock.Time) bool {
-	return now.Sub(w.lastAnsweredAt) < ackWithin || len(w.transferableRuns()) == 0 && now >= w.history.lateStartsExpireAt
+	return now.Sub(w.lastAnsweredAt) < minRestartTime || len(w.transferableRuns()) == 0 && now >= w.history.lateStartsExpireAt
 }
--- a/pkg/dispatch/incarnations_starts_test.go
+++ b/pkg/dispatch/incarnations_starts_test.go
@@ -10,138 +10,138 @@
 
 // newFixtureWithUnansweredStart returns a start that got no answer from the first incarnation of worker
 // 0. That has ended since, and another worker has room for the task.
-func unanswered(t *testing.T, change func(*Config)) (*fixture, StartOrder) {
-	f := newLives(t, 1, change)
+func newFixtureWithUnansweredStart(t *testing.T, change func(*Config)) (*fixture, StartOrder) {
+	f := newIncarnationFixture(t, 1, change)
 	f.add(testJob("a", testStep(1)))
-	s := f.onlyStart()
-	f.begins(firstLife(1), Report{})
-	f.noAnswer(s)
-	f.pass(500 * time.Millisecond)
+	s := f.planOneStart()
+	f.beginIncarnation(firstIncarnation(1), Report{})
+	f.failStart(s)
+	f.advance(500 * time.Millisecond)
 	return f, s
 }
 
-func unansweredStartRunsOnNextLife(t *testing.T) {
-	f, s := unanswered(t, nil)
-	f.lists(secondLife(0))
+func testUnansweredStartRunsOnNextIncarnation(t *testing.T) {
+	f, s := newFixtureWithUnansweredStart(t, nil)
+	f.addEntry(secondIncarnation(0))
 	f.Expect(f.plan().Starts).To(BeEmpty())
-	f.reports(secondLife(0), listed(s))
-	f.reports(firstLife(1), Report{})
+	f.pollAndReport(secondIncarnation(0), activeReport(s))
+	f.pollAndReport(firstIncarnation(1), Report{})
 	actions := f.plan()
 	f.Expect(actions.Starts).To(BeEmpty(), "the next incarnation has carried out the start")
 	f.Expect(actions.Stops).To(BeEmpty())
-	f.reports(secondLife(0), f.end(s, 1, EndDone))
+	f.pollAndReport(secondIncarnation(0), f.endReport(s, 1, EndDone))
 	f.Expect(f.pool.jobs["a"].outcome).To(Equal(job.Completed))
 }
 
-func unansweredStartIsVoidOnNextLife(t *testing.T) {
-	f, s := unanswered(t, nil)
-	poll := f.hold(firstLife(0), false) // has the token of the start, which may still be on its way
-	f.answers(poll, secondLife(0), Report{})
-	f.reports(firstLife(1), Report{})
+func testUnansweredStartIsInvalidated(t *testing.T) {
+	f, s := newFixtureWithUnansweredStart(t, nil)
+	poll := f.newPoll(firstIncarnation(0), false) // has the token of the start, which may still be on its way
+	f.answerPoll(poll, secondIncarnation(0), Report{})
+	f.pollAndReport(firstIncarnation(1), Report{})
 	f.Expect(f.plan().Starts).To(BeEmpty(), "the next incarnation has not seen a higher token")
-	f.lists(secondLife(0))
-	poll = f.hold(secondLife(0), false)
+	f.addEntry(secondIncarnation(0))
+	poll = f.newPoll(secondIncarnation(0), false)
 	f.Expect(poll.Token).To(BeNumerically(">", s.Token))
-	f.answers(poll, secondLife(0), Report{})
-	again := f.onlyStartAgain(secondLife(0), Report{})
+	f.answerPoll(poll, secondIncarnation(0), Report{})
+	again := f.oneStartWithinOneSecond(secondIncarnation(0), Report{})
 	f.Expect(again.Token).To(BeNumerically(">", s.Token), "the invalidated start has no effect there any more")
 	f.Expect(again.Run).To(Equal(s.Run), "an incarnation that carries out both begins one run")
 }
 
 // An answer to a start does not say which incarnation has sent it.
-func answeredStartRunsOnNextLife(t *testing.T) {
-	f := newLives(t, 1, nil)
+func testAnsweredStartRunsOnNextIncarnation(t *testing.T) {
+	f := newIncarnationFixture(t, 1, nil)
 	f.add(testJob("a", testStep(1)))
-	s := f.onlyStart()
-	f.begins(firstLife(1), Report{})
-	f.acceptBy(s, secondLife(0))
-	f.answers(f.hold(firstLife(0), false), secondLife(0), listed(s))
-	f.lists(secondLife(0))
-	f.reports(firstLife(1), Report{})
+	s := f.planOneStart()
+	f.beginIncarnation(firstIncarnation(1), Report{})
+	f.acceptFrom(s, secondIncarnation(0))
+	f.answerPoll(f.newPoll(firstIncarnation(0), false), secondIncarnation(0), activeReport(s))
+	f.addEntry(secondIncarnation(0))
+	f.pollAndReport(firstIncarnation(1), Report{})
 	f.Expect(f.plan().Starts).To(BeEmpty())
-	f.reports(secondLife(0), listed(s))
-	f.reports(firstLife(1), Report{})
+	f.pollAndReport(secondIncarnation(0), activeReport(s))
+	f.pollAndReport(firstIncarnation(1), Report{})
 	actions := f.plan()
 	f.Expect(actions.Starts).To(BeEmpty())
 	f.Expect(actions.Stops).To(BeEmpty())
-	f.reports(secondLife(0), f.end(s, 1, EndDone))
+	f.pollAndReport(secondIncarnation(0), f.endReport(s, 1, EndDone))
 	f.Expect(f.pool.jobs["a"].outcome).To(Equal(job.Completed))
 }
 
-func cancelledStartOnNextLifeIsStopped(t *testing.T) {
-	f, s := unanswered(t, nil)
-	f.lists(secondLife(0))
+func testCancelledStartIsStopped(t *testing.T) {
+	f, s := newFixtureWithUnansweredStart(t, nil)
+	f.addEntry(secondIncarnation(0))
 	f.pool.Cancel("a")
-	f.reports(secondLife(0), listed(s))
-	f.reports(secondLife(0), listed(s))
+	f.pollAndReport(secondIncarnation(0), activeReport(s))
+	f.pollAndReport(secondIncarnation(0), activeReport(s))
 	stops := f.plan().Stops
 	f.Expect(stops).NotTo(BeEmpty())
-	f.Expect(stops[0].Worker).To(Equal(secondLife(0).id))
+	f.Expect(stops[0].Worker).To(Equal(secondIncarnation(0).id))
 }
 
-func stopOnNextLife(t *testing.T) {
-	f := newLives(t, 1, nil)
+func testStopIsRepeatedOnNextIncarnation(t *testing.T) {
+	f := newIncarnationFixture(t, 1, nil)
 	f.add(testJob("a", testStep(1)))
-	s := f.onlyStart()
-	f.acceptBy(s, secondLife(0))
+	s := f.planOneStart()
+	f.acceptFrom(s, secondIncarnation(0))
 	f.pool.Cancel("a")
 	f.Expect(f.plan().Stops).To(HaveLen(1))
-	f.answers(f.hold(firstLife(0), false), secondLife(0), listed(s))
-	f.lists(secondLife(0))
-	f.reports(secondLife(0), listed(s))
+	f.answerPoll(f.newPoll(firstIncarnation(0), false), secondIncarnation(0), activeReport(s))
+	f.addEntry(secondIncarnation(0))
+	f.pollAndReport(secondIncarnation(0), activeReport(s))
 	stops := f.plan().Stops
 	f.Expect(stops).To(HaveLen(1))
-	f.Expect(stops[0].Worker).To(Equal(secondLife(0).id))
+	f.Expect(stops[0].Worker).To(Equal(secondIncarnation(0).id))
 }
 
-func gangOnNextLifeGoesOn(t *testing.T) {
-	f := newLives(t, 2, nil)
+func testGangContinuesOnNextIncarnation(t *testing.T) {
+	f := newIncarnationFixture(t, 2, nil)
 	gang := testStep(8)
 	gang.Gang = true
 	f.add(testJob("a", gang))
 	startsByWorker := map[int][]StartOrder{}
 	for _, s := range f.plan().Starts {
-		startsByWorker[numberOf(s.Worker)] = append(startsByWorker[numberOf(s.Worker)], s)
+		startsByWorker[workerNumber(s.Worker)] = append(startsByWorker[workerNumber(s.Worker)], s)
 	}
 	for _, s := range startsByWorker[0] {
-		f.acceptBy(s, secondLife(0))
+		f.acceptFrom(s, secondIncarnation(0))
 	}
 	for _, s := range startsByWorker[1] {
-		f.acceptBy(s, firstLife(1))
+		f.acceptFrom(s, firstIncarnation(1))
 	}
-	f.reports(firstLife(1), listed(startsByWorker[1]...))
-	f.lists(secondLife(0))
-	f.reports(secondLife(0), listed(startsByWorker[0]...))
-	f.reports(secondLife(0), listed(startsByWorker[0]...))
+	f.pollAndReport(firstIncarnation(1), activeReport(startsByWorker[1]...))
+	f.addEntry(secondIncarnation(0))
+	f.pollAndReport(secondIncarnation(0), activeReport(startsByWorker[0]...))
+	f.pollAndReport(secondIncarnation(0), activeReport(startsByWorker[0]...))
 	actions := f.plan()
 	f.Expect(actions.Stops).To(BeEmpty())
 	f.Expect(actions.Starts).To(BeEmpty())
-	for n, inc := range []life{secondLife(0), firstLife(1)} {
+	for n, inc := range []testIncarnation{secondIncarnation(0), firstIncarnation(1)} {
 		var done Report
 		for i, s := range startsByWorker[n] {
 			done.Finished = append(done.Finished, FinishedRun{Number: int64(i + 1), Task: s.Task, Run: s.Run, Reason: EndDone})
 		}
-		f.reports(inc, done)
+		f.pollAndReport(inc, done)
 	}
 	f.Expect(f.pool.jobs["a"].outcome).To(Equal(job.Completed))
 }
 
 // Guards against a task that is started beside a run of an earlier start that the next incarnation of its
 // worker carries out.
-func TestTaskWaitsForAnEarlierRunThatTheNextLifeCarriesOut(t *testing.T) {
-	f, s := unanswered(t, nil)
-	f.answers(f.hold(firstLife(0), true), firstLife(0), Report{})
-	again := f.onlyStart()
-	f.Expect(again.Worker).To(Equal(firstLife(0).id))
-	f.acceptBy(again, firstLife(0))
-	f.survives(firstLife(0), again)
-	f.pass(500 * time.Millisecond)
-	f.begins(secondLife(0), listed(s))
-	f.reports(firstLife(1), Report{})
-	f.reports(secondLife(0), listed(s))
+func TestTaskWaitsForAnEarlierRunOnTheNextIncarnation(t *testing.T) {
+	f, s := newFixtureWithUnansweredStart(t, nil)
+	f.answerPoll(f.newPoll(firstIncarnation(0), true), firstIncarnation(0), Report{})
+	again := f.planOneStart()
+	f.Expect(again.Worker).To(Equal(firstIncarnation(0).id))
+	f.acceptFrom(again, firstIncarnation(0))
+	f.surviveStarts(firstIncarnation(0), again)
+	f.advance(500 * time.Millisecond)
+	f.beginIncarnation(secondIncarnation(0), activeReport(s))
+	f.pollAndReport(firstIncarnation(1), Report{})
+	f.pollAndReport(secondIncarnation(0), activeReport(s))
 	actions := f.plan()
 	f.Expect(actions.Starts).To(BeEmpty(), "the first run continues")
 	f.Expect(actions.Stops).To(HaveLen(1))
-	f.reports(secondLife(0), f.end(s, 1, EndStopped))
-	f.Expect(f.onlyStart().Run).To(BeNumerically(">", again.Run))
+	f.pollAndReport(secondIncarnation(0), f.endReport(s, 1, EndStopped))
+	f.Expect(f.planOneStart().Run).To(BeNumerically(">", again.Run))
 }
--- a/pkg/dispatch/jobs.go
+++ b/pkg/dispatch/jobs.go
@@ -119,7 +119,7 @@
 	promotionNotBefore clock.Time
 	// lowQuotaWaitSince is since when little of its customer's quota has been in use while the step is
 	// promoted and waits for the quota; 0 for not at all.
-	awaitsLowQuotaSince clock.Time
+	lowQuotaWaitSince clock.Time
 	// lowQuotaSince is since when little of the quota has been in use while the step is promoted, whatever
 	// it waits for; 0 for not at all.
 	lowQuotaSince clock.Time
@@ -250,14 +250,14 @@
 	if j.job.Schedule.Repeat == 0 {
 		return j.accepted
 	}
-	return max(now.Add(j.job.Schedule.Due(index).Sub(p.cfg.WallClock())), j.accepted)
+	return max(now.Add(j.job.Schedule.DueAt(index).Sub(p.cfg.WallClock())), j.accepted)
 }
 
 // chainEstimates returns, for each step, the estimated time from its start to the end of the job.
 func chainEstimates(j *jobState) []time.Duration {
 	var call time.Duration
 	if j.queue.Advice != nil {
-		call = j.queue.Advice.Of(typicalAdviceWorkers)
+		call = j.queue.Advice.CallTime(typicalAdviceWorkers)
 	}
 	return worth.ChainEstimates(j.job.Steps, call)
 }
--- a/pkg/dispatch/late_starts.go
+++ b/pkg/dispatch/late_starts.go
@@ -248,7 +248,7 @@
 	}
 	r.startCall.Stored = true
 	at := p.cfg.WallClock().Add(-p.now.Sub(sentBy))
-	r.task.lateStarts.AddUnanswered(job.Unanswered{Run: r.number, Worker: string(r.worker.info.ID), At: at, Void: r.startCall.ReusesNumber})
+	r.task.lateStarts.AddUnanswered(job.UnansweredStart{Run: r.number, Worker: string(r.worker.info.ID), SentBy: at, Invalidated: r.startCall.ReusesNumber})
 	p.markProgressChanged(r.task)
 }
 
@@ -270,7 +270,7 @@
 }
 
 // unansweredStarts returns what the store has to keep of a task's starts that may still be carried out.
-func (p *Pool) unansweredStarts(t *task) []job.Unanswered {
+func (p *Pool) unansweredStarts(t *task) []job.UnansweredStart {
 	t.lateStarts.RemoveUnanswered(func(sentBy time.Time) bool { return p.lateStartExpiry(sentBy, p.now) == 0 })
 	return t.lateStarts.Unanswered()
 }
@@ -285,8 +285,8 @@
 				return p.cfg.WallClock()
 			}
 			for _, u := range p.unansweredStarts(&s.tasks[i]) {
-				if u.At.After(last) {
-					last = u.At
+				if u.SentBy.After(last) {
+					last = u.SentBy
 				}
 			}
 		}
@@ -295,12 +295,12 @@
 }
 
 // loadUnanswered restores the starts of a task that previous owners got no answer to.
-func (p *Pool) loadUnanswered(t *task, starts []job.Unanswered) {
+func (p *Pool) loadUnanswered(t *task, starts []job.UnansweredStart) {
 	if !t.step.tracksLateStarts() {
 		return
 	}
 	for _, u := range starts {
-		if until := p.lateStartExpiry(u.At, p.now); until != 0 {
+		if until := p.lateStartExpiry(u.SentBy, p.now); until != 0 {
 			history := p.historyOf(WorkerID(u.Worker).Name())
 			t.lateStarts.LoadUnanswered(u, history.name, until)
 			history.extendLateStarts(until)
--- a/pkg/dispatch/long_running_test.go
+++ b/pkg/dispatch/long_running_test.go
@@ -11,7 +11,7 @@
 )
 
 // serviceStep is a long-running step of a service, with a target for its tail latency.
-func servingStep(count int) job.Step {
+func serviceStep(count int) job.Step {
 	return job.Step{
 		Count: count, LongRunning: true, TargetTail: 100 * time.Millisecond, MissAllowed: 1,
 		Resources: cell.Resources{CPUMillis: 1000, MemoryMB: 1000},
@@ -26,16 +26,16 @@
 	}
 }
 
-func TestLastingTaskStartsAgainHoweverItEnds(t *testing.T) {
+func TestLongRunningTaskRestartsHoweverItEnds(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.reportAll(1)
-	f.add(testJob("a", servingStep(1)))
+	f.add(testJob("a", serviceStep(1)))
 	for n, reason := range []EndReason{EndFailed, EndFailed, EndFailed, EndFailed, EndDone} {
 		starts := f.plan().Starts
 		f.Expect(starts).To(HaveLen(1), "after %d ends", n)
 		f.accept(starts[0])
-		f.pass(5 * time.Second)
-		f.report(0, f.end(starts[0], int64(n+1), reason))
+		f.advance(5 * time.Second)
+		f.report(0, f.endReport(starts[0], int64(n+1), reason))
 	}
 	state, _, _ := f.pool.JobState("a")
 	f.Expect(state).To(Equal(job.Running))
@@ -44,9 +44,9 @@
 }
 
 // startServiceAndFiller starts a task of a service and a filler on one worker and returns their orders.
-func serving(f *fixture) (server, filler StartOrder) {
+func startServiceAndFiller(f *fixture) (server, filler StartOrder) {
 	f.reportAll(1)
-	f.add(testJob("a", servingStep(1)))
+	f.add(testJob("a", serviceStep(1)))
 	f.add(testJob("b", fillerStep(1)))
 	starts := f.plan().Starts
 	f.Expect(starts).To(HaveLen(2), "the cores of a filler are not counted")
@@ -63,8 +63,8 @@
 
 // reportTailLatency reports the tail latency of the service and returns the pace that is ordered for the
 // filler, or -1 for none.
-func (f *fixture) look(server, filler StartOrder, tail int) int {
-	f.pass(250 * time.Millisecond)
+func (f *fixture) reportTailLatency(server, filler StartOrder, tail int) int {
+	f.advance(250 * time.Millisecond)
 	f.report(0, Report{Active: []ActiveRun{
 		{Task: server.Task, Run: server.Run, Percent: 100, Load: tail}, {Task: filler.Task, Run: filler.Run, Percent: 10, Load: 500},
 	}})
@@ -78,28 +78,28 @@
 	return paces[0].Percent
 }
 
-func TestFillerIsSlowedDownWhenATailIsHighAndLetGoAgain(t *testing.T) {
+func TestFillerIsSlowedWhileTailLatencyIsHigh(t *testing.T) {
 	f := newFixture(t, 1, nil)
-	server, filler := serving(f)
-	f.Expect(f.look(server, filler, 95)).To(Equal(30))
-	f.Expect(f.look(server, filler, 95)).To(Equal(12))
-	f.Expect(f.look(server, filler, 95)).To(Equal(4))
-	f.Expect(f.look(server, filler, 95)).To(Equal(1))
-	f.Expect(f.look(server, filler, 95)).To(Equal(0))
-	f.Expect(f.look(server, filler, 95)).To(Equal(-1), "the filler is paused already")
+	server, filler := startServiceAndFiller(f)
+	f.Expect(f.reportTailLatency(server, filler, 95)).To(Equal(30))
+	f.Expect(f.reportTailLatency(server, filler, 95)).To(Equal(12))
+	f.Expect(f.reportTailLatency(server, filler, 95)).To(Equal(4))
+	f.Expect(f.reportTailLatency(server, filler, 95)).To(Equal(1))
+	f.Expect(f.reportTailLatency(server, filler, 95)).To(Equal(0))
+	f.Expect(f.reportTailLatency(server, filler, 95)).To(Equal(-1), "the filler is paused already")
 	var up []int
 	for range 20 {
-		if pace := f.look(server, filler, 20); pace >= 0 {
+		if pace := f.reportTailLatency(server, filler, 20); pace >= 0 {
 			up = append(up, pace)
 		}
 	}
 	f.Expect(up[:2]).To(Equal([]int{15, 30}))
 }
 
-func TestUpkeepSparesAStepThatLastsAndEmptiesItsWorker(t *testing.T) {
+func TestVacatingStopsOneTaskOfAServiceAtATime(t *testing.T) {
 	f := newFixture(t, 2, nil)
 	f.reportAll(2)
-	s := servingStep(2)
+	s := serviceStep(2)
 	s.MaxPerWorker = 1
 	f.add(testJob("a", s))
 	starts := f.plan().Starts
@@ -107,7 +107,7 @@
 	reports := map[int]Report{}
 	for _, o := range starts {
 		f.accept(o)
-		reports[numberOf(o.Worker)] = Report{Active: []ActiveRun{{Task: o.Task, Run: o.Run, Percent: 100}}}
+		reports[workerNumber(o.Worker)] = Report{Active: []ActiveRun{{Task: o.Task, Run: o.Run, Percent: 100}}}
 	}
 	f.report(0, reports[0])
 	f.report(1, reports[1])
@@ -120,12 +120,12 @@
 // Guards against a failed task of a service that comes after all other jobs: a long-running job passed
 // its objective once, and from then on its failed tasks were ranked behind everything. Seen on a copy of
 // the market stalls workload with more schedules.
-func TestTaskThatLastsComesBeforeLateJobsHoweverOldItIs(t *testing.T) {
+func TestOldServiceIsRankedBeforeOtherJobs(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.reportAll(1)
-	f.add(testJob("a", servingStep(1)))
+	f.add(testJob("a", serviceStep(1)))
 	f.accept(f.plan().Starts[0])
-	f.pass(time.Hour)
+	f.advance(time.Hour)
 	f.add(testJob("b", testStep(8)))
 	f.report(0, Report{Finished: []FinishedRun{{Number: 1, Task: job.TaskID{StepID: job.StepID{Job: "a"}}, Run: 1, Reason: EndFailed}}})
 	starts := f.plan().Starts
@@ -133,7 +133,7 @@
 	f.Expect(starts[0].Task.Job).To(Equal(job.ID("a")))
 }
 
-func TestTaskThatLastsPreemptsAnyRunOnceItIsOverdue(t *testing.T) {
+func TestOverdueServicePreemptsAnyRun(t *testing.T) {
 	for name, s := range map[string]job.Step{
 		"of its own priority": testStep(4),
 		"a gang":              {Count: 4, Gang: true, Estimate: time.Minute, Resources: cell.Resources{CPUMillis: 1000, MemoryMB: 100}},
@@ -146,24 +146,24 @@
 			for _, o := range f.plan().Starts {
 				f.accept(o)
 			}
-			f.add(testJob("a", servingStep(1)))
+			f.add(testJob("a", serviceStep(1)))
 			f.Expect(f.plan().Stops).To(BeEmpty())
-			f.pass(worth.MaxServiceWait)
+			f.advance(worth.MaxServiceWait)
 			f.report(0, Report{Active: activeRows(f)})
 			f.Expect(f.plan().Stops).NotTo(BeEmpty())
 		})
 	}
 }
 
-func TestBacklogOfOnePoolDoesNotHoldGangsOfAnotherUp(t *testing.T) {
-	f := waitingGang(t)
+func TestBacklogOfAnotherPoolDoesNotAffectGangReservations(t *testing.T) {
+	f := newWaitingGang(t)
 	other := testQueue
 	other.Name, other.Pool = "elsewhere", "other"
 	f.add(job.Record{Job: job.Job{ID: "b", Steps: []job.Step{testStep(500)}}, Queue: other})
-	f.Expect(f.reservedFor("a").isReserved("w0", testQueue.Priority)).To(BeTrue())
+	f.Expect(f.reservationsFor("a").isReserved("w0", testQueue.Priority)).To(BeTrue())
 }
 
-func TestBacklogOfAcceleratorsCounts(t *testing.T) {
+func TestAcceleratorBacklogCounts(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.pool.UpsertWorker(WorkerInfo{ID: "gpu", Pool: "pool", Capacity: cell.Resources{CPUMillis: 64000, MemoryMB: 100000, Accelerators: 8}}, true, f.now)
 	f.reportAll(1)
@@ -171,6 +171,6 @@
 	s.Resources.Accelerators = 1
 	f.add(testJob("a", s))
 	f.pool.updateLoads(f.now)
-	f.pool.sumBacklog()
+	f.pool.updateBacklogs()
 	f.Expect(f.pool.poolLoad("pool").isOverloaded()).To(BeTrue(), "half of the accelerators")
 }
--- a/pkg/dispatch/placement.go
+++ b/pkg/dispatch/placement.go
@@ -18,7 +18,7 @@
 		return assignBoundMembers(s, candidates)
 	}
 	if s.spec.SameRack {
-		for _, rack := range racks(candidates) {
+		for _, rack := range groupByRack(candidates) {
 			if chosen := assignMembers(s, rack); chosen != nil {
 				return chosen
 			}
@@ -28,7 +28,7 @@
 }
 
 // groupByRack groups workers by their rack, sorted by the names of the racks.
-func racks(workers []*worker) [][]*worker {
+func groupByRack(workers []*worker) [][]*worker {
 	byRack := map[string][]*worker{}
 	var names []string
 	for _, w := range workers {
@@ -156,7 +156,7 @@
 }
 
 // avoidWorker makes a task prefer other workers than the given one.
-func (p *Pool) avoid(t *task, w *worker) {
+func (p *Pool) avoidWorker(t *task, w *worker) {
 	if !p.isDisabled(Avoidance) {
 		t.avoidedWorker = w.info.ID
 	}
@@ -174,8 +174,8 @@
 			continue
 		}
 		cost := fit.Candidate{
-			Free: w.free(), Capacity: w.info.Capacity, Far: t.step.spec.Affinity != "" && w.info.Rack != t.step.spec.Affinity,
-			FailedThere: t.avoidedWorker == w.info.ID, FailsLately: t.avoidedWorker != "" && w.failures > 0,
+			Free: w.free(), Capacity: w.info.Capacity, FarFromData: t.step.spec.Affinity != "" && w.info.Rack != t.step.spec.Affinity,
+			FailedHere: t.avoidedWorker == w.info.ID, RecentFailures: t.avoidedWorker != "" && w.consecutiveFailures > 0,
 		}.Cost(need)
 		if best == nil || cost < bestCost {
 			best, bestCost = w, cost
--- a/pkg/dispatch/plan.go
+++ b/pkg/dispatch/plan.go
@@ -21,7 +21,7 @@
 	// leaveSlack is how much longer a leaving worker is assumed to stay than it announced.
 	leaveSlack = 200 * time.Millisecond
 	// almostDonePercent is the progress, in percent, from which a stuck run is no longer restarted.
-	almostDone = 98
+	almostDonePercent = 98
 )
 
 // Plan decides what is to be done now. Without authority it gives no starts and requests no advice.
@@ -87,7 +87,7 @@
 		p.restartElsewhere(r, "the worker is leaving")
 		return
 	}
-	if s.spec.LongRunning || s.spec.Filler || r.progress.Percent >= almostDone || r.task.current != r {
+	if s.spec.LongRunning || s.spec.Filler || r.progress.Percent >= almostDonePercent || r.task.current != r {
 		return
 	}
 	if !r.isStuck(now) || p.isDisabled(StuckRunRestarts) {
@@ -110,7 +110,7 @@
 // members.
 func (p *Pool) restartElsewhere(r *run, reason string) {
 	p.cfg.Log(Event{Name: "run_moved", Task: r.task.id(), Run: r.number, Worker: r.worker.info.ID, Detail: reason})
-	p.avoid(r.task, r.worker)
+	p.avoidWorker(r.task, r.worker)
 	p.stopRunOrGang(r)
 }
 
@@ -142,7 +142,7 @@
 func (p *Pool) placeSteps(now clock.Time, out *Actions) {
 	p.clearQuotaReservations()
 	if p.waitingSteps.gangCount > 0 {
-		p.sumBacklog() // determines whether gangs may reserve workers
+		p.updateBacklogs() // determines whether gangs may reserve workers
 	}
 	p.usableWorkers = usableWorkersByPool{}
 	defer func() { p.usableWorkers = nil }()
@@ -271,7 +271,7 @@
 // considered.
 func (p *Pool) mayStart(t *task, now clock.Time) bool {
 	p.expireLateStarts(t, now)
-	return t.waiting() && now >= t.notBefore && !t.isBlockedByLateStart() && p.mayRestartPresumedLost(t, now) && p.mayAttemptLast(t, now)
+	return t.waiting() && now >= t.notBefore && !t.isBlockedByLateStart() && p.mayRestartPresumedLost(t, now) && p.crashesAllowStart(t, now)
 }
 
 // gangCandidates lists the workers on which members of a gang may be started.
@@ -295,7 +295,7 @@
 	}
 	for i := range s.tasks {
 		p.expireLateStarts(&s.tasks[i], now)
-		if s.tasks[i].isBlockedByLateStart() || !p.mayRestartPresumedLost(&s.tasks[i], now) || !p.mayAttemptLast(&s.tasks[i], now) {
+		if s.tasks[i].isBlockedByLateStart() || !p.mayRestartPresumedLost(&s.tasks[i], now) || !p.crashesAllowStart(&s.tasks[i], now) {
 			return
 		}
 	}
--- a/pkg/dispatch/plan_equivalence_test.go
+++ b/pkg/dispatch/plan_equivalence_test.go
@@ -15,7 +15,7 @@
 
 // planFromScratch is Plan without anything that is kept between plans: it sorts and sums up all waiting
 // steps and chooses among all workers.
-func (p *Pool) planInFull(now clock.Time, authority bool) Actions {
+func (p *Pool) planFromScratch(now clock.Time, authority bool) Actions {
 	p.now = now
 	p.updateLoads(now)
 	p.expireAdviceCalls(now)
@@ -26,7 +26,7 @@
 	var out Actions
 	if authority {
 		p.orderStoredStarts(now, &out)
-		p.placeInFull(now, &out)
+		p.placeFromScratch(now, &out)
 	}
 	p.addStopOrders(now, &out)
 	p.addPaceOrders(&out)
@@ -35,13 +35,13 @@
 	return out
 }
 
-func (p *Pool) placeInFull(now clock.Time, out *Actions) {
+func (p *Pool) placeFromScratch(now clock.Time, out *Actions) {
 	p.clearQuotaReservations()
-	p.sumBacklogInFull()
+	p.sumBacklogFromScratch()
 	reserved := newReservations()
 	p.placePromotedGangs(reserved, now, out)
-	ordered := p.orderInFull(now)
-	p.askForStarvingInFull(ordered, reserved, now, out)
+	ordered := p.rankFromScratch(now)
+	p.requestDelayedAdviceFromScratch(ordered, reserved, now, out)
 	for _, s := range ordered {
 		if s.promoted || p.isBlockedByTakeover(s.occurrence.job) {
 			continue
@@ -68,7 +68,7 @@
 	}
 }
 
-func (p *Pool) sumBacklogInFull() {
+func (p *Pool) sumBacklogFromScratch() {
 	for _, l := range p.loads {
 		l.waitingNeed = cell.Resources{}
 	}
@@ -78,13 +78,13 @@
 	}
 }
 
-func (p *Pool) orderInFull(now clock.Time) []*step {
+func (p *Pool) rankFromScratch(now clock.Time) []*step {
 	ordered := slices.Collect(p.waitingSteps.all())
 	slices.SortFunc(ordered, func(a, b *step) int { return a.rank(now).Compare(b.rank(now)) })
 	return ordered
 }
 
-func (p *Pool) askForStarvingInFull(ordered []*step, reserved *reservations, now clock.Time, out *Actions) {
+func (p *Pool) requestDelayedAdviceFromScratch(ordered []*step, reserved *reservations, now clock.Time, out *Actions) {
 	if p.advice.advisers.IdleCount() == 0 || p.isDisabled(DelayedAdviceFirst) {
 		return
 	}
@@ -105,41 +105,41 @@
 
 // comparePlans simulates two pools, of which one plans from scratch, and compares the decisions of each
 // plan.
-func sameInFull(t *testing.T, newPool func() *busyPool, d time.Duration) {
+func comparePlans(t *testing.T, newPool func() *busyPool, d time.Duration) {
 	g := NewWithT(t)
 	incremental, scratch := newPool(), newPool()
-	scratch.plan = scratch.pool.planInFull
+	scratch.plan = scratch.pool.planFromScratch
 	var expected []Actions
-	scratch.planned = func(a Actions) { expected = append(expected, a) }
-	scratch.play(d)
+	scratch.afterPlan = func(a Actions) { expected = append(expected, a) }
+	scratch.simulate(d)
 	n := 0
-	incremental.planned = func(a Actions) {
+	incremental.afterPlan = func(a Actions) {
 		g.Expect(a.Starts).To(Equal(expected[n].Starts), "plan %d", n)
 		g.Expect(a.AdviceCalls).To(Equal(expected[n].AdviceCalls), "plan %d", n)
 		g.Expect(a.Stops).To(Equal(expected[n].Stops), "plan %d", n)
 		n++
 	}
-	incremental.play(d)
+	incremental.simulate(d)
 	g.Expect(n).To(Equal(len(expected)))
-	g.Expect(incremental.started).To(BeNumerically(">", 0))
+	g.Expect(incremental.startCount).To(BeNumerically(">", 0))
 }
 
 // Guards against a plan that decides otherwise than one made from scratch.
-func TestPlansDecideAsIfAllWasGoneOver(t *testing.T) {
+func TestPlanEqualsPlanFromScratch(t *testing.T) {
 	const (
 		workers = 60
 		length  = 12 * time.Second
 	)
 	for seed := range uint64(12) {
-		sameInFull(t, func() *busyPool { return drawnBusyPool(seed, workers) }, length)
+		comparePlans(t, func() *busyPool { return randomBusyPool(seed, workers) }, length)
 	}
 }
 
 // randomBusyPool returns a small pool with more jobs than it has room for: in queues with advice and
 // without, of customers with quotas and without, with gangs, long-running tasks and a change of the
 // configuration on the way.
-func drawnBusyPool(seed uint64, workers int) *busyPool {
-	kinds := slices.Clone(busyKinds)
+func randomBusyPool(seed uint64, workers int) *busyPool {
+	kinds := slices.Clone(busyJobKinds)
 	for i := range kinds {
 		kinds[i].perSecond *= float64(workers) / busyWorkers * (1 + float64(seed%4))
 		kinds[i].step.Count = max(kinds[i].step.Count/4, 2)
@@ -149,7 +149,7 @@
 	longRunning := kinds[2]
 	longRunning.queue.Name, longRunning.step.LongRunning, longRunning.perSecond = "long running", true, 0.3
 	kinds = append(kinds, plain, longRunning)
-	b := newBusyPoolOf(kinds, workers, busyAdvisers*workers/busyWorkers, seed, nil)
+	b := newBusyPoolWithSize(kinds, workers, busyAdvisers*workers/busyWorkers, seed, nil)
 	if seed%2 == 0 {
 		for n := range 4 {
 			quota := cell.Resources{CPUMillis: int64(workers) * 16000 / int64(2+n)}
@@ -160,7 +160,7 @@
 		for i := range kinds {
 			kinds[i].queue.Priority = 2 - kinds[i].queue.Priority
 		}
-		b.configure(3, kinds)
+		b.configureQueues(3, kinds)
 	})
 	return b
 }
--- a/pkg/dispatch/pool.go
+++ b/pkg/dispatch/pool.go
@@ -97,10 +97,10 @@
 	uncountedCrash     WorkerInfo
 	// rosterChanges are the names of the workers whose roster records may have changed
 	// (TakeRosterChanges).
-	rosterChanges map[string]struct{}
-	createdAt     clock.Time
-	surveyedAt    clock.Time // when loads was last computed (updateLoads)
-	loads         map[string]*poolLoad
+	rosterChanges  map[string]struct{}
+	createdAt      clock.Time
+	loadsUpdatedAt clock.Time // when loads was last computed (updateLoads)
+	loads          map[string]*poolLoad
 	// ownershipConfirmedAt is the latest time at which the store is known to have named this process as
 	// the owner (RecordOwnershipConfirmed). needsOwnershipCheck says that it has to be asked again.
 	ownershipConfirmedAt clock.Time
@@ -198,13 +198,13 @@
 			j.queue = q
 		}
 	}
-	j.occurrences = make([]*occurrence, r.Job.Schedule.Times())
+	j.occurrences = make([]*occurrence, r.Job.Schedule.Occurrences())
 	j.accepted, j.chainEstimates = now.Add(-age), chainEstimates(j)
 	p.jobs[id] = j
 	j.account = p.openAccount(j.customer)
 	if p.jobsLoaded {
 		p.updateOverShare(j)
-		p.countArrival(j)
+		p.countAcceptedJob(j)
 	}
 	p.knownPools[j.queue.Pool] = true
 	p.loadProgress(j, progress)
@@ -227,7 +227,7 @@
 	if !p.jobsLoaded {
 		p.addEndedJobUse(ended)
 	}
-	p.outcomes.Put(id, outcome.Outcome{State: ended.Outcome, Customer: ended.Customer.Name, LearnedAt: now, LateStartsExpireAt: p.lateStartExpiry(ended.LateStart, now)})
+	p.outcomes.Put(id, outcome.Outcome{State: ended.Outcome, Customer: ended.Customer.Name, LearnedAt: now, LateStartsExpireAt: p.lateStartExpiry(ended.LastLateStart, now)})
 	p.resolveUnknownJob(id, now)
 	j, known := p.jobs[id]
 	if !known {
@@ -268,7 +268,7 @@
 // createDueOccurrences creates the occurrences of a scheduled job whose times have come.
 func (p *Pool) createDueOccurrences(j *jobState) {
 	wall := p.cfg.WallClock()
-	for j.nextOccurrence < len(j.occurrences) && !j.job.Schedule.Due(j.nextOccurrence).After(wall) {
+	for j.nextOccurrence < len(j.occurrences) && !j.job.Schedule.DueAt(j.nextOccurrence).After(wall) {
 		p.createOccurrence(j, j.nextOccurrence)
 		j.nextOccurrence++
 	}
--- a/pkg/dispatch/pool_load.go
+++ b/pkg/dispatch/pool_load.go
@@ -52,15 +52,15 @@
 
 // loadUpdateInterval is the minimum time between two passes over all workers: plans follow each other
 // within milliseconds, and there may be thousands of workers.
-const surveyInterval = 20 * time.Millisecond
+const loadUpdateInterval = 20 * time.Millisecond
 
 // updateLoads ends runs whose leases have expired, retires draining workers and computes the sums of
 // all pools.
 func (p *Pool) updateLoads(now clock.Time) {
-	if p.surveyedAt != 0 && now.Sub(p.surveyedAt) < surveyInterval {
+	if p.loadsUpdatedAt != 0 && now.Sub(p.loadsUpdatedAt) < loadUpdateInterval {
 		return
 	}
-	p.surveyedAt = now
+	p.loadsUpdatedAt = now
 	clear(p.loads)
 	p.updateUnreportedUse()
 	for _, w := range p.workersByID() {
@@ -77,7 +77,7 @@
 
 // updateBacklogs computes the waiting need of each pool. Tasks that wait for their customer's quota
 // don't count.
-func (p *Pool) sumBacklog() {
+func (p *Pool) updateBacklogs() {
 	for _, l := range p.loads {
 		l.waitingNeed = cell.Resources{}
 	}
--- a/pkg/dispatch/pool_test.go
+++ b/pkg/dispatch/pool_test.go
@@ -23,8 +23,8 @@
 	// workerClock is the clock of all workers, in milliseconds; it advances with now.
 	workerClock int64
 	events      []Event
-	// storeAway says that the store can't be reached, so ownership is not confirmed.
-	storeAway bool
+	// storeUnreachable says that the store can't be reached, so ownership is not confirmed.
+	storeUnreachable bool
 }
 
 const (
@@ -64,8 +64,8 @@
 	f.pool.MarkInRoster([]WorkerID{workerID(n)})
 }
 
-// pass lets time pass for all clocks.
-func (f *fixture) pass(d time.Duration) {
+// advance lets time pass for all clocks.
+func (f *fixture) advance(d time.Duration) {
 	f.now = f.now.Add(d)
 	f.wall = f.wall.Add(d)
 	f.workerClock += d.Milliseconds()
@@ -75,7 +75,7 @@
 func (f *fixture) report(n int, r Report) Answer {
 	poll, ok := f.pool.NewPoll(workerID(n), false, true, f.now)
 	f.Expect(ok).To(BeTrue())
-	f.pass(time.Millisecond)
+	f.advance(time.Millisecond)
 	a := Answer{Verdict: VerdictDone, Clock: f.workerClock}
 	f.pool.HandlePollAnswer(poll, a, r, f.now)
 	return a
@@ -89,8 +89,8 @@
 }
 
 func (f *fixture) plan() Actions {
-	f.pass(time.Millisecond)
-	if !f.storeAway {
+	f.advance(time.Millisecond)
+	if !f.storeUnreachable {
 		f.pool.RecordOwnershipConfirmed(f.now)
 	}
 	return f.pool.Plan(f.now, true)
@@ -101,7 +101,7 @@
 	f.pool.HandleStartAnswer(s, Answer{Verdict: VerdictDone, Clock: f.workerClock}, nil, f.now)
 }
 
-func (f *fixture) end(s StartOrder, number int64, reason EndReason) Report {
+func (f *fixture) endReport(s StartOrder, number int64, reason EndReason) Report {
 	return Report{Finished: []FinishedRun{{Number: number, Task: s.Task, Run: s.Run, Reason: reason}}}
 }
 
@@ -117,7 +117,7 @@
 	f.pool.AddJob(r, job.Progress{}, false, 0, f.now)
 }
 
-func numberOf(id WorkerID) int {
+func workerNumber(id WorkerID) int {
 	var n int
 	_, _ = fmt.Sscanf(string(id), "w%d", &n)
 	return n
@@ -137,13 +137,13 @@
 		f.accept(s)
 	}
 	f.Expect(f.pool.PendingJobs("ticks")).To(Equal(0))
-	f.report(numberOf(starts[0].Worker), f.end(starts[0], 1, EndDone))
+	f.report(workerNumber(starts[0].Worker), f.endReport(starts[0], 1, EndDone))
 	f.Expect(f.plan().Starts).To(BeEmpty(), "the first step is not done")
-	f.report(numberOf(starts[1].Worker), f.end(starts[1], 2, EndDone))
+	f.report(workerNumber(starts[1].Worker), f.endReport(starts[1], 2, EndDone))
 	last := f.plan().Starts
 	f.Expect(last).To(HaveLen(1))
 	f.accept(last[0])
-	f.report(numberOf(last[0].Worker), f.end(last[0], 3, EndDone))
+	f.report(workerNumber(last[0].Worker), f.endReport(last[0], 3, EndDone))
 	state, _, _ := f.pool.JobState("a")
 	f.Expect(state).To(Equal(job.Running), "the end is not committed")
 	f.pool.ApplyCommit(f.pool.PrepareCommit())
@@ -151,13 +151,13 @@
 	f.Expect(state).To(Equal(job.Completed))
 }
 
-func TestEndsAreNotedOnlyWhenCommitted(t *testing.T) {
+func TestEndsAreAcknowledgedOnlyWhenCommitted(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.reportAll(1)
 	f.add(testJob("a", testStep(1)))
 	s := f.plan().Starts[0]
 	f.accept(s)
-	f.report(0, f.end(s, 7, EndDone))
+	f.report(0, f.endReport(s, 7, EndDone))
 	poll, _ := f.pool.NewPoll("w0", false, true, f.now)
 	f.Expect(poll.AckedEnd).To(BeZero())
 	f.pool.ApplyCommit(f.pool.PrepareCommit())
@@ -165,7 +165,7 @@
 	f.Expect(poll.AckedEnd).To(Equal(int64(7)))
 }
 
-func TestRoomIsNeverExceeded(t *testing.T) {
+func TestCapacityIsNeverExceeded(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.reportAll(1)
 	f.add(testJob("a", testStep(9)))
@@ -178,11 +178,11 @@
 	f.add(testJob("b", testStep(1)))
 	f.Expect(f.plan().Stops).To(HaveLen(4))
 	f.Expect(f.plan().Starts).To(BeEmpty(), "runs that are being stopped count")
-	f.report(0, f.end(starts[0], 1, EndStopped))
+	f.report(0, f.endReport(starts[0], 1, EndStopped))
 	f.Expect(f.plan().Starts).To(HaveLen(1))
 }
 
-func TestJobFailsAfterItsAttempts(t *testing.T) {
+func TestJobFailsAfterMaxAttempts(t *testing.T) {
 	f := newFixture(t, 3, nil)
 	f.reportAll(3)
 	f.add(testJob("a", testStep(1)))
@@ -190,7 +190,7 @@
 		starts := f.plan().Starts
 		f.Expect(starts).To(HaveLen(1))
 		f.accept(starts[0])
-		f.report(numberOf(starts[0].Worker), f.end(starts[0], n+1, EndFailed))
+		f.report(workerNumber(starts[0].Worker), f.endReport(starts[0], n+1, EndFailed))
 	}
 	f.Expect(f.plan().Starts).To(BeEmpty())
 	f.pool.ApplyCommit(f.pool.PrepareCommit())
@@ -200,14 +200,14 @@
 
 // A failure counts once, though it is reported again after a takeover.
 func TestCommittedFailureIsNotCountedAgain(t *testing.T) {
-	f := newFixture(t, 1, afterFormerOwner)
+	f := newFixture(t, 1, afterPreviousOwner)
 	id := job.TaskID{StepID: job.StepID{Job: "a"}}
 	f.pool.AddJob(testJob("a", testStep(1)), job.Progress{Tasks: []job.TaskProgress{{Failures: []int{1, 2}, LastRun: 2}}}, true, 0, f.now)
 	f.report(0, Report{Finished: []FinishedRun{{Number: 1, Task: id, Run: 1, Reason: EndFailed}, {Number: 2, Task: id, Run: 2, Reason: EndFailed}}})
 	f.Expect(f.plan().Starts).To(HaveLen(1))
 }
 
-func TestCancelStopsAStartThatIsOnItsWay(t *testing.T) {
+func TestCancelStopsAStartInFlight(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.reportAll(1)
 	f.add(testJob("a", testStep(1)))
@@ -218,25 +218,25 @@
 	f.Expect(f.plan().Stops).To(HaveLen(1))
 }
 
-func TestScheduledTimesBeginWhenDue(t *testing.T) {
+func TestOccurrencesBeginWhenDue(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.reportAll(1)
 	r := testJob("a", testStep(1))
 	r.Job.Schedule = job.Schedule{Repeat: 2, Start: f.wall.Add(time.Second), Interval: time.Second}
 	f.add(r)
 	f.Expect(f.plan().Starts).To(BeEmpty())
-	f.pass(time.Second)
+	f.advance(time.Second)
 	starts := f.plan().Starts
 	f.Expect(starts).To(HaveLen(1))
 	f.accept(starts[0])
-	f.pass(time.Second)
+	f.advance(time.Second)
 	f.report(0, Report{Active: []ActiveRun{{Task: starts[0].Task, Run: 1, Percent: 50}}})
 	starts = f.plan().Starts
 	f.Expect(starts).To(HaveLen(1), "occurrences may overlap")
 	f.Expect(starts[0].Task.Time).To(Equal(1))
 }
 
-func TestLabelsSpreadAndDrainBindPlaces(t *testing.T) {
+func TestMaxPerWorkerAndLabelsLimitPlacement(t *testing.T) {
 	f := newFixture(t, 3, nil)
 	f.reportAll(3)
 	s := testStep(3)
@@ -253,7 +253,7 @@
 
 // Guards against occurrences of a scheduled job that all share the objective of the first, so that later
 // ones are ranked behind everything. Seen on a copy of the hanbit-ops workload with scheduled jobs.
-func TestEachTimeHasItsOwnObjective(t *testing.T) {
+func TestEachOccurrenceHasItsOwnObjective(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.reportAll(1)
 	r := testJob("a", testStep(1))
@@ -261,19 +261,19 @@
 	f.add(r)
 	j := f.pool.jobs["a"]
 	first := j.occurrences[0].objective
-	f.pass(time.Minute)
+	f.advance(time.Minute)
 	f.plan()
 	f.Expect(j.occurrences[1].objective.Sub(first)).To(BeNumerically("~", time.Minute, 10*time.Millisecond))
 	f.Expect(j.occurrences[1].steps[0].valueClass(f.now)).To(Equal(worth.InTime))
 }
 
-func TestOutcomesAreKeptForTheirTime(t *testing.T) {
+func TestOutcomesAreKeptForTheRetentionTime(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.pool.AddOutcome("a", job.Record{Outcome: job.Completed}, f.now)
-	f.pass(time.Minute)
+	f.advance(time.Minute)
 	f.pool.AddOutcome("b", job.Record{Outcome: job.Failed}, f.now)
 	f.Expect(f.pool.ExpiredOutcomes(2*time.Minute, 10, f.now)).To(BeEmpty())
-	f.pass(time.Minute)
+	f.advance(time.Minute)
 	expired := f.pool.ExpiredOutcomes(2*time.Minute, 10, f.now)
 	f.Expect(expired).To(Equal([]job.ID{"a"}))
 	f.pool.ForgetOutcomes(expired)
--- a/pkg/dispatch/preempt.go
+++ b/pkg/dispatch/preempt.go
@@ -21,7 +21,7 @@
 	// first one found none. A search visits all workers that may run the step, with their runs. Without
 	// this limit the searches took a third of the owner's time for decisions in a busy pool of 1,100
 	// workers (BenchmarkBusyPool).
-	preemptRetry = 100 * time.Millisecond
+	preemptionRetryInterval = 100 * time.Millisecond
 	// maxPreemptionLoss is how much work a preemption may throw away, as a share of the work of the
 	// tasks that it makes room for. With 0.25 jobs earn 0.003 less in a pool of 48 workers; with 1.0 up
 	// to 3,200 core-seconds are thrown away per minute.
@@ -38,7 +38,7 @@
 	if !p.mayPreempt(s, now) {
 		return
 	}
-	s.preemptNotBefore = now.Add(preemptRetry)
+	s.preemptNotBefore = now.Add(preemptionRetryInterval)
 	victims := p.selectVictims(s, now)
 	for _, r := range victims {
 		p.preemptRun(r, s)
@@ -106,9 +106,9 @@
 // than it has room for now. The runs are sorted by the work that a stop throws away.
 func (p *Pool) preemptionOption(w *worker, s *step, now clock.Time) *preemption.Option[*run] {
 	room := roomFor(s, w)
-	o := &preemption.Option[*run]{Free: w.free().Sub(s.spec.Need().Times(int64(room))), Most: math.MaxInt}
+	o := &preemption.Option[*run]{Free: w.free().Sub(s.spec.Need().Times(int64(room))), MaxTasks: math.MaxInt}
 	if s.runsPerWorker != nil {
-		o.Most = s.spec.MaxPerWorker - s.runsPerWorker[w.info.ID] - room
+		o.MaxTasks = s.spec.MaxPerWorker - s.runsPerWorker[w.info.ID] - room
 	}
 	for _, r := range w.runs {
 		if r.isPreemptable(s, now) {
--- a/pkg/dispatch/probe.go
+++ b/pkg/dispatch/probe.go
@@ -9,8 +9,8 @@
 
 // claim reserves a worker for the suspect tasks of one step: no tasks of other jobs are started there.
 type claim struct {
-	step  *step
-	until clock.Time
+	step      *step
+	expiresAt clock.Time
 }
 
 // isSuspect reports whether a crash is recorded against a task, or against another member of its gang.
@@ -67,7 +67,7 @@
 // expired.
 func (w *worker) awaitsClaimant(now clock.Time) bool {
 	s := w.claim.step
-	return s != nil && now < w.claim.until && s.occurrence.job.outcome == "" && !s.finished()
+	return s != nil && now < w.claim.expiresAt && s.occurrence.job.outcome == "" && !s.finished()
 }
 
 // isProbed reports whether runs of the job for which a worker is claimed have been started there and
@@ -162,7 +162,7 @@
 // claimWorker claims a worker for the step until the given time, and after that for as long as runs
 // that were started there have not survived yet.
 func (s *step) claimWorker(w *worker, until clock.Time) {
-	w.claim = claim{step: s, until: until}
+	w.claim = claim{step: s, expiresAt: until}
 	s.claimedWorker = w
 }
 
--- a/pkg/dispatch/quota.go
+++ b/pkg/dispatch/quota.go
@@ -102,7 +102,7 @@
 // reserveQuota reserves room in the customer's quota for all members of a gang, as far as the account
 // allows.
 func (s *step) reserveQuota() {
-	s.occurrence.job.account.Reserve(s.claimant(), s.spec.AtOnce())
+	s.occurrence.job.account.Reserve(s.claimant(), s.spec.MinResources())
 }
 
 // claimant identifies a step in its customer's account.
--- a/pkg/dispatch/quota_preemption.go
+++ b/pkg/dispatch/quota_preemption.go
@@ -26,19 +26,19 @@
 func (p *Pool) preemptForQuota(s *step, reserved *reservations, now clock.Time) {
 	a := s.occurrence.job.account
 	if a.Used().DominantShare(a.Customer().Quota) >= lowQuotaShare {
-		s.awaitsLowQuotaSince = 0
+		s.lowQuotaWaitSince = 0
 		return
 	}
-	if s.awaitsLowQuotaSince == 0 {
-		s.awaitsLowQuotaSince = now
+	if s.lowQuotaWaitSince == 0 {
+		s.lowQuotaWaitSince = now
 	}
-	if now.Sub(s.awaitsLowQuotaSince) < maxLowQuotaTime || p.isDisabled(Preemption) {
+	if now.Sub(s.lowQuotaWaitSince) < maxLowQuotaTime || p.isDisabled(Preemption) {
 		return
 	}
 	if p.gangWorkers(s, p.gangCandidates(s, reserved, now)) == nil {
 		return
 	}
-	for _, r := range p.selectQuotaVictims(a, s.spec.AtOnce(), now) {
+	for _, r := range p.selectQuotaVictims(a, s.spec.MinResources(), now) {
 		p.preemptRun(r, s)
 	}
 }
@@ -61,13 +61,13 @@
 	})
 	var victims []*run
 	for _, r := range options {
-		if a.Customer().Allows(running) {
+		if a.Customer().WithinQuota(running) {
 			break
 		}
 		victims = append(victims, r)
 		running = running.Sub(r.releasedQuota())
 	}
-	if !a.Customer().Allows(running) {
+	if !a.Customer().WithinQuota(running) {
 		return nil
 	}
 	return victims
--- a/pkg/dispatch/quota_test.go
+++ b/pkg/dispatch/quota_test.go
@@ -12,18 +12,18 @@
 )
 
 // northWithQuota is a customer with a quota, in thousandths of a core.
-func north(quota int64) customer.Customer {
+func northWithQuota(quota int64) customer.Customer {
 	return customer.Customer{Name: "north", Weight: 2, Quota: cell.Resources{CPUMillis: quota}}
 }
 
 // withCustomer assigns a job to a customer.
-func of(c customer.Customer, r job.Record) job.Record {
+func withCustomer(c customer.Customer, r job.Record) job.Record {
 	r.Customer = c
 	return r
 }
 
 // configureCustomers puts a configuration with these customers in force.
-func (f *fixture) configure(version int64, customers ...customer.Customer) {
+func (f *fixture) configureCustomers(version int64, customers ...customer.Customer) {
 	cfg := queue.NewConfig(version, []queue.Queue{testQueue}, nil)
 	var entries []customer.Entry
 	for _, c := range customers {
@@ -35,150 +35,150 @@
 
 // newQuotaFixture returns a pool with room for 8 tasks of one core, and a customer with a quota for 3 of
 // them.
-func quotaFixture(t *testing.T) *fixture {
+func newQuotaFixture(t *testing.T) *fixture {
 	f := newFixture(t, 2, nil)
-	f.configure(2, north(3000))
+	f.configureCustomers(2, northWithQuota(3000))
 	f.reportAll(2)
 	return f
 }
 
-func gangOf(count int) job.Step {
+func gangStep(count int) job.Step {
 	s := testStep(count)
 	s.Gang = true
 	return s
 }
 
 func TestCustomerHasNoMoreRunningThanItsQuota(t *testing.T) {
-	f := quotaFixture(t)
-	f.add(of(north(9000), testJob("a", testStep(5))))
+	f := newQuotaFixture(t)
+	f.add(withCustomer(northWithQuota(9000), testJob("a", testStep(5))))
 	starts := f.plan().Starts
 	f.Expect(starts).To(HaveLen(3), "the quota of the configuration goes before that of the record")
 	f.Expect(f.plan().Starts).To(BeEmpty())
 	f.accept(starts[0])
 	f.pool.HandleStartAnswer(starts[1], Answer{}, ErrNotSent, f.now) // certainly not running
-	f.pass(rejectedStartBackoff)
+	f.advance(rejectedStartBackoff)
 	f.Expect(f.plan().Starts).To(HaveLen(1))
-	f.report(numberOf(starts[0].Worker), f.end(starts[0], 1, EndDone))
+	f.report(workerNumber(starts[0].Worker), f.endReport(starts[0], 1, EndDone))
 	f.Expect(f.plan().Starts).To(HaveLen(1))
 }
 
-func TestNobodysJobHasNoQuota(t *testing.T) {
-	f := quotaFixture(t)
+func TestJobWithoutCustomerHasNoQuota(t *testing.T) {
+	f := newQuotaFixture(t)
 	f.add(testJob("a", testStep(8)))
 	f.Expect(f.plan().Starts).To(HaveLen(8))
 }
 
-func TestStartWithoutAnAnswerCountsAgainstTheQuota(t *testing.T) {
-	f := quotaFixture(t)
-	f.add(of(north(0), testJob("a", testStep(3))))
-	f.add(of(north(0), testJob("b", testStep(1))))
+func TestUnansweredStartCountsAgainstTheQuota(t *testing.T) {
+	f := newQuotaFixture(t)
+	f.add(withCustomer(northWithQuota(0), testJob("a", testStep(3))))
+	f.add(withCustomer(northWithQuota(0), testJob("b", testStep(1))))
 	for _, s := range f.plan().Starts {
-		f.noAnswer(s)
+		f.failStart(s)
 	}
 	f.Expect(f.plan().Starts).To(BeEmpty(), "any of the starts may be carried out late")
 }
 
 func TestRunThatIsBeingStoppedCountsAgainstTheQuota(t *testing.T) {
-	f := quotaFixture(t)
-	f.add(of(north(0), testJob("a", testStep(3))))
+	f := newQuotaFixture(t)
+	f.add(withCustomer(northWithQuota(0), testJob("a", testStep(3))))
 	starts := f.plan().Starts
 	for _, s := range starts {
 		f.accept(s)
 	}
 	f.pool.Cancel("a")
-	f.add(of(north(0), testJob("b", testStep(3))))
+	f.add(withCustomer(northWithQuota(0), testJob("b", testStep(3))))
 	f.Expect(f.plan().Starts).To(BeEmpty())
 	for n, s := range starts {
-		f.report(numberOf(s.Worker), f.end(s, int64(n+1), EndStopped))
+		f.report(workerNumber(s.Worker), f.endReport(s, int64(n+1), EndStopped))
 	}
 	f.Expect(f.plan().Starts).To(HaveLen(3))
 }
 
 func TestLoweredQuotaStopsNothing(t *testing.T) {
-	f := quotaFixture(t)
-	f.add(of(north(0), testJob("a", testStep(5))))
+	f := newQuotaFixture(t)
+	f.add(withCustomer(northWithQuota(0), testJob("a", testStep(5))))
 	starts := f.plan().Starts
 	for _, s := range starts {
 		f.accept(s)
 	}
-	f.configure(3, north(1000))
+	f.configureCustomers(3, northWithQuota(1000))
 	actions := f.plan()
 	f.Expect(actions.Stops).To(BeEmpty())
 	f.Expect(actions.Starts).To(BeEmpty())
-	f.report(numberOf(starts[0].Worker), f.end(starts[0], 1, EndDone))
+	f.report(workerNumber(starts[0].Worker), f.endReport(starts[0], 1, EndDone))
 	f.Expect(f.plan().Starts).To(BeEmpty(), "2 cores are still in use, of a quota of 1")
-	f.configure(4, north(4000))
+	f.configureCustomers(4, northWithQuota(4000))
 	f.Expect(f.plan().Starts).To(HaveLen(2))
 }
 
-func TestCustomerThatIsNotNamedAnyMoreKeepsItsQuota(t *testing.T) {
-	f := quotaFixture(t)
-	f.add(of(north(0), testJob("a", testStep(2))))
+func TestCustomerRemovedFromTheConfigurationKeepsItsQuota(t *testing.T) {
+	f := newQuotaFixture(t)
+	f.add(withCustomer(northWithQuota(0), testJob("a", testStep(2))))
 	f.Expect(f.plan().Starts).To(HaveLen(2))
-	f.configure(3)
-	f.add(of(north(9000), testJob("b", testStep(4))))
+	f.configureCustomers(3)
+	f.add(withCustomer(northWithQuota(9000), testJob("b", testStep(4))))
 	f.Expect(f.plan().Starts).To(HaveLen(1))
 }
 
-func TestCustomerThatNoConfigurationNamedHasTheQuotaOfItsJob(t *testing.T) {
+func TestUnconfiguredCustomerHasTheQuotaOfItsJob(t *testing.T) {
 	f := newFixture(t, 2, nil)
-	f.configure(2)
+	f.configureCustomers(2)
 	f.reportAll(2)
-	f.add(of(north(2000), testJob("a", testStep(4))))
+	f.add(withCustomer(northWithQuota(2000), testJob("a", testStep(4))))
 	f.Expect(f.plan().Starts).To(HaveLen(2))
 }
 
-func TestGangFitsTheQuotaWholeOrDoesNotStart(t *testing.T) {
-	f := quotaFixture(t)
-	f.add(of(north(0), testJob("a", testStep(1))))
-	first := f.onlyStart()
+func TestGangStartsOnlyIfTheQuotaFitsAllMembers(t *testing.T) {
+	f := newQuotaFixture(t)
+	f.add(withCustomer(northWithQuota(0), testJob("a", testStep(1))))
+	first := f.planOneStart()
 	f.accept(first)
-	f.add(of(north(0), testJob("b", gangOf(3))))
+	f.add(withCustomer(northWithQuota(0), testJob("b", gangStep(3))))
 	f.Expect(f.plan().Starts).To(BeEmpty())
-	f.report(numberOf(first.Worker), f.end(first, 1, EndDone))
+	f.report(workerNumber(first.Worker), f.endReport(first, 1, EndDone))
 	f.Expect(f.plan().Starts).To(HaveLen(3))
 }
 
 // Without a reservation, smaller steps that come later would take the quota that each end frees, so that
 // the gang never finds enough at once.
-func TestGangHoldsTheQuotaThatComes(t *testing.T) {
-	f := quotaFixture(t)
-	f.add(of(north(0), testJob("a", testStep(2))))
+func TestGangReservesQuotaThatIsFreed(t *testing.T) {
+	f := newQuotaFixture(t)
+	f.add(withCustomer(northWithQuota(0), testJob("a", testStep(2))))
 	for _, s := range f.plan().Starts {
 		f.accept(s)
 	}
-	f.add(of(north(0), testJob("b", gangOf(3))))
-	f.pass(time.Millisecond)
-	f.add(of(north(0), testJob("c", testStep(1))))
+	f.add(withCustomer(northWithQuota(0), testJob("b", gangStep(3))))
+	f.advance(time.Millisecond)
+	f.add(withCustomer(northWithQuota(0), testJob("c", testStep(1))))
 	f.Expect(f.plan().Starts).To(BeEmpty())
-	f.add(of(customer.Customer{Name: "south"}, testJob("d", testStep(1))))
+	f.add(withCustomer(customer.Customer{Name: "south"}, testJob("d", testStep(1))))
 	f.Expect(f.plan().Starts).To(HaveLen(1), "other customers are not blocked")
 }
 
 // A gang that a lowered quota keeps from ever starting reserves nothing.
-func TestGangWiderThanTheQuotaHoldsNothing(t *testing.T) {
-	f := quotaFixture(t)
-	f.add(of(north(0), testJob("b", gangOf(4))))
-	f.add(of(north(0), testJob("c", testStep(1))))
+func TestGangLargerThanTheQuotaReservesNothing(t *testing.T) {
+	f := newQuotaFixture(t)
+	f.add(withCustomer(northWithQuota(0), testJob("b", gangStep(4))))
+	f.add(withCustomer(northWithQuota(0), testJob("c", testStep(1))))
 	f.Expect(f.plan().Starts).To(HaveLen(1))
 }
 
 // A worker that has not reported to a new owner may run tasks of the customer that a previous owner
 // started.
-func TestNewOwnerCountsWhatMayRunUnheard(t *testing.T) {
+func TestNewOwnerCountsUnreportedUse(t *testing.T) {
 	f := newFixture(t, 2, func(c *Config) {
 		c.HasPreviousOwner, c.Term, c.Token = true, 2, nextEpoch
 	})
-	f.configure(2, north(3000))
-	previous := of(north(0), testJob("a", testStep(2)))
+	f.configureCustomers(2, northWithQuota(3000))
+	previous := withCustomer(northWithQuota(0), testJob("a", testStep(2)))
 	previous.Term = 1
 	f.add(previous)
-	later := of(north(0), testJob("b", testStep(3)))
+	later := withCustomer(northWithQuota(0), testJob("b", testStep(3)))
 	later.Term = 2
 	f.add(later)
 	f.report(0, Report{})
 	f.Expect(f.plan().Starts).To(BeEmpty(), "the previous owner may still start jobs that are not known here on the other worker")
-	f.pass(f.pool.cfg.AuthorityTerm)
+	f.advance(f.pool.cfg.AuthorityTerm)
 	f.report(0, Report{})
 	f.Expect(f.plan().Starts).To(HaveLen(1), "two tasks that the previous owner started may run on the other worker")
 	f.report(1, Report{})
@@ -188,15 +188,15 @@
 // Guards against a new owner that counts only the step that the store shows as begun: a worker that has
 // not reported may have ended that step, and the previous owner may have begun the next one before the
 // end was committed. A customer could then have both running: six tasks with a quota of three.
-func TestNewOwnerCountsTheNextStepThatMayHaveBegun(t *testing.T) {
+func TestNewOwnerCountsTheNextStepInUnreportedUse(t *testing.T) {
 	f := newFixture(t, 2, func(c *Config) { c.HasPreviousOwner, c.Term, c.Token = true, 2, nextEpoch })
-	f.configure(2, north(3000))
+	f.configureCustomers(2, northWithQuota(3000))
 	next := testStep(3)
 	next.After = []int{0}
-	previous := of(north(0), testJob("a", testStep(1), next))
+	previous := withCustomer(northWithQuota(0), testJob("a", testStep(1), next))
 	previous.Term = 1
 	f.add(previous)
-	later := of(north(0), testJob("b", testStep(3)))
+	later := withCustomer(northWithQuota(0), testJob("b", testStep(3)))
 	later.Term = 2
 	f.add(later)
 	f.report(0, Report{})
@@ -206,17 +206,17 @@
 }
 
 func TestFillerCountsInFullAgainstTheQuota(t *testing.T) {
-	f := quotaFixture(t)
+	f := newQuotaFixture(t)
 	filler := testStep(5)
 	filler.Filler = true
-	f.add(of(north(0), testJob("a", filler)))
+	f.add(withCustomer(northWithQuota(0), testJob("a", filler)))
 	f.Expect(f.plan().Starts).To(HaveLen(3))
 }
 
-func TestCustomersAreListedAndWaitsExplained(t *testing.T) {
-	f := quotaFixture(t)
-	f.add(of(north(0), testJob("a", testStep(5))))
-	f.add(of(customer.Customer{Name: "south"}, testJob("b", testStep(1))))
+func TestCustomersAreListedAndQuotaWaitsExplained(t *testing.T) {
+	f := newQuotaFixture(t)
+	f.add(withCustomer(northWithQuota(0), testJob("a", testStep(5))))
+	f.add(withCustomer(customer.Customer{Name: "south"}, testJob("b", testStep(1))))
 	f.plan()
 	rows := f.pool.Customers()
 	f.Expect(rows).To(HaveLen(2))
@@ -233,10 +233,10 @@
 // Guards against runs that do not count against the quota: a job is cancelled just as a new owner takes
 // over, and its runs are found after the job was forgotten, since its cancellation was committed. Seen
 // with seed 606: customer south had 10000 of 6000 running.
-func TestRunsOfACancelledJobThatAreFoundLateCount(t *testing.T) {
+func TestLateReportedRunsOfACancelledJobCount(t *testing.T) {
 	f := newFixture(t, 2, func(c *Config) { c.HasPreviousOwner, c.Term, c.Token = true, 2, nextEpoch })
-	f.configure(2, north(3000))
-	previous := of(north(0), testJob("a", testStep(3)))
+	f.configureCustomers(2, northWithQuota(3000))
+	previous := withCustomer(northWithQuota(0), testJob("a", testStep(3)))
 	previous.Term = 1
 	f.add(previous)
 	f.pool.Cancel("a")
@@ -247,7 +247,7 @@
 		rows.Active = append(rows.Active, ActiveRun{Task: job.TaskID{StepID: job.StepID{Job: "a"}, Index: i}, Run: 1, Percent: 10})
 	}
 	f.report(1, rows)
-	later := of(north(0), testJob("b", testStep(3)))
+	later := withCustomer(northWithQuota(0), testJob("b", testStep(3)))
 	later.Term = 2
 	f.add(later)
 	actions := f.plan()
@@ -257,13 +257,13 @@
 
 // newRunOfEndedJob returns a pool whose new owner finds a run on worker 1 of a job that had ended before
 // the owner loaded the jobs, and has another job of the customer waiting.
-func runOfEndedJob(t *testing.T) *fixture {
+func newRunOfEndedJob(t *testing.T) *fixture {
 	f := newFixture(t, 2, func(c *Config) { c.HasPreviousOwner, c.Term, c.Token = true, 2, nextEpoch })
-	f.configure(2, north(3000))
+	f.configureCustomers(2, northWithQuota(3000))
 	f.pool.AddOutcome("a", job.Record{Outcome: job.Cancelled, Customer: customer.Customer{Name: "north"}}, f.now)
 	f.report(0, Report{})
 	f.report(1, Report{Active: []ActiveRun{{Task: job.TaskID{StepID: job.StepID{Job: "a"}}, Run: 1, Percent: 10}}})
-	later := of(north(0), testJob("b", testStep(3)))
+	later := withCustomer(northWithQuota(0), testJob("b", testStep(3)))
 	later.Term = 2
 	f.add(later)
 	return f
@@ -271,34 +271,34 @@
 
 // The worker of the run falls silent; the run counts against the quota until the leases there have
 // expired.
-func TestRunOfAJobThatHadEndedHoldsItsCustomerNoLongerThanItsLease(t *testing.T) {
-	f := runOfEndedJob(t)
+func TestRunOfAnEndedJobBlocksItsCustomerUntilItsLeaseExpires(t *testing.T) {
+	f := newRunOfEndedJob(t)
 	for range 5 {
-		f.pass(time.Second)
+		f.advance(time.Second)
 		f.report(0, Report{})
 		f.Expect(f.plan().Starts).To(BeEmpty())
 	}
-	f.pass(2 * time.Second)
+	f.advance(2 * time.Second)
 	f.report(0, Report{})
 	f.Expect(f.plan().Starts).To(HaveLen(3))
 }
 
 // The remaining use of a job that had ended counts while a worker that may run its tasks has not
 // reported, but not once the leases must have expired.
-func TestNewOwnerCountsWhatRunsOfAJobThatHadEnded(t *testing.T) {
+func TestNewOwnerCountsRemainingUseOfAnEndedJob(t *testing.T) {
 	for ago, starts := range map[time.Duration]int{time.Second: 1, time.Minute: 3} {
 		f := newFixture(t, 2, func(c *Config) { c.HasPreviousOwner, c.Term, c.Token = true, 2, nextEpoch })
 		f.pool.jobsLoaded = false
-		f.configure(2, north(3000))
-		remaining := job.Unended{Need: cell.Resources{CPUMillis: 2000, MemoryMB: 2000}, At: f.wall.Add(-ago)}
-		f.pool.AddOutcome("a", job.Record{Outcome: job.Cancelled, Customer: customer.Customer{Name: "north"}, Unended: remaining}, f.now)
+		f.configureCustomers(2, northWithQuota(3000))
+		remaining := job.RemainingUse{Need: cell.Resources{CPUMillis: 2000, MemoryMB: 2000}, WrittenAt: f.wall.Add(-ago)}
+		f.pool.AddOutcome("a", job.Record{Outcome: job.Cancelled, Customer: customer.Customer{Name: "north"}, RemainingUse: remaining}, f.now)
 		f.pool.MarkJobsLoaded()
-		later := of(north(0), testJob("b", testStep(3)))
+		later := withCustomer(northWithQuota(0), testJob("b", testStep(3)))
 		later.Term = 2
 		f.add(later)
 		f.report(0, Report{})
 		f.Expect(f.plan().Starts).To(BeEmpty(), "the previous owner may still send orders to the other worker")
-		f.pass(f.pool.cfg.AuthorityTerm)
+		f.advance(f.pool.cfg.AuthorityTerm)
 		f.report(0, Report{})
 		f.Expect(f.plan().Starts).To(HaveLen(starts), "ended %s ago", ago)
 		f.report(1, Report{})
@@ -308,66 +308,66 @@
 
 // The commit of a job's end includes what still counts against the quota: the runs that are being
 // stopped, also on a worker that can't be reached.
-func TestStoreIsToldWhatRunsOfAJobThatEnds(t *testing.T) {
-	f := quotaFixture(t)
-	f.add(of(north(0), testJob("a", testStep(2))))
+func TestRemainingUseOfAnEndedJobIsStored(t *testing.T) {
+	f := newQuotaFixture(t)
+	f.add(withCustomer(northWithQuota(0), testJob("a", testStep(2))))
 	for _, s := range f.plan().Starts {
 		f.accept(s)
 	}
 	f.pool.Cancel("a")
 	changes := f.pool.PrepareCommit().Changes
 	f.Expect(changes).To(HaveLen(1))
-	f.Expect(changes[0].RemainingUse).To(Equal(job.Unended{Need: cell.Resources{CPUMillis: 2000, MemoryMB: 2000}, At: f.wall}))
+	f.Expect(changes[0].RemainingUse).To(Equal(job.RemainingUse{Need: cell.Resources{CPUMillis: 2000, MemoryMB: 2000}, WrittenAt: f.wall}))
 }
 
 // The members of a gang end together: nothing of a gang that is done still runs, though some members
 // have not been reported yet.
-func TestNothingRunsOfAGangThatIsDone(t *testing.T) {
-	f := quotaFixture(t)
-	f.add(of(north(0), testJob("a", gangOf(3))))
+func TestDoneGangHasNoRemainingUse(t *testing.T) {
+	f := newQuotaFixture(t)
+	f.add(withCustomer(northWithQuota(0), testJob("a", gangStep(3))))
 	starts := f.plan().Starts
 	f.Expect(starts).To(HaveLen(3))
 	for _, s := range starts {
 		f.accept(s)
 	}
-	f.report(numberOf(starts[0].Worker), f.end(starts[0], 1, EndDone))
+	f.report(workerNumber(starts[0].Worker), f.endReport(starts[0], 1, EndDone))
 	changes := f.pool.PrepareCommit().Changes
 	f.Expect(changes).To(HaveLen(1))
 	f.Expect(changes[0].Outcome).To(Equal(job.Completed))
-	f.Expect(changes[0].RemainingUse).To(Equal(job.Unended{}))
+	f.Expect(changes[0].RemainingUse).To(Equal(job.RemainingUse{}))
 }
 
 // A task is found done while it runs elsewhere: that run is being stopped, and has to count for later
 // owners, too.
-func TestStoreIsToldWhatRunsForADoneTask(t *testing.T) {
-	f := quotaFixture(t)
-	f.add(of(north(0), testJob("a", testStep(2))))
+func TestRemainingUseOfADoneTaskIsStored(t *testing.T) {
+	f := newQuotaFixture(t)
+	f.add(withCustomer(northWithQuota(0), testJob("a", testStep(2))))
 	s := f.plan().Starts[0]
 	f.accept(s)
-	f.report(1-numberOf(s.Worker), Report{Finished: []FinishedRun{{Number: 1, Task: s.Task, Run: 0, Reason: EndDone}}})
+	f.report(1-workerNumber(s.Worker), Report{Finished: []FinishedRun{{Number: 1, Task: s.Task, Run: 0, Reason: EndDone}}})
 	changes := f.pool.PrepareCommit().Changes
 	f.Expect(changes).To(HaveLen(1))
-	f.Expect(changes[0].Progress.Unended.Need.CPUMillis).To(BeEquivalentTo(1000))
+	f.Expect(changes[0].Progress.RemainingUse.Need.CPUMillis).To(BeEquivalentTo(1000))
 }
 
 // Once all workers have reported, the remaining use that a previous owner counted for a done task is not
 // passed on to a later owner as this owner's.
-func TestWhatAFormerOwnerCountedIsForgottenWhenAllIsKnown(t *testing.T) {
+func TestRemainingUseOfAPreviousOwnerIsDroppedWhenAllWorkersReported(t *testing.T) {
 	f := newFixture(t, 1, func(c *Config) { c.HasPreviousOwner, c.Term, c.Token = true, 2, nextEpoch })
-	f.configure(2, north(3000))
-	remaining := job.Unended{Need: cell.Resources{CPUMillis: 1000, MemoryMB: 1000}, At: f.wall}
-	f.pool.AddJob(of(north(0), testJob("a", testStep(2))), job.Progress{Tasks: []job.TaskProgress{{Done: true}}, Unended: remaining}, true, 0, f.now)
+	f.configureCustomers(2, northWithQuota(3000))
+	remaining := job.RemainingUse{Need: cell.Resources{CPUMillis: 1000, MemoryMB: 1000}, WrittenAt: f.wall}
+	f.pool.AddJob(withCustomer(northWithQuota(0), testJob("a", testStep(2))), job.Progress{Tasks: []job.TaskProgress{{Done: true}}, RemainingUse: remaining}, true, 0, f.now)
 	j := f.pool.jobs["a"]
 	f.Expect(f.pool.remainingUse(j).Need).To(Equal(remaining.Need))
 	f.report(0, Report{})
 	f.plan()
-	f.Expect(f.pool.remainingUse(j)).To(Equal(job.Unended{}))
+	f.Expect(f.pool.remainingUse(j)).To(Equal(job.RemainingUse{}))
 }
 
 // A run whose job had ended before a new owner loaded the jobs has an unknown use, so it blocks its
 // customer's starts.
-func TestRunOfAJobThatHadEndedHoldsItsCustomer(t *testing.T) {
-	f := runOfEndedJob(t)
+func TestRunOfAnEndedJobBlocksItsCustomer(t *testing.T) {
+	f := newRunOfEndedJob(t)
 	f.Expect(f.plan().Starts).To(BeEmpty())
 	f.report(1, Report{Finished: []FinishedRun{{Number: 1, Task: job.TaskID{StepID: job.StepID{Job: "a"}}, Run: 1, Reason: EndStopped}}})
 	f.Expect(f.plan().Starts).To(HaveLen(3))
--- a/pkg/dispatch/recorded_workers_test.go
+++ b/pkg/dispatch/recorded_workers_test.go
@@ -10,10 +10,10 @@
 
 // Guards against a run that a later owner does not look for, as its owner dies before the worker is
 // recorded in the store.
-func TestNameCountsOnlyOnceItsCommitIsDone(t *testing.T) {
-	f := newFixture(t, 1, namedFromFirst)
+func TestWorkerCountsAsRecordedOnlyOnceCommitted(t *testing.T) {
+	f := newFixture(t, 1, recordingFromFirstTerm)
 	f.reportAll(1)
-	f.add(namedJob("a"))
+	f.add(jobWithRecordedWorkers("a"))
 	f.Expect(f.plan().Starts).To(BeEmpty())
 	f.Expect(f.pool.HasUnstoredWorkers()).To(BeTrue())
 	c := f.pool.PrepareCommit()
@@ -25,28 +25,28 @@
 
 // Guards against a job that is offered workers on which it may not start, as they are not recorded while
 // the store is slow.
-func TestJobMakesDoWithNamedWorkersWhileTheStoreIsSlow(t *testing.T) {
-	f := newFixture(t, 2, namedFromFirst)
+func TestJobUsesOnlyRecordedWorkersWhileTheStoreIsSlow(t *testing.T) {
+	f := newFixture(t, 2, recordingFromFirstTerm)
 	f.reportAll(2)
-	r := namedJob("a")
+	r := jobWithRecordedWorkers("a")
 	f.pool.AddJob(r, job.Progress{Workers: []string{"w1"}}, true, 0, f.now)
-	f.add(namedJob("b"))
+	f.add(jobWithRecordedWorkers("b"))
 	starts := f.plan().Starts
 	f.Expect(starts).To(HaveLen(1))
 	f.Expect(starts[0].Worker).To(Equal(workerID(1)))
 	f.pool.PrepareCommit()
-	f.pass(recordingTimeout + 10*time.Millisecond)
+	f.advance(recordingTimeout + 10*time.Millisecond)
 	f.Expect(f.pool.isRecordingOverdue(f.now)).To(BeTrue())
 	s := f.pool.jobs["b"].occurrences[0].steps[0]
 	f.Expect(f.pool.isEligible(s, f.pool.workers[workerID(0)], f.now)).To(BeFalse(), "no worker of b is recorded")
 }
 
 // Guards against a takeover in which all jobs of previous terms wait for each silent worker.
-func TestTakeoverFreesJobsByTheirNames(t *testing.T) {
-	f := newFixture(t, 2, afterOwnerThatNames)
-	f.add(namedJob("never started"))
-	f.pool.AddJob(namedJob("there"), job.Progress{Workers: []string{"w1"}}, true, 0, f.now)
-	f.pool.AddJob(namedJob("elsewhere"), job.Progress{Workers: []string{"w0"}}, true, 0, f.now)
+func TestTakeoverUnblocksJobsByTheirRecordedWorkers(t *testing.T) {
+	f := newFixture(t, 2, afterRecordingOwner)
+	f.add(jobWithRecordedWorkers("never started"))
+	f.pool.AddJob(jobWithRecordedWorkers("there"), job.Progress{Workers: []string{"w1"}}, true, 0, f.now)
+	f.pool.AddJob(jobWithRecordedWorkers("elsewhere"), job.Progress{Workers: []string{"w0"}}, true, 0, f.now)
 	f.add(testJob("before recording", testStep(1)))
 	f.report(0, Report{})
 	f.plan()
@@ -59,8 +59,8 @@
 
 // Guards against gang members that a previous owner started and that wait for the others until they give
 // up.
-func TestPartialGangIsStoppedWhenItsJobBecomesFree(t *testing.T) {
-	f := newFixture(t, 3, afterOwnerThatNames)
+func TestPartialGangIsStoppedWhenItsJobIsUnblocked(t *testing.T) {
+	f := newFixture(t, 3, afterRecordingOwner)
 	step := testStep(2)
 	step.Gang = true
 	r := testJob("a", step)
--- a/pkg/dispatch/refused_queues_test.go
+++ b/pkg/dispatch/refused_queues_test.go
@@ -19,23 +19,23 @@
 // all of them.
 type adviceLoad struct {
 	*fixture
-	rand    *rand.Rand
-	queues  []adviceQueue
-	running map[WorkerID][]runningTask
-	ended   map[WorkerID][]FinishedRun
-	number  map[WorkerID]int64
-	answers []adviceAnswer
-	handed  map[job.ID]clock.Time
-	refused int
-	last    clock.Time // when jobs were last submitted
+	rand           *rand.Rand
+	queues         []adviceQueue
+	activeTasks    map[WorkerID][]runningTask
+	unreportedEnds map[WorkerID][]FinishedRun
+	lastEndNumbers map[WorkerID]int64
+	answers        []adviceAnswer
+	submitted      map[job.ID]clock.Time
+	refused        int
+	lastSubmitAt   clock.Time // when jobs were last submitted
 }
 
 // adviceQueue is a queue with its load: jobs per second, tasks per job and their run time.
 type adviceQueue struct {
-	queue  queue.Queue
-	perS   float64
-	tasks  int
-	length time.Duration
+	queue         queue.Queue
+	jobsPerSecond float64
+	tasks         int
+	runTime       time.Duration
 }
 
 type runningTask struct {
@@ -50,12 +50,12 @@
 }
 
 const (
-	loadTick    = 20 * time.Millisecond
-	loadWorkers = 24
+	loadTickInterval = 20 * time.Millisecond
+	loadWorkers      = 24
 	// loadDuration is for how long jobs are submitted; the last of them must have started maxStartWait
 	// later.
-	loadTime   = 40 * time.Second
-	askedAfter = 14 * time.Second
+	loadDuration = 40 * time.Second
+	maxStartWait = 14 * time.Second
 )
 
 func newAdviceLoad(t *testing.T) *adviceLoad {
@@ -72,7 +72,7 @@
 			{advice("long", 1, 490*time.Millisecond, 7*time.Millisecond), 1.84, 2, 3600 * time.Millisecond},
 			{advice("wide", 2, 155*time.Millisecond, 2200*time.Microsecond), 2.7, 8, 3600 * time.Millisecond},
 		},
-		running: map[WorkerID][]runningTask{}, ended: map[WorkerID][]FinishedRun{}, number: map[WorkerID]int64{}, handed: map[job.ID]clock.Time{},
+		activeTasks: map[WorkerID][]runningTask{}, unreportedEnds: map[WorkerID][]FinishedRun{}, lastEndNumbers: map[WorkerID]int64{}, submitted: map[job.ID]clock.Time{},
 	}
 	var queues []queue.Queue
 	for _, q := range l.queues {
@@ -92,37 +92,37 @@
 
 // simulate submits jobs for loadDuration, and goes on for maxStartWait. With heedRefusals, no jobs are
 // submitted to queues that the owner refuses.
-func (l *adviceLoad) play(heedRefusals bool) {
-	stop := l.now.Add(loadTime)
-	l.last = l.now
-	for end := stop.Add(askedAfter); l.now < end; l.pass(loadTick) {
+func (l *adviceLoad) simulate(heedRefusals bool) {
+	stop := l.now.Add(loadDuration)
+	l.lastSubmitAt = l.now
+	for end := stop.Add(maxStartWait); l.now < end; l.advance(loadTickInterval) {
 		if l.now < stop {
-			l.handIn(heedRefusals)
+			l.submitJobs(heedRefusals)
 		}
-		l.carryOut()
+		l.tick()
 	}
 }
 
-func (l *adviceLoad) handIn(heedRefusals bool) {
+func (l *adviceLoad) submitJobs(heedRefusals bool) {
 	refusals := l.pool.RefusedQueues(l.now)
-	defer func() { l.last = l.now }()
+	defer func() { l.lastSubmitAt = l.now }()
 	for i, q := range l.queues {
-		if l.rand.Float64() >= q.perS*l.now.Sub(l.last).Seconds() {
+		if l.rand.Float64() >= q.jobsPerSecond*l.now.Sub(l.lastSubmitAt).Seconds() {
 			continue
 		}
 		if heedRefusals && slices.ContainsFunc(refusals, func(r admission.Refusal) bool { return r.Queue == q.queue.Name }) {
 			l.refused++
 			continue
 		}
-		id := job.ID(fmt.Sprintf("%d-%d", i, len(l.handed)))
+		id := job.ID(fmt.Sprintf("%d-%d", i, len(l.submitted)))
 		step := testStep(q.tasks)
-		step.Estimate = q.length
-		l.handed[id] = l.now
+		step.Estimate = q.runTime
+		l.submitted[id] = l.now
 		l.pool.AddJob(job.Record{Job: job.Job{ID: id, Steps: []job.Step{step}}, Queue: q.queue}, job.Progress{}, false, 0, l.now)
 	}
 }
 
-func (l *adviceLoad) carryOut() {
+func (l *adviceLoad) tick() {
 	due := func(a adviceAnswer) bool { return l.now >= a.at }
 	for _, a := range l.answers {
 		if due(a) {
@@ -138,16 +138,16 @@
 	for _, s := range actions.Starts {
 		l.accept(s)
 		q := l.queues[s.Task.Job[0]-'0']
-		l.running[s.Worker] = append(l.running[s.Worker], runningTask{s, l.now.Add(q.length)})
+		l.activeTasks[s.Worker] = append(l.activeTasks[s.Worker], runningTask{s, l.now.Add(q.runTime)})
 	}
 	for _, a := range actions.AdviceCalls {
-		l.answer(a)
+		l.answerAdviceCall(a)
 	}
 }
 
 // answerAdviceCall schedules the answer of an advice call after its duration: 45 of 100 workers may run
 // a step.
-func (l *adviceLoad) answer(a AdviceCall) {
+func (l *adviceLoad) answerAdviceCall(a AdviceCall) {
 	q := l.queues[a.Step.Job[0]-'0'].queue
 	var tickets []Ticket
 	for _, id := range a.Workers {
@@ -155,28 +155,28 @@
 			tickets = append(tickets, Ticket{id, "ticket"})
 		}
 	}
-	l.answers = append(l.answers, adviceAnswer{l.now.Add(q.Advice.Of(len(a.Workers))), a.Number, tickets})
+	l.answers = append(l.answers, adviceAnswer{l.now.Add(q.Advice.CallTime(len(a.Workers))), a.Number, tickets})
 }
 
 func (l *adviceLoad) reportOf(id WorkerID) Report {
 	var r Report
 	hasEnded := func(x runningTask) bool { return l.now >= x.endsAt }
-	for _, x := range l.running[id] {
+	for _, x := range l.activeTasks[id] {
 		if hasEnded(x) {
-			l.number[id]++
-			l.ended[id] = append(l.ended[id], FinishedRun{Number: l.number[id], Task: x.start.Task, Run: x.start.Run, Reason: EndDone})
+			l.lastEndNumbers[id]++
+			l.unreportedEnds[id] = append(l.unreportedEnds[id], FinishedRun{Number: l.lastEndNumbers[id], Task: x.start.Task, Run: x.start.Run, Reason: EndDone})
 		} else {
-			r.Active = append(r.Active, activeRow(x.start))
+			r.Active = append(r.Active, activeRunOf(x.start))
 		}
 	}
-	l.running[id] = slices.DeleteFunc(l.running[id], hasEnded)
-	r.Finished = l.ended[id]
-	l.ended[id] = nil
+	l.activeTasks[id] = slices.DeleteFunc(l.activeTasks[id], hasEnded)
+	r.Finished = l.unreportedEnds[id]
+	l.unreportedEnds[id] = nil
 	return r
 }
 
 // unstartedJobs counts the accepted jobs of which no task has started.
-func (l *adviceLoad) notBegun() int {
+func (l *adviceLoad) unstartedJobs() int {
 	n := 0
 	for _, j := range l.pool.jobs {
 		if !j.began {
@@ -188,24 +188,24 @@
 
 // More advice is needed than two hosts can call for, while the workers have room. Without refusals some
 // jobs have not started 14 s after the last one was submitted.
-func TestAcceptedJobsBeginThoughAdviceIsShort(t *testing.T) {
+func TestAcceptedJobsStartWhenAdviceIsScarce(t *testing.T) {
 	l := newAdviceLoad(t)
-	l.play(true)
-	l.Expect(l.notBegun()).To(BeZero())
-	l.Expect(l.refused).To(BeNumerically("<", len(l.handed)/2))
+	l.simulate(true)
+	l.Expect(l.unstartedJobs()).To(BeZero())
+	l.Expect(l.refused).To(BeNumerically("<", len(l.submitted)/2))
 	ignored := newAdviceLoad(t)
-	ignored.play(false)
-	ignored.Expect(ignored.notBegun()).NotTo(BeZero(), "the load must exceed what two hosts can call for")
+	ignored.simulate(false)
+	ignored.Expect(ignored.unstartedJobs()).NotTo(BeZero(), "the load must exceed what two hosts can call for")
 }
 
 // newAdviceBacklog returns a pool that has run for admission.AdviserJoinTime, in which 20 advice calls
 // of 0.7 s wait for one host.
-func owesAdvice(t *testing.T) *fixture {
+func newAdviceBacklog(t *testing.T) *fixture {
 	f := newFixture(t, 2, nil)
-	f.pass(admission.AdviserJoinTime)
+	f.advance(admission.AdviserJoinTime)
 	f.reportAll(2)
 	f.pool.AddAdviser("a")
-	long, short := adviceJob("0", 1, 700*time.Millisecond).Queue, adviceJob("0", 0, time.Millisecond).Queue
+	long, short := jobWithAdviceTime("0", 1, 700*time.Millisecond).Queue, jobWithAdviceTime("0", 0, time.Millisecond).Queue
 	long.Name, short.Name = "long", "short"
 	f.pool.SetConfig(queue.NewConfig(2, []queue.Queue{long, short, testQueue}, nil))
 	for n := range 20 {
@@ -216,8 +216,8 @@
 	return f
 }
 
-func TestQueueRefusesWhatAdviceComesTooLateFor(t *testing.T) {
-	f := owesAdvice(t)
+func TestQueueRefusesJobsWhoseAdviceWouldComeTooLate(t *testing.T) {
+	f := newAdviceBacklog(t)
 	refusals := f.pool.RefusedQueues(f.now)
 	f.Expect(refusals).To(HaveLen(1), "calls of a higher priority go first, and a queue without advice needs none")
 	f.Expect(refusals[0].Queue).To(Equal("long"))
@@ -227,8 +227,8 @@
 	f.Expect(f.pool.RefusedQueues(f.now)).To(BeEmpty(), "two hosts are enough")
 }
 
-func TestQueueRefusesNothingWhileRoomIsShortOrNobodyKnows(t *testing.T) {
-	f := owesAdvice(t)
+func TestQueueRefusesNothingWhenWorkersAreBusyOrDuringTakeover(t *testing.T) {
+	f := newAdviceBacklog(t)
 	f.pool.RemoveAdviser("a", f.now)
 	f.Expect(f.pool.RefusedQueues(f.now)).To(BeEmpty(), "no host has joined yet")
 	f.pool.AddAdviser("a")
@@ -238,7 +238,7 @@
 		f.accept(s)
 	}
 	f.reportAll(2)
-	f.pass(surveyInterval)
+	f.advance(loadUpdateInterval)
 	f.plan()
 	f.Expect(f.pool.poolLoad("pool").isMostlyUsed()).To(BeTrue())
 	f.Expect(f.pool.RefusedQueues(f.now)).To(BeEmpty(), "the workers are busy")
@@ -247,8 +247,8 @@
 }
 
 // A queue whose steps need several rounds of calls needs more call time for each waiting step.
-func TestAdviceOwedIsLearnedFromWhatStepsTook(t *testing.T) {
-	f := owesAdvice(t)
+func TestPendingAdviceTimeCountsSeveralRounds(t *testing.T) {
+	f := newAdviceBacklog(t)
 	before := f.pool.pendingAdviceTime()[1]
 	s := f.pool.jobs["0"].occurrences[0].steps[0]
 	s.advice.callTime = 3 * 700 * time.Millisecond
@@ -259,7 +259,7 @@
 // A new owner knows only itself before the other hosts have joined: until then it refuses nothing, and
 // later it sends no caller away for longer than a job may wait.
 func TestNewOwnerRefusesNothingBeforeHostsHaveJoined(t *testing.T) {
-	f := owesAdvice(t)
+	f := newAdviceBacklog(t)
 	for n := range 40 {
 		r := testJob(fmt.Sprint("more", n), testStep(1))
 		r.Queue = f.pool.jobs["0"].queue
--- a/pkg/dispatch/reservations_test.go
+++ b/pkg/dispatch/reservations_test.go
@@ -16,7 +16,7 @@
 
 // newWaitingGang returns a pool in which a gang waits that needs four workers; advice allows it exactly
 // four.
-func waitingGang(t *testing.T) *fixture {
+func newWaitingGang(t *testing.T) *fixture {
 	f := newFixture(t, 20, nil)
 	f.reportAll(20)
 	f.pool.AddAdviser("host")
@@ -27,17 +27,17 @@
 	return f
 }
 
-func (f *fixture) reservedFor(id job.ID) *reservations {
+func (f *fixture) reservationsFor(id job.ID) *reservations {
 	r := newReservations()
 	f.pool.updateLoads(f.now)
-	f.pool.sumBacklog()
+	f.pool.updateBacklogs()
 	f.pool.reserveWorkers(f.pool.jobs[id].occurrences[0].steps[0], r, f.now)
 	return r
 }
 
-func TestGangHoldsWorkersFromLaterStepsOfItsPriority(t *testing.T) {
-	f := waitingGang(t)
-	r := f.reservedFor("a")
+func TestGangReservesWorkersFromLaterStepsOfItsPriority(t *testing.T) {
+	f := newWaitingGang(t)
+	r := f.reservationsFor("a")
 	priority := testQueue.Priority
 	reserved := 0
 	for n := range 20 {
@@ -50,17 +50,17 @@
 	f.Expect(r.isReserved("w9", priority+1)).To(BeFalse())
 }
 
-func TestGangHoldsNothingWhenMoreWaitsThanThePoolGetsThrough(t *testing.T) {
-	f := waitingGang(t)
+func TestGangReservesNothingInAnOverloadedPool(t *testing.T) {
+	f := newWaitingGang(t)
 	f.add(advisedJob("b", testStep(60))) // with the gang 76 of 80 cores
-	r := f.reservedFor("a")
+	r := f.reservationsFor("a")
 	f.Expect(r.isReserved("w0", testQueue.Priority)).To(BeFalse())
 	f.Expect(r.isReserved("w0", testQueue.Priority+1)).To(BeTrue())
 }
 
-func TestFewGangsThatAreWorthNothingHoldWorkers(t *testing.T) {
-	f := waitingGang(t)
-	f.pass(time.Hour)
+func TestOnlyFewGangsWithoutValueReserveWorkers(t *testing.T) {
+	f := newWaitingGang(t)
+	f.advance(time.Hour)
 	f.reportAll(20)
 	f.pool.updateLoads(f.now)
 	r := newReservations()
@@ -72,7 +72,7 @@
 	f.Expect(r.isReserved("w0", 0)).To(BeTrue())
 }
 
-func TestStepHoldsOnlyTheWorkersThatWillHaveRoomSoonest(t *testing.T) {
+func TestStepReservesOnlyTheWorkersWithRoomSoonest(t *testing.T) {
 	f := newFixture(t, 4, nil)
 	f.reportAll(4)
 	f.pool.AddAdviser("host")
@@ -83,8 +83,8 @@
 		s.Estimate = estimate
 		f.add(testJob(string(workerID(n)), s))
 	}
-	f.runAll()
-	reserved := f.reservedFor("a")
+	f.acceptAll()
+	reserved := f.reservationsFor("a")
 	f.Expect(reserved.priorities).To(HaveLen(2))
 	for id := range reserved.priorities {
 		busy := time.Duration(0)
--- a/pkg/dispatch/roster_test.go
+++ b/pkg/dispatch/roster_test.go
@@ -15,7 +15,7 @@
 	for name := range p.workerHistories {
 		out = append(out, p.RosterEntries(name)...)
 	}
-	for _, info := range p.partingUnknown() {
+	for _, info := range p.crashedWithoutHistory() {
 		out = append(out, info.asCrashed())
 	}
 	slices.SortFunc(out, func(a, b WorkerInfo) int { return cmp.Compare(a.ID, b.ID) })
@@ -24,7 +24,7 @@
 
 // crashedWithoutHistory returns the workers that are known only from the roster of a previous owner, as
 // crashed and not counted yet.
-func (p *Pool) partingUnknown() []WorkerInfo {
+func (p *Pool) crashedWithoutHistory() []WorkerInfo {
 	if _, known := p.workerHistories[p.uncountedCrash.ID.Name()]; known || !p.takeover.hasUncountedCrash || !p.hasJobOfPreviousOwner() {
 		return nil
 	}
@@ -35,7 +35,7 @@
 // are the names of workers.
 type rosterCopy map[string][]WorkerInfo
 
-func (c rosterCopy) follow(p *Pool) {
+func (c rosterCopy) update(p *Pool) {
 	for _, name := range p.TakeRosterChanges() {
 		if c[name] = p.RosterEntries(name); len(c[name]) == 0 {
 			delete(c, name)
@@ -69,19 +69,19 @@
 	if o.roster == nil {
 		o.roster = rosterCopy{}
 	}
-	o.roster.follow(o.pool)
+	o.roster.update(o.pool)
 	if got, want := o.roster.ids(), rosterIDs(w.roster); !slices.Equal(got, want) {
-		w.broken("ROSTER its entries are %v, not %v", got, want)
+		w.reportViolation("ROSTER its entries are %v, not %v", got, want)
 	}
 }
 
-func TestRosterTellsOnlyOfWorkersThatCameOrWent(t *testing.T) {
+func TestRosterChangesOnlyForWorkersThatCameOrWent(t *testing.T) {
 	f := newFixture(t, 3, nil)
 	f.Expect(f.pool.TakeRosterChanges()).To(HaveLen(3))
 	f.reportAll(3)
 	f.Expect(f.pool.TakeRosterChanges()).To(BeEmpty(), "a report changes nothing")
-	f.lists(firstLife(7))
-	f.Expect(f.pool.TakeRosterChanges()).To(Equal([]string{firstLife(7).id.Name()}))
+	f.addEntry(firstIncarnation(7))
+	f.Expect(f.pool.TakeRosterChanges()).To(Equal([]string{firstIncarnation(7).id.Name()}))
 	f.pool.terminateWorker(f.pool.workers[workerID(1)], "test", f.now)
 	f.Expect(f.pool.TakeRosterChanges()).To(Equal([]string{workerID(1).Name()}))
 	f.Expect(f.pool.RosterEntries(workerID(1).Name())).To(HaveLen(1), "as crashed, until that is committed")
@@ -96,14 +96,14 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			p := New(Config{Log: func(Event) {}}, 1)
 			for i := range n {
-				info := firstLife(i % 200).info()
-				info.ID = NewWorkerID(fmt.Sprintf("i-%d", i), firstBorn)
+				info := firstIncarnation(i % 200).info()
+				info.ID = NewWorkerID(fmt.Sprintf("i-%d", i), firstStartedAt)
 				p.UpsertWorker(info, true, 1)
 			}
 			p.TakeRosterChanges()
-			changed := firstLife(1).info()
+			changed := firstIncarnation(1).info()
 			for b.Loop() {
-				changed.ID = NewWorkerID("i-new", firstBorn)
+				changed.ID = NewWorkerID("i-new", firstStartedAt)
 				p.UpsertWorker(changed, true, 1)
 				for _, name := range p.TakeRosterChanges() {
 					p.RosterEntries(name)
--- a/pkg/dispatch/run_ends.go
+++ b/pkg/dispatch/run_ends.go
@@ -105,7 +105,7 @@
 // handleTaskFailure handles the failure of a task's current run.
 func (p *Pool) handleTaskFailure(t *task, r *run) {
 	s := t.step
-	p.avoid(t, r.worker)
+	p.avoidWorker(t, r.worker)
 	if p.countFailure(t, r.number) && s.spec.Gang {
 		p.breakGang(s)
 	}
--- a/pkg/dispatch/status.go
+++ b/pkg/dispatch/status.go
@@ -11,8 +11,8 @@
 	UnresponsiveWorkers int // have not answered recently
 	EvacuatedWorkers    int // get no tasks while their data hall is evacuated
 	Jobs                int // have not ended
-	Steps               int // have waiting tasks that may be started
-	Waiting             int // waiting tasks of these steps
+	WaitingSteps        int // have waiting tasks that may be started
+	WaitingTasks        int // waiting tasks of these steps
 	Runs                int // counted against workers
 	AdviceCalls         int // advice calls in flight
 	FreeAdvisers        int // advisers without a call
@@ -28,7 +28,7 @@
 
 // Status returns a summary of the pool.
 func (p *Pool) Status(now clock.Time) Status {
-	s := Status{Advice: p.advice.tally.Metrics(), Steps: p.waitingSteps.stepCount, AdviceCalls: len(p.advice.pendingCalls), TakeoverPending: p.takeover.pending}
+	s := Status{Advice: p.advice.tally.Metrics(), WaitingSteps: p.waitingSteps.stepCount, AdviceCalls: len(p.advice.pendingCalls), TakeoverPending: p.takeover.pending}
 	for _, w := range p.workers {
 		if w.terminated {
 			continue
@@ -58,7 +58,7 @@
 		}
 	}
 	for step := range p.waitingSteps.all() {
-		s.Waiting += step.waitingTasks()
+		s.WaitingTasks += step.waitingTasks()
 	}
 	s.FreeAdvisers = p.advice.advisers.IdleCount()
 	return s
--- a/pkg/dispatch/takeover_test.go
+++ b/pkg/dispatch/takeover_test.go
@@ -9,14 +9,14 @@
 )
 
 // afterPreviousOwner is the configuration of an owner that takes over from a previous one.
-func afterFormerOwner(c *Config) {
+func afterPreviousOwner(c *Config) {
 	c.Token, c.HasPreviousOwner, c.RunNumberBase, c.Term = nextEpoch, true, 1000, 2
 }
 
 // Guards against an attempt that is not counted: a new owner reads three failures from two workers, the
 // later one first. Seen with seed trouble-3 of hanbit-ops.
-func TestFailuresOfFormerOwnerCountInAnyOrder(t *testing.T) {
-	f := newFixture(t, 3, afterFormerOwner)
+func TestFailuresUnderAPreviousOwnerCountInAnyOrder(t *testing.T) {
+	f := newFixture(t, 3, afterPreviousOwner)
 	f.add(testJob("a", testStep(1)))
 	id := job.TaskID{StepID: job.StepID{Job: "a"}}
 	f.report(0, Report{Finished: []FinishedRun{{Number: 1, Task: id, Run: 1, Reason: EndFailed}, {Number: 2, Task: id, Run: 3, Reason: EndFailed}}})
@@ -27,8 +27,8 @@
 
 // Guards against a job that runs again: a host reports a job that was submitted again after its end,
 // before the new owner has read the outcomes. Seen with seed trouble-2 of hanbit-ops.
-func TestOutcomeOfTheStoreEndsAJobThatWasToldAgain(t *testing.T) {
-	f := newFixture(t, 1, afterFormerOwner)
+func TestStoredOutcomeEndsAJobReportedByAHost(t *testing.T) {
+	f := newFixture(t, 1, afterPreviousOwner)
 	f.add(testJob("a", testStep(1)))
 	f.pool.AddOutcome("a", job.Record{Outcome: job.Completed}, f.now)
 	f.reportAll(1)
@@ -38,20 +38,20 @@
 }
 
 func TestTakeoverWaitsForAWorkerThatDoesNotAnswer(t *testing.T) {
-	f := newFixture(t, 2, afterFormerOwner)
+	f := newFixture(t, 2, afterPreviousOwner)
 	f.add(testJob("a", testStep(1)))
 	f.report(0, Report{})
 	f.Expect(f.plan().Starts).To(BeEmpty(), "the task may run on w1")
-	f.pass(7 * time.Second)
+	f.advance(7 * time.Second)
 	f.report(0, Report{})
 	f.Expect(f.plan().Starts).To(BeEmpty(), "2 s of authority and 6 s of a lease may not be over")
-	f.pass(1500 * time.Millisecond)
+	f.advance(1500 * time.Millisecond)
 	f.report(0, Report{})
 	f.Expect(f.plan().Starts).To(HaveLen(1), "the leases of what the previous owner started have expired")
 }
 
-func TestJobAcceptedUnderTheNewTermStartsAtOnce(t *testing.T) {
-	f := newFixture(t, 2, afterFormerOwner)
+func TestJobAcceptedInTheNewTermStartsAtOnce(t *testing.T) {
+	f := newFixture(t, 2, afterPreviousOwner)
 	r := testJob("a", testStep(1))
 	r.Term = 2
 	f.add(r)
@@ -63,19 +63,19 @@
 
 // Guards against each new owner waiting for a worker of the roster that has left for good. Seen with
 // seed trouble-1 of mmda-foldarch.
-func TestWorkerOfTheRosterThatNeverAnswersIsGivenUp(t *testing.T) {
-	f := newFixture(t, 1, afterFormerOwner)
+func TestRosterWorkerThatNeverAnswersIsRemoved(t *testing.T) {
+	f := newFixture(t, 1, afterPreviousOwner)
 	f.pool.UpsertWorker(WorkerInfo{ID: "left", Pool: "pool"}, false, f.now)
 	f.report(0, Report{})
 	f.plan()
 	f.Expect(f.pool.Workers()).To(HaveLen(2))
-	f.pass(9 * time.Second)
+	f.advance(9 * time.Second)
 	f.plan()
 	f.Expect(f.pool.Workers()).To(HaveLen(1))
 }
 
-func TestTakeoverAdoptsWhatRuns(t *testing.T) {
-	f := newFixture(t, 2, afterFormerOwner)
+func TestTakeoverAdoptsReportedRuns(t *testing.T) {
+	f := newFixture(t, 2, afterPreviousOwner)
 	f.add(testJob("a", testStep(2)))
 	id := job.TaskID{StepID: job.StepID{Job: "a"}}
 	f.report(0, Report{Active: []ActiveRun{{Task: id, Run: 4, Percent: 50}}})
@@ -88,23 +88,23 @@
 
 // Guards against leases of the previous owner that are taken for expired too early: a new owner took 1.7
 // s from a worker's first answer to its next poll there. Seen with 3,000 workers and hosts of 0.5 cores.
-func TestLeasesOfAFormerOwnerOutlastTheFirstAnswerOfASilentWorker(t *testing.T) {
-	f := newFixture(t, 2, afterFormerOwner)
+func TestLeasesOfAPreviousOwnerCountFromTheFirstReport(t *testing.T) {
+	f := newFixture(t, 2, afterPreviousOwner)
 	f.add(testJob("a", testStep(1)))
 	id := job.TaskID{StepID: job.StepID{Job: "a"}}
 	f.report(0, Report{Active: []ActiveRun{{Task: id, Run: 4, Percent: 50}}})
 	f.report(1, Report{})
 	for elapsed := time.Duration(0); elapsed < 5*time.Second; elapsed += 500 * time.Millisecond {
-		f.pass(500 * time.Millisecond)
+		f.advance(500 * time.Millisecond)
 		f.report(1, Report{})
 		f.Expect(f.plan().Starts).To(BeEmpty(), "the previous owner may have leased the run for 6 s")
 	}
-	f.pass(1400 * time.Millisecond)
+	f.advance(1400 * time.Millisecond)
 	f.report(1, Report{})
 	f.Expect(f.plan().Starts).To(HaveLen(1), "every lease of the previous owner has expired")
 }
 
-func TestHigherTokenAtAWorkerEndsTheOwner(t *testing.T) {
+func TestHigherTokenAtAWorkerFencesTheOwner(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.reportAll(1)
 	poll, _ := f.pool.NewPoll("w0", false, true, f.now)
@@ -112,7 +112,7 @@
 	f.Expect(f.pool.IsFenced()).To(BeTrue())
 }
 
-func TestOwnHigherTokenDoesNotEndTheOwner(t *testing.T) {
+func TestOwnHigherTokenDoesNotFenceTheOwner(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.reportAll(1)
 	poll, _ := f.pool.NewPoll("w0", false, true, f.now)
@@ -121,8 +121,8 @@
 	f.Expect(f.pool.IsFenced()).To(BeFalse())
 }
 
-func TestNothingIsTakenFromReportsBeforeTheJobsAreKnown(t *testing.T) {
-	f := newFixture(t, 1, afterFormerOwner)
+func TestReportsDoNotCountBeforeTheJobsAreLoaded(t *testing.T) {
+	f := newFixture(t, 1, afterPreviousOwner)
 	f.pool.jobsLoaded = false
 	id := job.TaskID{StepID: job.StepID{Job: "a"}}
 	done := Report{Finished: []FinishedRun{{Number: 1, Task: id, Run: 1, Reason: EndDone}}}
@@ -138,9 +138,9 @@
 }
 
 // waitForRestart lets time pass, with one worker reporting, until a task is started there.
-func (f *fixture) startedAgain(worker int) StartOrder {
+func (f *fixture) waitForRestart(worker int) StartOrder {
 	for range 100 {
-		f.pass(200 * time.Millisecond)
+		f.advance(200 * time.Millisecond)
 		f.report(worker, Report{})
 		if starts := f.plan().Starts; len(starts) > 0 {
 			return starts[0]
@@ -154,34 +154,34 @@
 // which was started elsewhere when its lease had expired. When the worker was back, its end was
 // acknowledged, but the task was not marked as done, and was started once more after its second run was
 // lost. Seen with seed 32 of the random histories.
-func TestEndOfALapsedRunCountsThoughTheTaskRunsElsewhere(t *testing.T) {
+func TestEndOfARunWithExpiredLeaseCountsWhenTheTaskRunsElsewhere(t *testing.T) {
 	f := newFixture(t, 2, nil)
 	f.reportAll(2)
 	f.add(testJob("a", testStep(1)))
 	first := f.plan().Starts[0]
 	f.accept(first)
-	other := 1 - numberOf(first.Worker)
-	second := f.startedAgain(other)
+	other := 1 - workerNumber(first.Worker)
+	second := f.waitForRestart(other)
 	f.accept(second)
-	f.report(numberOf(first.Worker), f.end(first, 1, EndDone))
+	f.report(workerNumber(first.Worker), f.endReport(first, 1, EndDone))
 	f.Expect(f.pool.jobs["a"].outcome).To(Equal(job.Completed))
 	stops := f.plan().Stops
 	f.Expect(stops).To(HaveLen(1))
 	f.Expect(stops[0].Run).To(Equal(second.Run))
-	f.report(other, f.end(second, 1, EndFailed))
+	f.report(other, f.endReport(second, 1, EndFailed))
 	f.Expect(f.pool.jobs["a"].outcome).To(Equal(job.Completed))
 	f.Expect(f.plan().Starts).To(BeEmpty())
 }
 
-func TestRunThatIsAnsweredAfterItsTaskIsDoneIsStopped(t *testing.T) {
+func TestStartAnsweredAfterItsTaskIsDoneIsStopped(t *testing.T) {
 	f := newFixture(t, 2, nil)
 	f.reportAll(2)
 	f.add(testJob("a", testStep(1), job.Step{Count: 1, After: []int{0}, Resources: testStep(1).Resources, Estimate: time.Second}))
 	first := f.plan().Starts[0]
 	f.accept(first)
-	other := 1 - numberOf(first.Worker)
-	second := f.startedAgain(other)
-	f.report(numberOf(first.Worker), f.end(first, 1, EndDone)) // the second start is in flight
+	other := 1 - workerNumber(first.Worker)
+	second := f.waitForRestart(other)
+	f.report(workerNumber(first.Worker), f.endReport(first, 1, EndDone)) // the second start is in flight
 	next := f.plan().Starts
 	f.Expect(next).To(HaveLen(1))
 	f.Expect(next[0].Task.Step).To(Equal(1), "the next step may begin")
--- a/pkg/dispatch/tickets.go
+++ b/pkg/dispatch/tickets.go
@@ -25,9 +25,9 @@
 
 // ticketIssue holds the tickets that one advice call returned, until they have expired.
 type ticketIssue struct {
-	step     *step
-	expireAt clock.Time
-	tickets  []*ticketUse
+	step      *step
+	expiresAt clock.Time
+	tickets   []*ticketUse
 }
 
 // markTicketUsed records that a start is sent with a ticket.
@@ -42,7 +42,7 @@
 // used.
 func (p *Pool) countExpiredTickets(now clock.Time) {
 	p.advice.issuedTickets = slices.DeleteFunc(p.advice.issuedTickets, func(i *ticketIssue) bool {
-		if now.Add(minTicketValidity) < i.expireAt {
+		if now.Add(minTicketValidity) < i.expiresAt {
 			return false
 		}
 		for _, t := range i.tickets {
--- a/pkg/dispatch/tickets_test.go
+++ b/pkg/dispatch/tickets_test.go
@@ -12,18 +12,18 @@
 
 // Guards against tickets that are counted twice, not at all, or under a cause that hides why calls were
 // wasted.
-func TestTicketsAreCountedByHowTheyEnd(t *testing.T) {
+func TestTicketsAreCountedByOutcome(t *testing.T) {
 	one := func(f *fixture) { f.add(advisedJob("a", testStep(1))) }
-	gang := func(f *fixture) { f.add(advisedJob("a", gangOf(8))) }
+	gang := func(f *fixture) { f.add(advisedJob("a", gangStep(8))) }
 	quota := func(f *fixture) {
-		c := north(2000)
+		c := northWithQuota(2000)
 		c.Quota.MemoryMB = 0
-		f.configure(2, c)
-		f.add(of(c, testJob("others", testStep(2))))
+		f.configureCustomers(2, c)
+		f.add(withCustomer(c, testJob("others", testStep(2))))
 		for _, s := range f.plan().Starts {
 			f.accept(s)
 		}
-		f.add(of(c, advisedJob("a", testStep(1))))
+		f.add(withCustomer(c, advisedJob("a", testStep(1))))
 		// A promoted step needs its tickets by the time the quota has room.
 		f.pool.jobs["a"].occurrences[0].steps[0].promoted = true
 	}
@@ -50,7 +50,7 @@
 			f.reportAll(2)
 			f.pool.AddAdviser("host")
 			test.job(f)
-			expectTicketEnds(f, test.after, test.want)
+			expectTicketOutcomes(f, test.after, test.want)
 		})
 	}
 	t.Run("the quota is used up", func(t *testing.T) {
@@ -58,7 +58,7 @@
 		f.reportAll(2)
 		quota(f)
 		s := f.pool.jobs["a"].occurrences[0].steps[0]
-		f.pool.advice.issuedTickets = []*ticketIssue{{step: s, expireAt: f.now, tickets: []*ticketUse{{worker: "w0", selectedForRoom: true}}}}
+		f.pool.advice.issuedTickets = []*ticketIssue{{step: s, expiresAt: f.now, tickets: []*ticketUse{{worker: "w0", selectedForRoom: true}}}}
 		f.pool.countExpiredTickets(f.now)
 		f.Expect(f.pool.advice.tally.Tickets(advice.TicketQuotaFull)).To(Equal(int64(1)))
 	})
@@ -66,9 +66,9 @@
 
 // expectTicketOutcomes has an advice call answered with tickets for all workers, runs after, lets the
 // tickets expire, and checks how their outcomes are counted.
-func expectTicketEnds(f *fixture, after func(*fixture), want map[advice.TicketOutcome]int64) {
+func expectTicketOutcomes(f *fixture, after func(*fixture), want map[advice.TicketOutcome]int64) {
 	call := f.plan().AdviceCalls[0]
-	f.pass(50 * time.Millisecond)
+	f.advance(50 * time.Millisecond)
 	f.pool.HandleAdviceAnswer(call.Number, []Ticket{{"w0", "t"}, {"w1", "t"}}, true, f.now)
 	if after != nil {
 		after(f)
@@ -76,7 +76,7 @@
 	var starts []StartOrder
 	for range 3 {
 		starts = append(starts, f.plan().Starts...)
-		f.pass(time.Second)
+		f.advance(time.Second)
 		f.pool.workers["w0"].lastAnsweredAt, f.pool.workers["w1"].lastAnsweredAt = f.now, f.now
 	}
 	f.pool.countExpiredTickets(f.now)
@@ -89,16 +89,16 @@
 
 // Guards against call time that is missing in the sums by value class or by customer, also of calls that
 // fail.
-func TestSecondsOfCallsAreSummedUpByStandingAndCustomer(t *testing.T) {
+func TestCallTimeIsSummedByValueClassAndCustomer(t *testing.T) {
 	f := newFixture(t, 2, nil)
 	f.reportAll(2)
 	f.pool.AddAdviser("host")
-	f.add(of(north(0), advisedJob("a", testStep(1))))
+	f.add(withCustomer(northWithQuota(0), advisedJob("a", testStep(1))))
 	for _, ok := range []bool{true, false} {
 		f.pool.workers["w0"].lastAnsweredAt, f.pool.workers["w1"].lastAnsweredAt = f.now, f.now
 		calls := f.plan().AdviceCalls
 		f.Expect(calls).To(HaveLen(1))
-		f.pass(100 * time.Millisecond)
+		f.advance(100 * time.Millisecond)
 		f.pool.HandleAdviceAnswer(calls[0].Number, nil, ok, f.now)
 		f.pool.jobs["a"].occurrences[0].steps[0].advice = stepAdvice{}
 		f.pool.jobs["a"].occurrences[0].latestUsefulEnd = f.now - 1
--- a/pkg/dispatch/unreported.go
+++ b/pkg/dispatch/unreported.go
@@ -20,9 +20,9 @@
 // remainingUse returns what is stored with a job for runs that may go on although nobody waits for
 // them: the surplus runs of done tasks and, if the job has ended, all of its runs. The members of a
 // gang end together, so the counted runs of a finished gang have ended.
-func (p *Pool) remainingUse(j *jobState) job.Unended {
+func (p *Pool) remainingUse(j *jobState) job.RemainingUse {
 	if j.customer.Name == "" {
-		return job.Unended{} // only customers' quotas use it
+		return job.RemainingUse{} // only customers' quotas use it
 	}
 	need := j.remainingUse
 	for s := range j.steps() {
@@ -39,9 +39,9 @@
 		need = need.Add(j.maxUnreportedUse()).Sub(j.remainingUse)
 	}
 	if need == (cell.Resources{}) {
-		return job.Unended{}
+		return job.RemainingUse{}
 	}
-	return job.Unended{Need: need, At: p.cfg.WallClock()}
+	return job.RemainingUse{Need: need, WrittenAt: p.cfg.WallClock()}
 }
 
 // unfinishedTasksWithRuns counts the tasks that are not done and have a known run.
@@ -57,9 +57,9 @@
 
 // unexpiredUse returns what may still run of the use that a previous owner stored: all of it until the
 // runs have been stopped or their leases have expired, and then nothing.
-func (p *Pool) unexpiredUse(u job.Unended) cell.Resources {
+func (p *Pool) unexpiredUse(u job.RemainingUse) cell.Resources {
 	limit := leaseExpiryTime(p.cfg.WorkerMaxLease) + maxStopTime + maxWallClockSkew
-	if !p.cfg.HasPreviousOwner || p.cfg.WallClock().Sub(u.At) > limit {
+	if !p.cfg.HasPreviousOwner || p.cfg.WallClock().Sub(u.WrittenAt) > limit {
 		return cell.Resources{}
 	}
 	return u.Need
@@ -67,7 +67,7 @@
 
 // addEndedJobUse counts what may still run of a job that has ended.
 func (p *Pool) addEndedJobUse(ended job.Record) {
-	need := p.unexpiredUse(ended.Unended)
+	need := p.unexpiredUse(ended.RemainingUse)
 	if need == (cell.Resources{}) {
 		return
 	}
--- a/pkg/dispatch/unreported_test.go
+++ b/pkg/dispatch/unreported_test.go
@@ -10,7 +10,7 @@
 
 // What a job may have running on workers that have not reported to a new owner, in thousandths of a
 // core; each task takes a core.
-func TestWhatAJobMayHaveRunningUnheard(t *testing.T) {
+func TestMaxUnreportedUse(t *testing.T) {
 	after := func(count int, steps ...int) job.Step {
 		s := testStep(count)
 		s.After = steps
@@ -41,7 +41,7 @@
 }
 
 // A worker has reported a task of the first step as running: the next step can't have begun.
-func TestNoStepBeginsBeforeOneOfWhichATaskRuns(t *testing.T) {
+func TestUnreportedUseExcludesStepsAfterARunningStep(t *testing.T) {
 	f := newFixture(t, 2, func(c *Config) { c.HasPreviousOwner, c.Term, c.Token = true, 2, nextEpoch })
 	next := testStep(5)
 	next.After = []int{0}
--- a/pkg/dispatch/worker.go
+++ b/pkg/dispatch/worker.go
@@ -71,7 +71,7 @@
 	lastAnsweredPollSentAt clock.Time
 	// pendingPolls counts the polls in flight, and lastPollEndedAt is when the last of them ended.
 	// pollGap says that none was in flight for so long that the worker may have been restarted
-	// unnoticed (ackWithin).
+	// unnoticed (minRestartTime).
 	pendingPolls    int
 	lastPollEndedAt clock.Time
 	pollGap         bool
@@ -106,11 +106,11 @@
 	// committed.
 	lastCommittedEnd int64
 
-	pacing         pace.Control
-	suspendedUntil clock.Time // gets no tasks before this time
-	failures       int        // not counting further ones of the same job
-	failedJob      job.ID     // the job of the last failure
-	probation      bool       // it was suspended for failures, and no run has succeeded since
+	pacing              pace.Control
+	suspendedUntil      clock.Time // gets no tasks before this time
+	consecutiveFailures int        // not counting further ones of the same job
+	lastFailedJob       job.ID     // the job of the last failure
+	onProbation         bool       // it was suspended for failures, and no run has succeeded since
 }
 
 // free returns the capacity that no run uses.
@@ -135,7 +135,7 @@
 // incarnation may have replaced it unnoticed. This can't happen where IDs have no start time: a
 // restarted worker then has another name.
 func (w *worker) hasPollGap(now clock.Time) bool {
-	return w.info.ID.StartedAt() != 0 && w.pendingPolls == 0 && now.Sub(w.lastPollEndedAt) >= ackWithin
+	return w.info.ID.StartedAt() != 0 && w.pendingPolls == 0 && now.Sub(w.lastPollEndedAt) >= minRestartTime
 }
 
 // recordPollSent records that a poll is sent.
@@ -321,19 +321,19 @@
 func (p *Pool) recordWorkerResult(w *worker, r *run, reason EndReason, now clock.Time) {
 	switch reason {
 	case EndDone:
-		w.failures, w.probation = 0, false
+		w.consecutiveFailures, w.onProbation = 0, false
 	case EndFailed:
 		id := r.task.step.occurrence.job.job.ID
-		if w.failures == 0 || w.failedJob != id {
-			w.failures++
+		if w.consecutiveFailures == 0 || w.lastFailedJob != id {
+			w.consecutiveFailures++
 		}
-		w.failedJob = id
+		w.lastFailedJob = id
 		if p.isDisabled(Suspension) {
 			return
 		}
-		if w.failures >= suspendAfter || w.probation && w.failures > 0 {
+		if w.consecutiveFailures >= suspendAfter || w.onProbation && w.consecutiveFailures > 0 {
 			p.suspendWorker(w, suspendFor, "failures", now)
-			w.failures, w.probation = 0, true
+			w.consecutiveFailures, w.onProbation = 0, true
 		}
 	}
 }
--- a/pkg/dispatch/worker_test.go
+++ b/pkg/dispatch/worker_test.go
@@ -11,12 +11,12 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestUnansweredStartBlocksItsTaskUntilSettled(t *testing.T) {
+func TestUnansweredStartBlocksItsTaskUntilResolved(t *testing.T) {
 	f := newFixture(t, 2, nil)
 	f.reportAll(2)
 	f.add(testJob("a", testStep(1)))
 	s := f.plan().Starts[0]
-	w := numberOf(s.Worker)
+	w := workerNumber(s.Worker)
 	f.pool.HandleStartAnswer(s, Answer{}, fmt.Errorf("no answer"), f.now)
 	actions := f.plan()
 	f.Expect(actions.Starts).To(BeEmpty())
@@ -25,7 +25,7 @@
 	f.Expect(f.plan().Starts).To(BeEmpty())
 	poll, _ := f.pool.NewPoll(s.Worker, true, true, f.now)
 	f.Expect(poll.Token).To(BeNumerically(">", s.Token))
-	f.pass(time.Millisecond)
+	f.advance(time.Millisecond)
 	f.pool.HandlePollAnswer(poll, Answer{Verdict: VerdictDone, Clock: f.workerClock}, Report{}, f.now)
 	again := f.plan().Starts
 	f.Expect(again).To(HaveLen(1))
@@ -38,52 +38,52 @@
 	f.add(testJob("a", testStep(1)))
 	s := f.plan().Starts[0]
 	f.pool.HandleStartAnswer(s, Answer{}, fmt.Errorf("no answer"), f.now)
-	f.report(numberOf(s.Worker), Report{Active: []ActiveRun{{Task: s.Task, Run: s.Run, Percent: 10}}})
+	f.report(workerNumber(s.Worker), Report{Active: []ActiveRun{{Task: s.Task, Run: s.Run, Percent: 10}}})
 	f.Expect(f.plan().Starts).To(BeEmpty())
 	state, _, _ := f.pool.JobState("a")
 	f.Expect(state).To(Equal(job.Running))
 }
 
-func TestSilentWorkerHoldsItsTaskUntilItsLeaseLapsed(t *testing.T) {
+func TestTaskOfASilentWorkerWaitsUntilItsLeaseExpires(t *testing.T) {
 	f := newFixture(t, 2, nil)
 	f.reportAll(2)
 	f.add(testJob("a", testStep(1)))
 	s := f.plan().Starts[0]
 	f.accept(s)
-	other := 1 - numberOf(s.Worker)
+	other := 1 - workerNumber(s.Worker)
 	for elapsed := time.Duration(0); elapsed < 5*time.Second; elapsed += 500 * time.Millisecond {
-		f.pass(500 * time.Millisecond)
+		f.advance(500 * time.Millisecond)
 		f.report(other, Report{})
 		f.Expect(f.plan().Starts).To(BeEmpty())
 	}
-	f.pass(1400 * time.Millisecond)
+	f.advance(1400 * time.Millisecond)
 	f.report(other, Report{})
 	starts := f.plan().Starts
 	f.Expect(starts).To(HaveLen(1))
-	f.Expect(numberOf(starts[0].Worker)).To(Equal(other))
+	f.Expect(workerNumber(starts[0].Worker)).To(Equal(other))
 }
 
 // Guards against a lost worker whose runs are never taken for ended: the worker had left, and every
 // unanswered poll postponed the expiry of its leases. Seen with seed mix 625966707817 of mmda-foldarch.
-func TestUnansweredHoldsDoNotPutOffTheLapse(t *testing.T) {
+func TestUnansweredPollsDoNotPostponeLeaseExpiry(t *testing.T) {
 	f := newFixture(t, 2, nil)
 	f.reportAll(2)
 	f.add(testJob("a", testStep(1)))
 	s := f.plan().Starts[0]
 	f.accept(s)
-	other := 1 - numberOf(s.Worker)
+	other := 1 - workerNumber(s.Worker)
 	var starts []StartOrder
 	for elapsed := time.Duration(0); elapsed < 8*time.Second; elapsed += 200 * time.Millisecond {
-		f.pass(200 * time.Millisecond)
+		f.advance(200 * time.Millisecond)
 		f.report(other, Report{})
 		_, _ = f.pool.NewPoll(s.Worker, false, true, f.now) // no answer
 		starts = append(starts, f.plan().Starts...)
 	}
 	f.Expect(starts).To(HaveLen(1))
-	f.Expect(numberOf(starts[0].Worker)).To(Equal(other))
+	f.Expect(workerNumber(starts[0].Worker)).To(Equal(other))
 }
 
-func TestDrainingWorkerGetsNothing(t *testing.T) {
+func TestDrainingWorkerGetsNoTasks(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.reportAll(1)
 	w := f.pool.Workers()[0]
@@ -101,13 +101,13 @@
 	f.accept(s)
 	row := ActiveRun{Task: s.Task, Run: s.Run, Percent: 20, Checkpoint: "c1"}
 	for range 5 {
-		f.pass(500 * time.Millisecond)
-		f.report(numberOf(s.Worker), Report{Active: []ActiveRun{row}})
-		f.report(1-numberOf(s.Worker), Report{})
+		f.advance(500 * time.Millisecond)
+		f.report(workerNumber(s.Worker), Report{Active: []ActiveRun{row}})
+		f.report(1-workerNumber(s.Worker), Report{})
 		f.pool.InspectRuns(f.now)
 	}
 	f.Expect(f.plan().Stops).To(HaveLen(1))
-	f.report(numberOf(s.Worker), f.end(s, 1, EndStopped))
+	f.report(workerNumber(s.Worker), f.endReport(s, 1, EndStopped))
 	again := f.plan().Starts
 	f.Expect(again).To(HaveLen(1))
 	f.Expect(again[0].Worker).NotTo(Equal(s.Worker))
@@ -116,20 +116,20 @@
 
 // Guards against a run that is taken for stuck because its worker was not polled: a busy owner had not
 // polled a worker for 1.65 s. Seen with seed 2965 of the random histories.
-func TestRunIsNotStuckBecauseItsWorkerWasNotAsked(t *testing.T) {
+func TestRunIsNotStuckBecauseItsWorkerWasNotPolled(t *testing.T) {
 	f := newFixture(t, 2, nil)
 	f.reportAll(2)
 	f.add(testJob("a", testStep(1)))
 	s := f.plan().Starts[0]
 	f.accept(s)
-	f.pass(100 * time.Millisecond)
-	f.report(numberOf(s.Worker), Report{Active: []ActiveRun{{Task: s.Task, Run: s.Run, Percent: 20}}})
-	f.pass(1680 * time.Millisecond)
+	f.advance(100 * time.Millisecond)
+	f.report(workerNumber(s.Worker), Report{Active: []ActiveRun{{Task: s.Task, Run: s.Run, Percent: 20}}})
+	f.advance(1680 * time.Millisecond)
 	f.pool.InspectRuns(f.now)
 	f.Expect(f.plan().Stops).To(BeEmpty())
 }
 
-func TestRunThatOutlastsItsLeavingWorkerIsMoved(t *testing.T) {
+func TestRunThatOutlastsItsDrainingWorkerIsMoved(t *testing.T) {
 	f := newFixture(t, 2, nil)
 	f.reportAll(2)
 	long := testStep(1)
@@ -140,16 +140,16 @@
 	w := f.pool.workers[s.Worker].info
 	w.Draining, w.Remaining = true, 2*time.Second
 	f.pool.UpsertWorker(w, true, f.now)
-	f.report(numberOf(s.Worker), Report{Active: []ActiveRun{{Task: s.Task, Run: s.Run, Percent: 1}}})
+	f.report(workerNumber(s.Worker), Report{Active: []ActiveRun{{Task: s.Task, Run: s.Run, Percent: 1}}})
 	f.pool.InspectRuns(f.now)
 	f.Expect(f.plan().Stops).To(HaveLen(1))
-	f.report(numberOf(s.Worker), f.end(s, 1, EndStopped))
+	f.report(workerNumber(s.Worker), f.endReport(s, 1, EndStopped))
 	again := f.plan().Starts
 	f.Expect(again).To(HaveLen(1))
 	f.Expect(again[0].Worker).NotTo(Equal(s.Worker))
 }
 
-func TestRunThatEndsBeforeItsWorkerLeavesIsLeftAlone(t *testing.T) {
+func TestRunThatEndsBeforeItsWorkerLeavesIsNotMoved(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.reportAll(1)
 	f.add(testJob("a", testStep(1)))
@@ -163,7 +163,7 @@
 	f.Expect(f.plan().Stops).To(BeEmpty())
 }
 
-func TestWorkerIsUsedOnlyOnceTheRosterHasIt(t *testing.T) {
+func TestWorkerIsUsedOnlyOnceInRoster(t *testing.T) {
 	f := newFixture(t, 0, nil)
 	f.pool.UpsertWorker(WorkerInfo{
 		ID: "w0", Pool: "pool", Address: netip.MustParseAddrPort("10.0.0.1:80"),
@@ -176,7 +176,7 @@
 	f.Expect(f.plan().Starts).To(HaveLen(1))
 }
 
-func TestWorkerThatLeftAsItSaidIsGoneAtOnce(t *testing.T) {
+func TestWorkerThatLeftAsAnnouncedIsTerminatedAtOnce(t *testing.T) {
 	for _, fresh := range []bool{true, false} {
 		f := newFixture(t, 2, nil)
 		f.reportAll(2)
@@ -186,8 +186,8 @@
 		w := f.pool.workers[s.Worker].info
 		w.Draining, w.Remaining = true, 2*time.Second
 		f.pool.UpsertWorker(w, true, f.now)
-		f.pass(2 * time.Second)
-		f.report(1-numberOf(s.Worker), Report{})
+		f.advance(2 * time.Second)
+		f.report(1-workerNumber(s.Worker), Report{})
 		f.pool.RemoveEntry(s.Worker, fresh, f.now)
 		if fresh {
 			f.Expect(f.plan().Starts).To(HaveLen(1))
@@ -198,7 +198,7 @@
 }
 
 // The number of calls to workers per second must not grow with the pool.
-func TestHoldsWaitLongerInALargePool(t *testing.T) {
+func TestPollsWaitLongerInALargePool(t *testing.T) {
 	small := newFixture(t, 48, nil)
 	small.Expect(small.pool.PollWait("w0")).To(Equal(pollWait))
 	large := newFixture(t, 3000, nil)
@@ -211,7 +211,7 @@
 }
 
 // All entries expire while the store can't be reached, and come back one by one.
-func TestWorkerWhoseEntryLapsedIsUsedForAWhileIfItAnswers(t *testing.T) {
+func TestWorkerWithExpiredEntryIsUsedForAWhileIfItAnswers(t *testing.T) {
 	f := newFixture(t, 2, nil)
 	f.reportAll(2)
 	for n := range 2 {
@@ -219,13 +219,13 @@
 	}
 	f.add(testJob("a", testStep(8)))
 	f.Expect(f.plan().Starts).To(HaveLen(8))
-	f.pass(2 * time.Second)
+	f.advance(2 * time.Second)
 	f.report(0, Report{})
 	f.add(testJob("b", testStep(8)))
 	f.Expect(f.plan().Starts).To(BeEmpty(), "worker 1 is silent, and worker 0 has no room beside the first runs")
 }
 
-func TestWorkerThatRunsWhatIsNotOursGetsNothing(t *testing.T) {
+func TestWorkerWithUnparsableRunsGetsNoTasks(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.report(0, Report{UnparsableRuns: 1})
 	f.add(testJob("a", testStep(1)))
@@ -235,7 +235,7 @@
 }
 
 // Another writer has replaced the worker's entry.
-func TestWorkerWithAnUnusableEntryGetsNothingAndRunsOn(t *testing.T) {
+func TestWorkerWithAnInvalidEntryGetsNoTasksAndKeepsItsRuns(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.reportAll(1)
 	f.add(testJob("a", testStep(1)))
@@ -247,17 +247,17 @@
 	actions := f.plan()
 	f.Expect(actions.Starts).To(BeEmpty())
 	f.Expect(actions.Stops).To(BeEmpty())
-	f.report(0, f.end(s, 1, EndDone))
+	f.report(0, f.endReport(s, 1, EndDone))
 	f.Expect(f.pool.jobs["a"].outcome).To(Equal(job.Completed))
 	f.addWorker(0)
 	f.Expect(f.plan().Starts).To(HaveLen(1))
 }
 
-func TestWorkerWhoseEntryStaysAwayGetsNothing(t *testing.T) {
+func TestWorkerWithoutEntryGetsNoTasks(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.reportAll(1)
 	f.pool.RemoveEntry("w0", false, f.now)
-	f.pass(3 * time.Second)
+	f.advance(3 * time.Second)
 	f.report(0, Report{})
 	f.add(testJob("a", testStep(1)))
 	f.Expect(f.plan().Starts).To(BeEmpty())
@@ -266,7 +266,7 @@
 }
 
 // A worker that leaves announces it before its entry is removed.
-func TestDrainingWorkerWhoseEntryWentGetsNothing(t *testing.T) {
+func TestDrainingWorkerWithoutEntryGetsNoTasks(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.reportAll(1)
 	w := f.pool.Workers()[0]
@@ -277,11 +277,11 @@
 	f.Expect(f.plan().Starts).To(BeEmpty())
 }
 
-func TestOnlyAnswersThatBringNewsCallForAPlan(t *testing.T) {
+func TestOnlyReportsWithChangesNeedAPlan(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	answer := func(r Report) bool {
 		poll, _ := f.pool.NewPoll("w0", false, true, f.now)
-		f.pass(time.Millisecond)
+		f.advance(time.Millisecond)
 		return f.pool.HandlePollAnswer(poll, Answer{Verdict: VerdictDone, Clock: f.workerClock}, r, f.now)
 	}
 	f.Expect(answer(Report{})).To(BeTrue(), "the worker may be given tasks from now on")
@@ -290,18 +290,18 @@
 	start := f.plan().Starts[0]
 	f.accept(start)
 	f.Expect(answer(Report{Active: []ActiveRun{{Task: start.Task, Run: start.Run, Percent: 3}}})).To(BeFalse())
-	f.Expect(answer(f.end(start, 1, EndDone))).To(BeTrue(), "there is room")
+	f.Expect(answer(f.endReport(start, 1, EndDone))).To(BeTrue(), "there is room")
 	f.Expect(answer(Report{Active: []ActiveRun{{Task: start.Task, Run: 99}}})).To(BeTrue(), "the run must not go on")
 }
 
-func TestWorkerThatComesBackAfterALongCutKnowsTheSameOwner(t *testing.T) {
+func TestWorkerThatReturnsAfterALongOutageAcceptsTheSameOwner(t *testing.T) {
 	f := newFixture(t, 2, nil)
 	f.reportAll(2)
 	raised, _ := f.pool.NewPoll("w0", true, true, f.now)
 	f.pool.HandlePollAnswer(raised, Answer{Verdict: VerdictDone, Clock: f.workerClock}, Report{}, f.now)
 	f.pool.RemoveEntry("w0", false, f.now)
 	for range 50 {
-		f.pass(200 * time.Millisecond)
+		f.advance(200 * time.Millisecond)
 		f.report(1, Report{})
 		f.plan()
 	}
--- a/pkg/endpoint/client.go
+++ b/pkg/endpoint/client.go
@@ -34,18 +34,18 @@
 
 // maxIdleConns bounds the unused connections that are kept to one endpoint. It is somewhat
 // above the usual number of slots.
-const idleConns = 16
+const maxIdleConns = 16
 
 // Outcome says what is known of a request after a call.
 type Outcome int
 
 // The outcomes of a call.
 const (
-	Done    Outcome = iota // it ran, and the answer is complete
-	Failed                 // it ran, or may have, but the answer is an error or too large
-	NotRun                 // it certainly did not run
-	Leaving                // it did not run, and the endpoint accepts no new requests
-	Lost                   // it may have been sent, and no complete answer arrived
+	Done     Outcome = iota // it ran, and the answer is complete
+	Failed                  // it ran, or may have, but the answer is an error or too large
+	NotRun                  // it certainly did not run
+	Leaving                 // it did not run, and the endpoint accepts no new requests
+	NoAnswer                // it may have been sent, and no complete answer arrived
 )
 
 // Request is a request to an endpoint.
@@ -86,7 +86,7 @@
 
 // New returns a client that accepts answers of up to maxBody bytes.
 func New(d *dialer.Dialer, maxBody int64) *Client {
-	return &Client{http: &http.Client{Transport: d.Transport(idleConns)}, maxBody: maxBody}
+	return &Client{http: &http.Client{Transport: d.Transport(maxIdleConns)}, maxBody: maxBody}
 }
 
 // ErrNoAuthority is the error of a request that was not sent because Authorized returned false.
@@ -111,22 +111,22 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return failedSend(err, body)
+		return classifySendError(err, body)
 	}
 	defer resp.Body.Close()
-	return c.read(resp)
+	return c.readAnswer(resp)
 }
 
 // classifySendError decides whether the endpoint may have received the complete request.
-func failedSend(err error, body *guardedBody) Answer {
-	if body.withhold() || dialer.NotSent(err) {
+func classifySendError(err error, body *guardedBody) Answer {
+	if body.preventRead() || dialer.NotSent(err) {
 		return Answer{Outcome: NotRun, Err: errors.Wrap(err, "send to endpoint")}
 	}
-	return Answer{Outcome: Lost, Err: errors.Wrap(err, "answer of endpoint")}
+	return Answer{Outcome: NoAnswer, Err: errors.Wrap(err, "answer of endpoint")}
 }
 
 // readAnswer reads the response of an endpoint and determines the outcome of the request.
-func (c *Client) read(resp *http.Response) Answer {
+func (c *Client) readAnswer(resp *http.Response) Answer {
 	switch resp.Header.Get(RefusedHeader) {
 	case RefusedLeaving:
 		return Answer{Outcome: Leaving, Err: errors.New("the endpoint is leaving")}
@@ -135,7 +135,7 @@
 	}
 	data, err := io.ReadAll(io.LimitReader(resp.Body, c.maxBody+1))
 	if err != nil {
-		return Answer{Outcome: Lost, Err: errors.Wrap(err, "answer of endpoint")}
+		return Answer{Outcome: NoAnswer, Err: errors.Wrap(err, "answer of endpoint")}
 	}
 	if int64(len(data)) > c.maxBody {
 		return Answer{Outcome: Failed, Err: errors.Newf("the answer is over %d bytes", c.maxBody)}
--- a/pkg/endpoint/guarded_body.go
+++ b/pkg/endpoint/guarded_body.go
@@ -10,24 +10,24 @@
 // If the authority has ended, Read fails: the endpoint never receives a complete request,
 // since the headers announce a body that does not follow.
 type guardedBody struct {
-	mu         sync.Mutex
-	data       []byte
-	authorized func() bool // may be nil
-	begun      bool
-	refused    bool
+	mu          sync.Mutex
+	data        []byte
+	authorized  func() bool // may be nil
+	readStarted bool
+	denied      bool
 }
 
 // Read reads from the body, or returns ErrNoAuthority.
 func (b *guardedBody) Read(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.begun && !b.refused && b.authorized != nil {
-		b.refused = !b.authorized()
+	if !b.readStarted && !b.denied && b.authorized != nil {
+		b.denied = !b.authorized()
 	}
-	if b.refused {
+	if b.denied {
 		return 0, ErrNoAuthority
 	}
-	b.begun = true
+	b.readStarted = true
 	if len(b.data) == 0 {
 		return 0, io.EOF
 	}
@@ -44,11 +44,11 @@
 // preventRead makes all later reads fail unless the body has been read from already. It
 // reports whether the body has not been and will not be read. This is needed because the
 // transport may begin to read a body after http.Client.Do has returned.
-func (b *guardedBody) withhold() bool {
+func (b *guardedBody) preventRead() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.begun {
-		b.refused = true
+	if !b.readStarted {
+		b.denied = true
 	}
-	return b.refused
+	return b.denied
 }
--- a/pkg/entry/batches.go
+++ b/pkg/entry/batches.go
@@ -15,11 +15,11 @@
 
 // SubmitBatch passes a batch request to the owner of its home shard, which stores and runs it.
 func (h *handler) SubmitBatch(ctx context.Context, req *entryapi.BatchRequest, params entryapi.SubmitBatchParams) (*entryapi.BatchStatus, error) {
-	w, layout, err := h.p.workload(req.Workload, settings.KindBatch)
+	w, layout, err := h.p.findWorkload(req.Workload, settings.KindBatch)
 	if err != nil {
 		return nil, err
 	}
-	home, ok := batchHome(w, layout, params.FoldarchCaller, params.IdempotencyKey)
+	home, ok := batchHomeShard(w, layout, params.FoldarchCaller, params.IdempotencyKey)
 	if !ok {
 		return nil, result.New(result.NoEndpoint, "no hall satisfies the place rule of %s", w.Name)
 	}
@@ -27,14 +27,14 @@
 		Kind: peer.BatchSubmit, Shard: home, Service: w.Name, Caller: params.FoldarchCaller,
 		Key: params.IdempotencyKey, TimeLeft: w.TimeLimit, Body: []byte(req.Payload),
 	})
-	h.p.count("batches", a.Code)
-	return batchStatus(a)
+	h.p.countAnswer("batches", a.Code)
+	return newBatchStatus(a)
 }
 
 // batchHomeShard returns the shard that stores and runs a batch request. A key of the form
 // "hall/rest" selects a shard of that hall, if the workload's place rule allows it. Other keys are
 // distributed over all shards of the allowed halls.
-func batchHome(w settings.Workload, layout cell.Layout, caller, key string) (cell.ShardID, bool) {
+func batchHomeShard(w settings.Workload, layout cell.Layout, caller, key string) (cell.ShardID, bool) {
 	var allowed []cell.ShardID
 	prefix, _, _ := strings.Cut(key, "/")
 	for _, id := range layout.Shards() {
@@ -55,19 +55,19 @@
 
 // ReadBatch returns the state of a batch request and, once it has one, its result.
 func (h *handler) ReadBatch(ctx context.Context, params entryapi.ReadBatchParams) (*entryapi.BatchStatus, error) {
-	home, err := batchShard(params.ID)
+	home, err := parseBatchShard(params.ID)
 	if err != nil {
 		return nil, err
 	}
-	return batchStatus(h.p.forward(ctx, peer.Request{
+	return newBatchStatus(h.p.forward(ctx, peer.Request{
 		Kind: peer.BatchRead, Shard: home, Caller: params.FoldarchCaller, ID: params.ID, TimeLeft: storeCallTimeout,
 	}))
 }
 
 // newBatchStatus converts the owner's answer to a batch request for the API.
-func batchStatus(a peer.Answer) (*entryapi.BatchStatus, error) {
+func newBatchStatus(a peer.Answer) (*entryapi.BatchStatus, error) {
 	if a.Code != result.OK {
-		return nil, problemOf(a)
+		return nil, answerError(a)
 	}
 	s := &entryapi.BatchStatus{ID: a.ID, State: entryapi.BatchStatusState(a.State)}
 	if a.Worker != "" {
@@ -80,7 +80,7 @@
 }
 
 // parseBatchShard returns the home shard of a batch request, which its id contains.
-func batchShard(id string) (cell.ShardID, error) {
+func parseBatchShard(id string) (cell.ShardID, error) {
 	home, err := batch.ID(id).Shard()
 	if err != nil {
 		return cell.ShardID{}, result.New(result.UnknownBatch, "%v", err)
--- a/pkg/entry/calls.go
+++ b/pkg/entry/calls.go
@@ -75,9 +75,9 @@
 		return nil, err
 	}
 	a := h.p.forward(ctx, r)
-	h.p.count("calls", a.Code)
+	h.p.countAnswer("calls", a.Code)
 	if a.Code != result.OK {
-		return nil, problemOf(a)
+		return nil, answerError(a)
 	}
 	return &entryapi.CallServiceOKHeaders{
 		FoldarchEndpoint: entryapi.NewOptString(a.Endpoint),
@@ -103,7 +103,7 @@
 // callRequest validates a call and determines the shard that has to answer it: the home shard of
 // its key or, without a key, the shard that chooseShard returns.
 func (p *Process) callRequest(params entryapi.CallServiceParams, body []byte) (peer.Request, error) {
-	w, layout, err := p.workload(params.Service, settings.KindService)
+	w, layout, err := p.findWorkload(params.Service, settings.KindService)
 	if err != nil {
 		return peer.Request{}, err
 	}
@@ -116,22 +116,22 @@
 	}
 	r := peer.Request{
 		Kind: peer.Call, Service: w.Name, Caller: params.FoldarchCaller, Key: params.IdempotencyKey.Value,
-		IssuedAt: issuedAt(params), TimeLeft: left, Class: classes[params.FoldarchClass.Value],
+		IssuedAt: issuedAt(params), TimeLeft: left, Class: classByName[params.FoldarchClass.Value],
 		NotRepeatable: params.FoldarchNotRepeatable.Value, Body: body,
 	}
 	var ok bool
 	if r.Key != "" {
 		r.Shard, ok = layout.Home(r.Key)
 	} else {
-		r.Shard, ok = p.nearest(w.Name)
+		r.Shard, ok = p.chooseShard(w.Name)
 	}
 	if !ok {
-		return peer.Request{}, result.New(result.NoEndpoint, "no shard runs %s", w.Name).WithRetryAfter(homeRetry)
+		return peer.Request{}, result.New(result.NoEndpoint, "no shard runs %s", w.Name).WithRetryAfter(refusalRetryAfter)
 	}
 	return r, nil
 }
 
-var classes = map[entryapi.CallServiceFoldarchClass]routing.Class{
+var classByName = map[entryapi.CallServiceFoldarchClass]routing.Class{
 	"":                                      routing.Normal,
 	entryapi.CallServiceFoldarchClassUrgent: routing.Urgent,
 	entryapi.CallServiceFoldarchClassNormal: routing.Normal,
@@ -140,13 +140,13 @@
 
 // findWorkload returns a workload of the given kind from the settings in force, and the layout
 // of the cell. It returns an error while this process has no settings or is leaving.
-func (p *Process) workload(name string, kind settings.Kind) (settings.Workload, cell.Layout, error) {
+func (p *Process) findWorkload(name string, kind settings.Kind) (settings.Workload, cell.Layout, error) {
 	_, _, tree := p.settings.current()
 	if tree == nil {
-		return settings.Workload{}, cell.Layout{}, result.New(result.NotReady, "%s", result.NotReady.Row().Text).WithRetryAfter(homeRetry)
+		return settings.Workload{}, cell.Layout{}, result.New(result.NotReady, "%s", result.NotReady.Info().Text).WithRetryAfter(refusalRetryAfter)
 	}
 	if p.draining.Load() {
-		return settings.Workload{}, cell.Layout{}, result.New(result.Draining, "%s", result.Draining.Row().Text).WithRetryAfter(homeRetry)
+		return settings.Workload{}, cell.Layout{}, result.New(result.Draining, "%s", result.Draining.Info().Text).WithRetryAfter(refusalRetryAfter)
 	}
 	w, ok := tree.Workloads[name]
 	if !ok {
@@ -190,18 +190,18 @@
 }
 
 // countAnswer increments the metric of a result code, such as calls.overloaded.
-func (p *Process) count(prefix string, code result.Code) {
+func (p *Process) countAnswer(prefix string, code result.Code) {
 	metrics.GetOrRegisterCounter(prefix+"."+code.String(), p.registry).Inc(1)
 }
 
 // answerError returns the error that an owner's answer describes.
-func problemOf(a peer.Answer) error {
+func answerError(a peer.Answer) error {
 	return result.New(a.Code, "%s", a.Message).WithRetryAfter(a.RetryAfter)
 }
 
 // NewError converts an error to the API's problem response.
 func (h *handler) NewError(_ context.Context, err error) *entryapi.ProblemStatusCodeWithHeaders {
-	p := result.ProblemOf(err)
+	p := result.NewProblem(err)
 	out := &entryapi.ProblemStatusCodeWithHeaders{
 		StatusCode: p.Status,
 		Response:   entryapi.Problem{Code: int(p.Code), Name: p.Name, Message: p.Message, Ran: entryapi.ProblemRan(p.Ran)},
--- a/pkg/entry/engines.go
+++ b/pkg/entry/engines.go
@@ -14,14 +14,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-const enginesEvery = 25 * time.Millisecond
+const engineCheckInterval = 25 * time.Millisecond
 
 // runEngines starts the ownership controller as soon as it exists. From then on it starts an
 // engine for each shard and epoch that this process owns, and stops the engines of those that it
 // owns no longer.
 func (p *Process) runEngines(ctx context.Context) {
 	var controllerStarted bool
-	ticker := time.NewTicker(enginesEvery)
+	ticker := time.NewTicker(engineCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -30,13 +30,13 @@
 			return
 		case <-ticker.C:
 		}
-		c := p.keeper.Load()
+		c := p.controller.Load()
 		if c == nil {
 			continue
 		}
 		if !controllerStarted {
-			p.giveRecords(c)
-			p.duties.Go(func() { c.Run(ctx) })
+			p.observeStoredRecords(c)
+			p.background.Go(func() { c.Run(ctx) })
 			controllerStarted = true
 		}
 		owned := c.Owned()
@@ -47,12 +47,12 @@
 
 // observeStoredRecords passes the records of the hall's shards to a new controller, which was
 // not there when the watch on the store reported them.
-func (p *Process) giveRecords(c *ownership.Keeper) {
+func (p *Process) observeStoredRecords(c *ownership.Controller) {
 	for id, record := range p.readRecords() {
 		c.Observe(id, record.record, record.revision)
 	}
 	if p.storeUp() {
-		c.StoreSeen()
+		c.MarkStoreRead()
 	}
 }
 
@@ -93,7 +93,7 @@
 }
 
 // startEngines starts an engine for each shard in owned that does not have one.
-func (p *Process) startEngines(ctx context.Context, c *ownership.Keeper, owned map[cell.ShardID]cell.Epoch) {
+func (p *Process) startEngines(ctx context.Context, c *ownership.Controller, owned map[cell.ShardID]cell.Epoch) {
 	_, _, tree := p.settings.current()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -108,7 +108,7 @@
 		if p.hosts != nil {
 			engine.SetHosts(p.hosts)
 		}
-		p.duties.Go(engine.Run)
+		p.background.Go(engine.Run)
 	}
 }
 
@@ -121,21 +121,21 @@
 		Shard: id, Epoch: epoch,
 		TaskLease:      time.Duration(p.cfg.Times.TaskLease),
 		ReportEvery:    time.Duration(p.cfg.Times.ReportEvery),
-		DispatchFlight: dispatchFlight,
+		MaxTransitTime: maxTransitTime,
 		// Each shard gets an equal share of the cell's write rate.
 		JournalInterval: time.Duration(float64(shards) / p.cfg.Limits.CellWritesPerSecond * float64(time.Second)),
 		Keys:            keyConfig,
 	}
 }
 
-func (p *Process) engineDeps(c *ownership.Keeper, id cell.ShardID) shard.Deps {
+func (p *Process) engineDeps(c *ownership.Controller, id cell.ShardID) shard.Deps {
 	return shard.Deps{
 		Clock: p.clk, Workers: p.workers, Endpoints: p.endpoints,
 		Authority: func() (cell.Epoch, clock.Time, bool) { return c.Authority(id) },
 		LoadBatches: func(ctx context.Context) ([]batch.Segment, error) {
 			return batch.Load(ctx, p.store, id)
 		},
-		StoreUp: p.storeUp,
+		StoreAvailable: p.storeUp,
 		PutSegment: func(ctx context.Context, key, value string) (int64, error) {
 			return p.store.Swap(ctx, store.Item{Key: key, Value: value}, 0)
 		},
@@ -146,12 +146,12 @@
 }
 
 func (p *Process) swapRecord(ctx context.Context, id cell.ShardID, record string, expectedRevision int64) (int64, error) {
-	return p.store.Swap(ctx, store.Item{Key: ownership.KeyOf(id), Value: record}, expectedRevision)
+	return p.store.Swap(ctx, store.Item{Key: ownership.RecordKey(id), Value: record}, expectedRevision)
 }
 
 // readRecord reads the ownership record of a shard; the revision is 0 if there is none.
 func (p *Process) readRecord(ctx context.Context, id cell.ShardID) (ownership.Record, int64, error) {
-	item, err := p.store.Read(ctx, ownership.KeyOf(id))
+	item, err := p.store.Read(ctx, ownership.RecordKey(id))
 	if errors.Is(err, store.ErrAbsent) {
 		return ownership.Record{}, 0, nil
 	}
--- a/pkg/entry/forward.go
+++ b/pkg/entry/forward.go
@@ -20,45 +20,45 @@
 
 const (
 	// refusalRetryAfter is the retry delay for requests that this process refuses.
-	homeRetry = 500 * time.Millisecond
+	refusalRetryAfter = 500 * time.Millisecond
 	// answerTimeoutMargin is how long beyond a request's own time limit this process waits for
 	// the owner's answer.
-	answerSlack = 500 * time.Millisecond
+	answerTimeoutMargin = 500 * time.Millisecond
 	// While a forwarded request waits for its answer, ownerCheckInterval is how often the owner
 	// of its shard is checked. If the owner has changed, the previous one gets the further time
 	// previousOwnerGrace to answer.
-	replacedEvery = 100 * time.Millisecond
-	replacedGrace = 300 * time.Millisecond
+	ownerCheckInterval = 100 * time.Millisecond
+	previousOwnerGrace = 300 * time.Millisecond
 	// A request without a key is run in another hall if even the least loaded shard of the own
 	// hall has a load of at least spilloverLoad and a shard of another hall has a load that is
 	// lower by more than spilloverMinGain. Together the two limits keep halls from sending requests
 	// back and forth.
-	spillLoad = 1.0
-	spillGain = 0.3
+	spilloverLoad    = 1.0
+	spilloverMinGain = 0.3
 )
 
 // forward has the owner of a shard answer a request, in this process or in another one. If the
 // shard's owner changes before the answer arrives, a repeatable request is forwarded to the new
 // owner. For any other request forward returns AnswerLost.
 func (p *Process) forward(ctx context.Context, r peer.Request) peer.Answer {
-	ctx, cancel := context.WithTimeout(ctx, r.TimeLeft+answerSlack)
+	ctx, cancel := context.WithTimeout(ctx, r.TimeLeft+answerTimeoutMargin)
 	defer cancel()
 	for {
 		if e, ok := p.engine(r.Shard); ok {
-			return p.answerHere(ctx, e, r)
+			return p.handleLocally(ctx, e, r)
 		}
-		address, ok := p.addressOf(r.Shard)
+		address, ok := p.ownerAddress(r.Shard)
 		if !ok || address == p.self.Address {
-			return refused(result.NoOwner, "no owner of "+r.Shard.String()+" is known")
+			return newRefusal(result.NoOwner, "no owner of "+r.Shard.String()+" is known")
 		}
 		a, err := p.forwardTo(ctx, address, r)
 		if err == nil {
 			return a
 		}
 		if dialer.NotSent(err) {
-			return refused(result.HomeUnreachable, "the owner of "+r.Shard.String()+" can't be reached")
+			return newRefusal(result.HomeUnreachable, "the owner of "+r.Shard.String()+" can't be reached")
 		}
-		if newAddress, known := p.addressOf(r.Shard); !known || newAddress == address || !r.Repeatable() || ctx.Err() != nil {
+		if newAddress, known := p.ownerAddress(r.Shard); !known || newAddress == address || !r.Repeatable() || ctx.Err() != nil {
 			return peer.Answer{Code: result.AnswerLost, Message: "the answer of the owner of " + r.Shard.String() + " was lost"}
 		}
 	}
@@ -70,74 +70,74 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	// Most calls end before the timer fires, and then need no goroutine for the check.
-	ownerCheck := time.AfterFunc(replacedEvery, func() { p.cancelWhenReplaced(ctx, cancel, address, r.Shard) })
+	ownerCheck := time.AfterFunc(ownerCheckInterval, func() { p.cancelWhenOwnerChanges(ctx, cancel, address, r.Shard) })
 	defer ownerCheck.Stop()
 	return p.peers.Forward(ctx, address, r)
 }
 
 // cancelWhenOwnerChanges cancels a call to the owner of a shard once another process has been
 // the owner for previousOwnerGrace. An answer that the previous owner has given arrives in this time.
-func (p *Process) cancelWhenReplaced(ctx context.Context, cancel context.CancelFunc, address netip.AddrPort, id cell.ShardID) {
-	clock.Every(ctx, replacedEvery, func() {
-		if newAddress, ok := p.addressOf(id); ok && newAddress != address {
-			clock.Sleep(ctx, replacedGrace)
+func (p *Process) cancelWhenOwnerChanges(ctx context.Context, cancel context.CancelFunc, address netip.AddrPort, id cell.ShardID) {
+	clock.Every(ctx, ownerCheckInterval, func() {
+		if newAddress, ok := p.ownerAddress(id); ok && newAddress != address {
+			clock.Sleep(ctx, previousOwnerGrace)
 			cancel()
 		}
 	})
 }
 
 // newRefusal returns an answer that refuses a request and asks the caller to retry.
-func refused(code result.Code, message string) peer.Answer {
-	return peer.Answer{Code: code, Message: message, RetryAfter: homeRetry}
+func newRefusal(code result.Code, message string) peer.Answer {
+	return peer.Answer{Code: code, Message: message, RetryAfter: refusalRetryAfter}
 }
 
 // handleForward answers a request that a peer has forwarded.
-func (p *Process) answerForward(ctx context.Context, r peer.Request) peer.Answer {
+func (p *Process) handleForward(ctx context.Context, r peer.Request) peer.Answer {
 	e, ok := p.engine(r.Shard)
 	if !ok {
-		return refused(result.NoOwner, p.cfg.ID+" does not own "+r.Shard.String())
+		return newRefusal(result.NoOwner, p.cfg.ID+" does not own "+r.Shard.String())
 	}
-	return p.answerHere(ctx, e, r)
+	return p.handleLocally(ctx, e, r)
 }
 
 // handleLocally passes a request to the engine of its shard in this process.
-func (p *Process) answerHere(ctx context.Context, e *shard.Engine, r peer.Request) peer.Answer {
+func (p *Process) handleLocally(ctx context.Context, e *shard.Engine, r peer.Request) peer.Answer {
 	switch r.Kind {
 	case peer.Call:
-		return fromCall(e.Call(ctx, p.callOf(r)))
+		return newCallAnswer(e.Call(ctx, p.newCall(r)))
 	case peer.BatchSubmit:
 		record, err := e.SubmitBatch(ctx, shard.Submission{
 			Caller: r.Caller, Key: r.Key, Workload: r.Service, Payload: string(r.Body),
 		})
-		return fromBatch(record, err)
+		return newBatchAnswer(record, err)
 	case peer.BatchRead:
 		record, err := e.ReadBatch(r.Caller, batch.ID(r.ID))
-		return fromBatch(record, err)
+		return newBatchAnswer(record, err)
 	case peer.Drain:
 		if !e.DrainWorker(r.ID) {
 			return peer.Answer{Code: result.UnknownTarget, Message: "no worker " + r.ID + " in " + r.Shard.String()}
 		}
 		return peer.Answer{Code: result.OK}
 	case peer.Explain:
-		return explainAnswer(e.Explain(r.Service))
+		return encodeDecisions(e.Explain(r.Service))
 	}
 	return peer.Answer{Code: result.Malformed, Message: "unknown kind of request"}
 }
 
 // newCall converts a request to a call of an engine. The time left becomes a deadline on this
 // process's clock.
-func (p *Process) callOf(r peer.Request) shard.Call {
+func (p *Process) newCall(r peer.Request) shard.Call {
 	return shard.Call{
 		Service: r.Service, Caller: r.Caller, Key: r.Key, IssuedAt: r.IssuedAt, Class: r.Class,
 		Deadline: p.clk.Now().Add(r.TimeLeft), NotRepeatable: r.NotRepeatable, Delegated: r.Delegated, Body: r.Body,
 	}
 }
 
-func fromCall(a shard.Answer) peer.Answer {
+func newCallAnswer(a shard.Answer) peer.Answer {
 	return peer.Answer{Code: a.Code, Message: a.Message, RetryAfter: a.RetryAfter, Body: a.Body, Endpoint: a.Endpoint}
 }
 
-func fromBatch(r batch.Record, err error) peer.Answer {
+func newBatchAnswer(r batch.Record, err error) peer.Answer {
 	if err != nil {
 		e := result.From(err)
 		return peer.Answer{Code: e.Code, Message: e.Message, RetryAfter: e.RetryAfter}
@@ -147,9 +147,9 @@
 
 // delegate runs a call in another shard because its home shard has no endpoint of the service.
 func (p *Process) delegate(home cell.ShardID, c shard.Call) shard.Answer {
-	target, ok := p.nearest(c.Service, home)
+	target, ok := p.chooseShard(c.Service, home)
 	if !ok {
-		return shard.Answer{Answer: keys.Answer{Code: result.NoEndpoint, Message: "no shard runs " + c.Service}, RetryAfter: homeRetry}
+		return shard.Answer{Answer: keys.Answer{Code: result.NoEndpoint, Message: "no shard runs " + c.Service}, RetryAfter: refusalRetryAfter}
 	}
 	a := p.forward(context.Background(), peer.Request{
 		Kind: peer.Call, Shard: target, Service: c.Service, Caller: c.Caller, Key: c.Key, Class: c.Class,
@@ -164,18 +164,18 @@
 // chooseShard returns the shard that should run a request which has no home shard, or whose home
 // shard can't run it: the least loaded shard of the own hall or, under the conditions stated at
 // spilloverLoad, the least loaded shard of the other halls. Shards in except are left out.
-func (p *Process) nearest(service string, except ...cell.ShardID) (cell.ShardID, bool) {
+func (p *Process) chooseShard(service string, except ...cell.ShardID) (cell.ShardID, bool) {
 	_, _, tree := p.settings.current()
 	w, ok := tree.Workloads[service]
 	if !ok {
 		return cell.ShardID{}, false
 	}
 	own, ownLoad := p.leastLoaded(w, tree.Layout, true, except)
-	if ownLoad < spillLoad {
+	if ownLoad < spilloverLoad {
 		return own, true
 	}
 	other, otherLoad := p.leastLoaded(w, tree.Layout, false, except)
-	if otherLoad+spillGain < ownLoad {
+	if otherLoad+spilloverMinGain < ownLoad {
 		return other, true
 	}
 	return own, !math.IsInf(ownLoad, 1)
@@ -185,11 +185,11 @@
 // the own hall or in the other halls, and its load. The load is infinite if there is no such shard.
 func (p *Process) leastLoaded(w settings.Workload, layout cell.Layout, inOwnHall bool, except []cell.ShardID) (cell.ShardID, float64) {
 	best, bestLoad := cell.ShardID{}, math.Inf(1)
-	for _, i := range settings.InstancesOf(w, layout) {
+	for _, i := range settings.DistributeInstances(w, layout) {
 		if (i.Shard.Hall == p.cfg.Hall) != inOwnHall || slices.Contains(except, i.Shard) {
 			continue
 		}
-		if load := p.loadOf(i.Shard, w.Name); load < bestLoad {
+		if load := p.shardLoad(i.Shard, w.Name); load < bestLoad {
 			best, bestLoad = i.Shard, load
 		}
 	}
@@ -199,22 +199,22 @@
 // shardLoad returns the load of a service in a shard: its running and waiting requests as a
 // ratio of its slots. A shard whose load is not known counts as nearly full, so that shards with
 // a known load are preferred unless they are full.
-func (p *Process) loadOf(id cell.ShardID, service string) float64 {
+func (p *Process) shardLoad(id cell.ShardID, service string) float64 {
 	const unknownLoad = 0.95
 	if e, ok := p.engine(id); ok {
 		l := e.Loads()[service]
-		return fraction(l.InUse+l.Queued, l.Slots)
+		return loadRatio(l.InUse+l.Queued, l.Slots)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l, ok := p.table.LoadOf(id, service)
+	l, ok := p.memberTable.LoadOf(id, service)
 	if !ok {
 		return unknownLoad
 	}
-	return fraction(l.InUse+l.Queued, l.Slots)
+	return loadRatio(l.InUse+l.Queued, l.Slots)
 }
 
-func fraction(used, slots int) float64 {
+func loadRatio(used, slots int) float64 {
 	if slots == 0 {
 		return math.MaxFloat64
 	}
--- a/pkg/entry/main.go
+++ b/pkg/entry/main.go
@@ -21,7 +21,7 @@
 const (
 	programName = "foldarch-entry"
 	// maxQueuedLogLines bounds the log lines that wait to be written. Further ones are dropped.
-	logRing = 4096
+	maxQueuedLogLines = 4096
 )
 
 type commandLine struct {
@@ -58,19 +58,19 @@
 			"Examples:\n  foldarch-entry /etc/foldarch/entry.toml\n  foldarch-entry check node.toml\n"+
 			"  "+platform.SettingsVariable+"=node.toml foldarch-entry platform"))
 	if err != nil {
-		return program.Complain(errOut, programName, err, program.ExitFault)
+		return program.ReportError(errOut, programName, err, program.ExitFailure)
 	}
 	ctx, err := parser.Parse(args)
 	if err != nil {
-		return program.Complain(errOut, programName, err, program.ExitUsage)
+		return program.ReportError(errOut, programName, err, program.ExitUsage)
 	}
 	ctx.Bind(streams{out, errOut})
 	err = ctx.Run()
 	if usage := (usageError{}); errors.As(err, &usage) {
-		return program.Complain(errOut, programName, err, program.ExitUsage)
+		return program.ReportError(errOut, programName, err, program.ExitUsage)
 	}
 	if err != nil {
-		return program.Complain(errOut, programName, err, program.ExitFault)
+		return program.ReportError(errOut, programName, err, program.ExitFailure)
 	}
 	return program.ExitOK
 }
@@ -109,7 +109,7 @@
 		return usageError{err}
 	}
 	signal.Ignore(syscall.SIGHUP) // it would end the process if it arrived before the settings are watched
-	w := logring.New(s.out, logRing)
+	w := logring.New(s.out, maxQueuedLogLines)
 	defer w.Close()
 	ctx, stop := stopSignal()
 	defer stop()
--- a/pkg/entry/operator_commands.go
+++ b/pkg/entry/operator_commands.go
@@ -16,7 +16,7 @@
 		if req.ID != p.cfg.ID {
 			return nil, result.New(result.UnknownTarget, "this is %s; send the command to %s itself", p.cfg.ID, req.ID)
 		}
-		p.stopRequested()
+		p.requestStop()
 		return req, nil
 	}
 	id, err := p.shardOfWorker(req.ID)
@@ -25,7 +25,7 @@
 	}
 	a := p.forward(ctx, peer.Request{Kind: peer.Drain, Shard: id, ID: req.ID, TimeLeft: storeCallTimeout})
 	if a.Code != result.OK {
-		return nil, problemOf(a)
+		return nil, answerError(a)
 	}
 	return req, nil
 }
--- a/pkg/entry/operator_queries.go
+++ b/pkg/entry/operator_queries.go
@@ -22,7 +22,7 @@
 	revision, _, _ := p.settings.current()
 	s := &entryapi.ProcessStatus{
 		ID: p.cfg.ID, Hall: string(p.cfg.Hall), Revision: revision, Draining: p.draining.Load(),
-		Store: entryapi.ProcessStatusStoreDown, Shards: p.ShardStatuses(), Peers: p.peerStatus(),
+		Store: entryapi.ProcessStatusStoreDown, Shards: p.ShardStatuses(), Peers: p.peerStatuses(),
 	}
 	if p.storeUp() {
 		s.Store = entryapi.ProcessStatusStoreUp
@@ -34,7 +34,7 @@
 // fields that only a shard's engine knows are set for the shards that this process owns.
 func (p *Process) ShardStatuses() []entryapi.ShardStatus {
 	list := []entryapi.ShardStatus{}
-	c := p.keeper.Load()
+	c := p.controller.Load()
 	if c == nil {
 		return list
 	}
@@ -48,14 +48,14 @@
 			Shard: id.String(), Owner: record.Owner.ID, Successor: record.Successor.ID, Epoch: int64(record.Epoch),
 		}
 		if e, ok := p.engine(id); ok {
-			fillEngine(&s, e.Status())
+			setEngineStatus(&s, e.Status())
 		}
 		list = append(list, s)
 	}
 	return list
 }
 
-func fillEngine(s *entryapi.ShardStatus, engine shard.Status) {
+func setEngineStatus(s *entryapi.ShardStatus, engine shard.Status) {
 	s.Authority = engine.Authority
 	s.Workers, s.Tasks, s.Endpoints, s.Queued = engine.Usage.Workers, engine.Usage.Placed, engine.Endpoints, engine.Queued
 	s.Waiting = entryapi.NewOptInt(engine.Usage.Waiting)
@@ -64,20 +64,20 @@
 	}
 }
 
-func (p *Process) peerStatus() []entryapi.PeerStatus {
+func (p *Process) peerStatuses() []entryapi.PeerStatus {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := []entryapi.PeerStatus{}
-	for _, m := range p.table.All() {
-		list = append(list, p.peerRow(m))
+	for _, m := range p.memberTable.All() {
+		list = append(list, p.newPeerStatus(m))
 	}
 	return list
 }
 
-func (p *Process) peerRow(m members.Member) entryapi.PeerStatus {
+func (p *Process) newPeerStatus(m members.Member) entryapi.PeerStatus {
 	return entryapi.PeerStatus{
 		ID: m.ID, Hall: string(m.Hall), Address: m.CallersAddress.String(), Revision: m.Revision,
-		AgeMs: p.clk.Now().Sub(m.Heard).Milliseconds(),
+		AgeMs: p.clk.Now().Sub(m.LastHeard).Milliseconds(),
 	}
 }
 
@@ -87,7 +87,7 @@
 	p := h.p
 	revision, _, tree := p.settings.current()
 	if tree == nil {
-		return nil, result.New(result.NotReady, "%s", result.NotReady.Row().Text).WithRetryAfter(homeRetry)
+		return nil, result.New(result.NotReady, "%s", result.NotReady.Info().Text).WithRetryAfter(refusalRetryAfter)
 	}
 	w, ok := tree.Workloads[params.Workload]
 	if !ok {
@@ -95,7 +95,7 @@
 	}
 	e := &entryapi.Explanation{Workload: w.Name, Revision: revision, Tasks: []entryapi.ExplainTask{}}
 	for _, kv := range w.Values() {
-		level, set := w.From[kv.Key]
+		level, set := w.SourceFiles[kv.Key]
 		if !set {
 			level = "default"
 			if !strings.HasPrefix(kv.Key, "rules.") {
@@ -135,7 +135,7 @@
 }
 
 // encodeDecisions returns the answer to an Explain request, which explainShard decodes.
-func explainAnswer(decisions []shard.TaskDecision) peer.Answer {
+func encodeDecisions(decisions []shard.TaskDecision) peer.Answer {
 	text, err := json.Marshal(decisions)
 	if err != nil {
 		return peer.Answer{Code: result.Internal, Message: err.Error()}
--- a/pkg/entry/process.go
+++ b/pkg/entry/process.go
@@ -33,10 +33,10 @@
 	storeCallTimeout = time.Second
 	// The store counts as up if it has answered within storeUpWindow. The host list is read
 	// about once a second, so a store that is up answers several times in this period.
-	storeUpWithin = 2500 * time.Millisecond
+	storeUpWindow = 2500 * time.Millisecond
 	// maxTransitTime is how long a request that a previous owner of a shard has sent to an
 	// endpoint may still be in transit when its successor takes over.
-	dispatchFlight = 250 * time.Millisecond
+	maxTransitTime = 250 * time.Millisecond
 	drainTimeout   = 60 * time.Second
 	// handoverTimeout bounds the writes that hand over the shards. If the store does not
 	// answer, the successors take over because the closed peer port proves that this process
@@ -47,8 +47,8 @@
 
 	// Names of the metrics that count the bytes sent and received: controlBytesMetric those
 	// exchanged with peers, workers and the store, callBytesMetric those with endpoints.
-	controlBytes = "control.bytes"
-	callBytes    = "calls.bytes"
+	controlBytesMetric = "control.bytes"
+	callBytesMetric    = "calls.bytes"
 )
 
 // Process is the process on one entry host.
@@ -62,30 +62,30 @@
 	controlBytes metrics.Counter
 	dialer       *dialer.Dialer
 	store        *store.Store
-	book         *revision.Book
+	revisions    *revision.Repository
 	peers        *peer.Client
 	workers      *worker.Client
 	endpoints    *endpoint.Client
 	settings     *settingsHolder
-	keeper       atomic.Pointer[ownership.Keeper] // nil until the layout is known
+	controller   atomic.Pointer[ownership.Controller] // nil until the layout is known
 	draining     atomic.Bool
-	stopAsked    chan struct{} // of size 1
-
-	mu      sync.Mutex // guards the fields below, except for background
-	table   *members.Table
-	records map[cell.ShardID]ownership.Record // of all halls, as the store has reported them
-	engines map[cell.ShardID]*runningEngine
-	hosts   []store.Host
-	duties  sync.WaitGroup
+	stopRequests chan struct{} // of size 1
+
+	mu          sync.Mutex // guards the fields below, except for background
+	memberTable *members.Table
+	records     map[cell.ShardID]ownership.Record // of all halls, as the store has reported them
+	engines     map[cell.ShardID]*runningEngine
+	hosts       []store.Host
+	background  sync.WaitGroup
 }
 
 // New returns a process. It starts nothing and opens no connections before Run.
 func New(cfg procconf.Entry, log *logrus.Entry) (*Process, error) {
 	clk := clock.System()
 	registry := metrics.NewRegistry()
-	control := metrics.NewRegisteredCounter(controlBytes, registry)
+	control := metrics.NewRegisteredCounter(controlBytesMetric, registry)
 	d := dialer.New(cfg.RouteTable(), dialTimeout, control)
-	calls := dialer.New(cfg.RouteTable(), dialTimeout, metrics.NewRegisteredCounter(callBytes, registry))
+	calls := dialer.New(cfg.RouteTable(), dialTimeout, metrics.NewRegisteredCounter(callBytesMetric, registry))
 	s, err := store.New(store.Config{
 		Addresses: cfg.Store, CallTimeout: storeCallTimeout,
 		ReadsPerSecond: cfg.Limits.StoreReadsPerSecond, WritesPerSecond: cfg.Limits.StoreWritesPerSecond,
@@ -99,13 +99,13 @@
 	}
 	p := &Process{
 		cfg: cfg, self: self, log: log.WithField("process", cfg.ID), clk: clk, registry: registry,
-		controlBytes: control, dialer: d, store: s, book: revision.New(s, clk), peers: peer.NewClient(d),
+		controlBytes: control, dialer: d, store: s, revisions: revision.New(s, clk), peers: peer.NewClient(d),
 		workers: worker.New(d, clk), endpoints: endpoint.New(calls, cfg.Limits.MaxBodyKB<<10),
-		settings: newSettingsHolder(), table: members.New(self), stopAsked: make(chan struct{}, 1),
+		settings: newSettingsHolder(), memberTable: members.New(self), stopRequests: make(chan struct{}, 1),
 		records: map[cell.ShardID]ownership.Record{}, engines: map[cell.ShardID]*runningEngine{},
 	}
 	for _, address := range cfg.Peers {
-		p.table.AddSeed(address)
+		p.memberTable.AddSeed(address)
 	}
 	return p, nil
 }
@@ -135,42 +135,42 @@
 	}).Info("started")
 	backgroundCtx, stop := context.WithCancel(context.Background())
 	defer stop()
-	p.startDuties(backgroundCtx, peers)
-	p.duties.Go(func() { _ = server.Serve(callers) })
+	p.startBackground(backgroundCtx, peers)
+	p.background.Go(func() { _ = server.Serve(callers) })
 	select {
 	case <-ctx.Done():
-	case <-p.stopAsked:
+	case <-p.stopRequests:
 	}
-	p.leave(server, peers)
+	p.shutDown(server, peers)
 	stop()
 	p.peers.Close()
-	p.duties.Wait()
+	p.background.Wait()
 	p.log.Info("stopped")
 	return nil
 }
 
 // startBackground starts the drpc server and the loops that follow the store and the other
 // processes. They end with ctx.
-func (p *Process) startDuties(ctx context.Context, peers net.Listener) {
+func (p *Process) startBackground(ctx context.Context, peers net.Listener) {
 	metered := dialer.MeterListener(peers, p.controlBytes)
-	p.duties.Go(func() { _ = peer.Serve(ctx, metered, p.handlers()) })
-	p.duties.Go(func() { p.watchStore(ctx) })
-	p.duties.Go(func() { p.watchHosts(ctx) })
-	p.duties.Go(func() { p.exchangeBeats(ctx) })
-	p.duties.Go(func() { p.runEngines(ctx) })
+	p.background.Go(func() { _ = peer.Serve(ctx, metered, p.peerHandlers()) })
+	p.background.Go(func() { p.watchStore(ctx) })
+	p.background.Go(func() { p.watchHosts(ctx) })
+	p.background.Go(func() { p.exchangeHeartbeats(ctx) })
+	p.background.Go(func() { p.runEngines(ctx) })
 }
 
 // shutDown performs a planned stop, which takes at most drainTimeout. From its beginning, callers'
 // new requests are refused as Draining and the health check fails, so that callers change to
 // other entry hosts. After a grace period it hands the shards over to their successors, closes
 // the ports and waits for the requests in flight.
-func (p *Process) leave(server *http.Server, peers *peerListener) {
+func (p *Process) shutDown(server *http.Server, peers *peerListener) {
 	p.draining.Store(true)
 	p.log.Info("leaving")
 	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
 	clock.Sleep(ctx, time.Duration(p.cfg.Times.LeaveGrace))
-	if c := p.keeper.Load(); c != nil {
+	if c := p.controller.Load(); c != nil {
 		handoverCtx, cancelHandover := context.WithTimeout(ctx, handoverTimeout)
 		c.Leave(handoverCtx)
 		cancelHandover()
@@ -183,15 +183,15 @@
 }
 
 // requestStop begins a planned stop, as the end of Run's ctx does.
-func (p *Process) stopRequested() {
+func (p *Process) requestStop() {
 	select {
-	case p.stopAsked <- struct{}{}:
+	case p.stopRequests <- struct{}{}:
 	default:
 	}
 }
 
 func (p *Process) storeUp() bool {
-	return p.store.Up(storeUpWithin)
+	return p.store.AnsweredWithin(storeUpWindow)
 }
 
 func (p *Process) inFlight() int {
@@ -205,11 +205,11 @@
 }
 
 // selfHolder returns this process as it appears in ownership records.
-func (p *Process) holder() ownership.Holder {
-	return holderOf(p.self)
+func (p *Process) selfHolder() ownership.Holder {
+	return memberHolder(p.self)
 }
 
-func holderOf(m members.Member) ownership.Holder {
+func memberHolder(m members.Member) ownership.Holder {
 	return ownership.Holder{ID: m.ID, Incarnation: m.Incarnation, Address: m.Address}
 }
 
@@ -223,14 +223,14 @@
 // ownerAddress returns the peer address of a shard's owner, as far as it is known. It is taken
 // from the record of the shard, or from a member that reports that it owns the shard at a higher
 // epoch.
-func (p *Process) addressOf(id cell.ShardID) (netip.AddrPort, bool) {
-	record, found := p.keptRecord(id)
+func (p *Process) ownerAddress(id cell.ShardID) (netip.AddrPort, bool) {
+	record, found := p.controllerRecord(id)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !found {
 		record = p.records[id]
 	}
-	if m, epoch, ok := p.table.OwnerOf(id); ok && epoch > record.Epoch {
+	if m, epoch, ok := p.memberTable.OwnerOf(id); ok && epoch > record.Epoch {
 		return m.Address, true
 	}
 	return record.Owner.Address, record.Owner.Address.IsValid()
@@ -239,8 +239,8 @@
 // controllerRecord returns the controller's record of a shard of the own hall. It must not be
 // called with p.mu held: the controller holds its own lock while it calls functions that lock
 // p.mu.
-func (p *Process) keptRecord(id cell.ShardID) (ownership.Record, bool) {
-	c := p.keeper.Load()
+func (p *Process) controllerRecord(id cell.ShardID) (ownership.Record, bool) {
+	c := p.controller.Load()
 	if c == nil || id.Hall != p.cfg.Hall {
 		return ownership.Record{}, false
 	}
--- a/pkg/entry/store_watch.go
+++ b/pkg/entry/store_watch.go
@@ -27,8 +27,8 @@
 	watchWait = 2 * time.Second
 	// The host list is read every hostListInterval plus a random time below hostListMaxJitter, so
 	// that processes do not all read it at the same moment.
-	hostsEvery   = time.Second
-	hostsUnequal = 250 * time.Millisecond
+	hostListInterval  = time.Second
+	hostListMaxJitter = 250 * time.Millisecond
 )
 
 // settingsHolder holds the settings in force. Their revision never decreases.
@@ -52,7 +52,7 @@
 // update puts settings in force if their revision is higher than the current one, and reports
 // whether it did. It returns an error for settings that are invalid or that change the layout in
 // a way that is not allowed.
-func (h *settingsHolder) put(revision int64, docs map[string]string) (bool, error) {
+func (h *settingsHolder) update(revision int64, docs map[string]string) (bool, error) {
 	tree, faults := settings.Parse(docs)
 	if len(faults) > 0 {
 		return false, errors.Newf("settings revision %d: %s", revision, faults[0])
@@ -73,7 +73,7 @@
 
 // textsByDigest returns the texts of the settings in force by digest, so that only changed texts
 // need to be fetched.
-func (h *settingsHolder) known() map[revision.Digest]string {
+func (h *settingsHolder) textsByDigest() map[revision.Digest]string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	index := make(map[revision.Digest]string, len(h.docs))
@@ -96,32 +96,32 @@
 		items, next, err := p.store.Watch(ctx, watchPrefix, afterRevision, wait)
 		if err != nil {
 			attempt++
-			_ = store.Pause(ctx, attempt)
+			_ = store.Backoff(ctx, attempt)
 			continue
 		}
 		attempt = 0
-		if p.takeItems(ctx, items) {
+		if p.applyItems(ctx, items) {
 			afterRevision = next
 		} else {
-			_ = store.Pause(ctx, 2)
+			_ = store.Backoff(ctx, 2)
 		}
-		if c := p.keeper.Load(); c != nil {
-			c.StoreSeen()
+		if c := p.controller.Load(); c != nil {
+			c.MarkStoreRead()
 		}
 	}
 }
 
 // applyItems applies changes of the settings head and of shard records. It reports whether all of
 // them were applied; if not, they have to be read again.
-func (p *Process) takeItems(ctx context.Context, items []store.Item) bool {
+func (p *Process) applyItems(ctx context.Context, items []store.Item) bool {
 	complete := true
 	for _, item := range items {
 		switch {
 		case item.Deleted:
 		case item.Key == revision.HeadKey:
-			complete = p.takeHead(ctx, item) && complete
+			complete = p.applyHead(ctx, item) && complete
 		case strings.HasPrefix(item.Key, ownership.RecordPrefix):
-			p.takeRecord(item)
+			p.applyRecord(item)
 		}
 	}
 	return complete
@@ -129,7 +129,7 @@
 
 // applyHead fetches the settings that a head names and puts them in force. It returns false if
 // the store could not be read, so that a repetition may succeed.
-func (p *Process) takeHead(ctx context.Context, item store.Item) bool {
+func (p *Process) applyHead(ctx context.Context, item store.Item) bool {
 	head, err := revision.ParseHead(item)
 	if err != nil {
 		p.log.WithField("error", err).Error("settings_unreadable")
@@ -138,21 +138,21 @@
 	if current, _, _ := p.settings.current(); head.Revision <= current {
 		return true
 	}
-	commit, err := p.book.Commit(ctx, head.Commit)
+	commit, err := p.revisions.Commit(ctx, head.Commit)
 	if err != nil {
 		return false
 	}
-	docs, err := p.book.Documents(ctx, commit, p.settings.known())
+	docs, err := p.revisions.Documents(ctx, commit, p.settings.textsByDigest())
 	if err != nil {
 		return false
 	}
-	p.putSettings(head.Revision, docs, "store")
+	p.applySettings(head.Revision, docs, "store")
 	return true
 }
 
 // applySettings puts settings in force that came from the store or from a peer.
-func (p *Process) putSettings(rev int64, docs map[string]string, from string) {
-	changed, err := p.settings.put(rev, docs)
+func (p *Process) applySettings(rev int64, docs map[string]string, from string) {
+	changed, err := p.settings.update(rev, docs)
 	if err != nil {
 		p.log.WithFields(logrus.Fields{"revision": rev, "from": from, "error": err}).Error("settings_refused")
 		return
@@ -162,7 +162,7 @@
 	}
 	p.log.WithFields(logrus.Fields{"revision": rev, "from": from}).Info("settings_in_force")
 	_, _, tree := p.settings.current()
-	p.startKeeper(tree)
+	p.startController(tree)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, e := range p.engines {
@@ -172,8 +172,8 @@
 
 // applyRecord stores the ownership record of a shard, unless a record of a higher epoch is known,
 // and passes it to the controller.
-func (p *Process) takeRecord(item store.Item) {
-	id, err := ownership.ShardOfKey(item.Key)
+func (p *Process) applyRecord(item store.Item) {
+	id, err := ownership.ParseRecordKey(item.Key)
 	if err != nil {
 		p.log.WithField("error", err).Error("record_unreadable")
 		return
@@ -188,7 +188,7 @@
 		p.records[id] = record
 	}
 	p.mu.Unlock()
-	if c := p.keeper.Load(); c != nil {
+	if c := p.controller.Load(); c != nil {
 		c.Observe(id, record, item.Revision)
 	}
 }
@@ -198,20 +198,20 @@
 	for ctx.Err() == nil {
 		hosts, err := p.store.Hosts(ctx)
 		if err == nil {
-			p.takeHosts(hosts)
+			p.applyHosts(hosts)
 		}
-		clock.Sleep(ctx, hostsEvery+rand.N(hostsUnequal))
+		clock.Sleep(ctx, hostListInterval+rand.N(hostListMaxJitter))
 	}
 }
 
 // applyHosts passes the host list to the engines, and adds the entry hosts to the table of members.
-func (p *Process) takeHosts(hosts []store.Host) {
+func (p *Process) applyHosts(hosts []store.Host) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.hosts = hosts
 	for _, h := range hosts {
 		if !h.Worker && h.State == store.HostLive {
-			p.table.AddListed(h.Address, h.Hall)
+			p.memberTable.AddListed(h.Address, h.Hall)
 		}
 	}
 	for _, e := range p.engines {
@@ -221,8 +221,8 @@
 
 // startController creates the controller for the shards of the own hall when the first settings,
 // and with them the layout, are known. runEngines starts it.
-func (p *Process) startKeeper(tree *settings.Tree) {
-	if p.keeper.Load() != nil {
+func (p *Process) startController(tree *settings.Tree) {
+	if p.controller.Load() != nil {
 		return
 	}
 	var own []cell.ShardID
@@ -235,5 +235,5 @@
 		p.log.WithField("hall", p.cfg.Hall).Error("hall_unknown")
 		return
 	}
-	p.keeper.CompareAndSwap(nil, p.newKeeper(own))
+	p.controller.CompareAndSwap(nil, p.newController(own))
 }
--- a/pkg/evacuation/halls_test.go
+++ b/pkg/evacuation/halls_test.go
@@ -21,7 +21,7 @@
 	g.Expect(h.Names()).To(Equal([]string{"a", "b"}))
 }
 
-func TestOlderNewsOfAHallChangeNothing(t *testing.T) {
+func TestOutdatedChangesOfAHallAreIgnored(t *testing.T) {
 	g := NewWithT(t)
 	h := New()
 	h.Put("a", 3)
@@ -36,7 +36,7 @@
 
 // Guards against a hall that stays evacuated when a process missed the withdrawal, because the store was
 // unavailable or had discarded that part of its history.
-func TestHallThatIsNotListedIsNotEvacuatedAnyMore(t *testing.T) {
+func TestHallThatIsNotListedIsNoLongerEvacuated(t *testing.T) {
 	g := NewWithT(t)
 	h := New()
 	h.Put("a", 3)
--- a/pkg/fit/fit.go
+++ b/pkg/fit/fit.go
@@ -20,9 +20,9 @@
 // Candidate is a worker with room for a task.
 type Candidate struct {
 	Free, Capacity cell.Resources
-	Far            bool // far from the task's data
-	FailedThere    bool // the task's last attempt failed on this worker
-	FailsLately    bool // the task has failed before, and so did the last tasks on this worker
+	FarFromData    bool // far from the task's data
+	FailedHere     bool // the task's last attempt failed on this worker
+	RecentFailures bool // the task has failed before, and so did the last tasks on this worker
 }
 
 // These costs are added to the share that a task leaves free, which is at most 1 + otherResourcesWeight. Only
@@ -38,13 +38,13 @@
 // most, that is near the task's data, and on which the task has not failed.
 func (w Candidate) Cost(need cell.Resources) float64 {
 	cost := w.remainingShare(need)
-	if w.Far {
+	if w.FarFromData {
 		cost += farFromDataCost
 	}
-	if w.FailedThere {
+	if w.FailedHere {
 		cost += failedHereCost
 	}
-	if w.FailsLately {
+	if w.RecentFailures {
 		cost += recentFailuresCost
 	}
 	return cost
--- a/pkg/fit/fit_test.go
+++ b/pkg/fit/fit_test.go
@@ -39,10 +39,10 @@
 		{Free: full, Capacity: capacity},
 		{Free: cell.Resources{CPUMillis: 1000, MemoryMB: 1000}, Capacity: capacity},
 		{Free: capacity, Capacity: capacity},
-		{Free: full, Capacity: capacity, Far: true},
-		{Free: full, Capacity: capacity, FailsLately: true},
-		{Free: capacity, Capacity: capacity, FailsLately: true, Far: true},
-		{Free: full, Capacity: capacity, FailedThere: true},
+		{Free: full, Capacity: capacity, FarFromData: true},
+		{Free: full, Capacity: capacity, RecentFailures: true},
+		{Free: capacity, Capacity: capacity, RecentFailures: true, FarFromData: true},
+		{Free: full, Capacity: capacity, FailedHere: true},
 	}
 	for n := 1; n < len(ordered); n++ {
 		g.Expect(ordered[n-1].Cost(need)).To(BeNumerically("<", ordered[n].Cost(need)), "worker %d", n)
--- a/pkg/job/job.go
+++ b/pkg/job/job.go
@@ -94,7 +94,7 @@
 
 // MinResources returns the resources that the step needs at the same time at least: those of all tasks of
 // a gang, otherwise those of one task.
-func (s Step) AtOnce() cell.Resources {
+func (s Step) MinResources() cell.Resources {
 	if s.Gang {
 		return s.Resources.Times(int64(s.Count))
 	}
@@ -109,12 +109,12 @@
 }
 
 // Occurrences returns how many times the steps run.
-func (s Schedule) Times() int {
+func (s Schedule) Occurrences() int {
 	return max(s.Repeat, 1)
 }
 
 // DueAt returns when occurrence k may begin; the zero time for a job without a schedule.
-func (s Schedule) Due(k int) time.Time {
+func (s Schedule) DueAt(k int) time.Time {
 	if s.Repeat == 0 {
 		return time.Time{}
 	}
--- a/pkg/job/record.go
+++ b/pkg/job/record.go
@@ -27,19 +27,19 @@
 	// Outcome is set once the job has ended; Job and Queue are then omitted.
 	Outcome State `json:"outcome,omitempty"`
 	// RemainingUse is what may still have been running for the job when it ended.
-	Unended Unended `json:"unended,omitzero"`
+	RemainingUse RemainingUse `json:"unended,omitzero"`
 	// LastLateStart is the wall-clock time by which the last unanswered start of an ended job was sent
 	// (UnansweredStart); zero if there is none.
-	LateStart time.Time `json:"late_start,omitzero"`
+	LastLateStart time.Time `json:"late_start,omitzero"`
 }
 
 // RemainingUse is the resources that runs of an ended job, or of tasks that are done, may still use: runs
 // that are being stopped, and starts without an answer. A later owner that can't reach the workers knows
 // of these runs only from here.
-type Unended struct {
+type RemainingUse struct {
 	Need cell.Resources `json:"need,omitzero"`
 	// WrittenAt is the wall-clock time of the owner that wrote it.
-	At time.Time `json:"at,omitzero"`
+	WrittenAt time.Time `json:"at,omitzero"`
 }
 
 // Encode returns the record's encoding for the store.
@@ -67,7 +67,7 @@
 type Progress struct {
 	Tasks []TaskProgress `json:"tasks"`
 	// RemainingUse is the resources that runs of tasks that are done may still use.
-	Unended Unended `json:"unended,omitzero"`
+	RemainingUse RemainingUse `json:"unended,omitzero"`
 	// Workers are the names of all workers to which starts of the job may have been sent, if its owners
 	// record them first (jobstore.OwnerRecord.RecordWorkersFromTerm).
 	Workers []string `json:"w,omitempty"`
@@ -89,19 +89,19 @@
 	Crashes []Crash `json:"x,omitempty"`
 	// UnansweredStarts are starts without an answer that an incarnation of their worker may still carry
 	// out.
-	Unanswered []Unanswered `json:"u,omitempty"`
+	UnansweredStarts []UnansweredStart `json:"u,omitempty"`
 }
 
 // UnansweredStart is a start of a task that got no answer.
-type Unanswered struct {
+type UnansweredStart struct {
 	Run    int    `json:"r"`
 	Worker string `json:"w"`
 	// SentNoLaterThan is the wall-clock time, at the owner that sent the start, by which it was sent.
-	At time.Time `json:"t"`
+	SentBy time.Time `json:"t"`
 	// Invalidated means that a run with the start's number does not prove that the start was carried out.
 	// Either its owner knew that the start has no effect on the incarnation that it was sent to, so that
 	// a later start may have the same number, or it is such a later start.
-	Void bool `json:"v,omitempty"`
+	Invalidated bool `json:"v,omitempty"`
 }
 
 // Attempt is a start of a task on one incarnation of a worker.
@@ -115,7 +115,7 @@
 	Run    int    `json:"r"`
 	Worker string `json:"w"`
 	// Conclusive means that only the task can have caused the crash.
-	Alone bool `json:"s,omitempty"`
+	Conclusive bool `json:"s,omitempty"`
 }
 
 // HighestRun returns the highest known run number of the task.
@@ -127,14 +127,14 @@
 	for _, c := range t.Crashes {
 		n = max(n, c.Run)
 	}
-	for _, u := range t.Unanswered {
+	for _, u := range t.UnansweredStarts {
 		n = max(n, u.Run)
 	}
 	return n
 }
 
 // HasBegun reports whether the task has begun, according to its stored progress.
-func (t TaskProgress) Begun() bool {
+func (t TaskProgress) HasBegun() bool {
 	return t.Done || t.LastRun > 0 || len(t.Failures)+len(t.Attempts)+len(t.Crashes) > 0
 }
 
--- a/pkg/jobapi/request.go
+++ b/pkg/jobapi/request.go
@@ -9,19 +9,19 @@
 )
 
 // toJob converts a request to a job.
-func jobOf(id job.ID, r *jobsapi.JobRequest) job.Job {
+func toJob(id job.ID, r *jobsapi.JobRequest) job.Job {
 	j := job.Job{ID: id, Spec: r.Spec.Value}
 	if s, ok := r.Schedule.Get(); ok {
 		j.Schedule = job.Schedule{Repeat: s.Repeat, Start: s.Start, Interval: milliseconds(s.IntervalMs)}
 	}
 	for _, s := range r.Steps {
-		j.Steps = append(j.Steps, stepOf(s))
+		j.Steps = append(j.Steps, toStep(s))
 	}
 	return j
 }
 
 // toStep converts a step of a request.
-func stepOf(s jobsapi.Step) job.Step {
+func toStep(s jobsapi.Step) job.Step {
 	return job.Step{
 		Count: s.Count,
 		Resources: cell.Resources{
--- a/pkg/jobapi/server.go
+++ b/pkg/jobapi/server.go
@@ -17,28 +17,28 @@
 const retryAfter = time.Second
 
 // New returns the handler of all paths under /v1/.
-func New(jobs platform.Jobs) (http.Handler, error) {
+func New(jobs platform.JobService) (http.Handler, error) {
 	s, err := jobsapi.NewServer(&handler{jobs}, jobsapi.WithErrorHandler(result.WriteMalformed))
 	return s, errors.Wrap(err, "jobs API")
 }
 
 type handler struct {
-	platform.Jobs
+	platform.JobService
 }
 
 // operatorCaller is the caller of requests that may concern the jobs of any customer.
-var operator = customer.NewCaller(nil, customer.Call{QueueKnown: true, Key: customer.KeyNotNeeded}, true)
+var operatorCaller = customer.NewCaller(nil, customer.Call{QueueKnown: true, Key: customer.KeyNotNeeded}, true)
 
 // findQueue returns a queue of the configuration in force and the caller that is admitted to it. The
 // caller is the customer of the key or, without a key, an operator.
-func (h *handler) queue(name, key string) (queue.Queue, customer.Caller, error) {
+func (h *handler) findQueue(name, key string) (queue.Queue, customer.Caller, error) {
 	cfg := h.Config()
 	if cfg == nil {
-		return queue.Queue{}, customer.Caller{}, result.New(result.NotReady, "%s", result.NotReady.Row().Text).WithRetryAfter(retryAfter)
+		return queue.Queue{}, customer.Caller{}, result.New(result.NotReady, "%s", result.NotReady.Info().Text).WithRetryAfter(retryAfter)
 	}
-	call := platform.Call{Asked: name, Operator: true}
+	call := platform.CallInfo{RequestedQueue: name, Operator: true}
 	if key != "" {
-		call.Keys = []string{key}
+		call.APIKeys = []string{key}
 	}
 	q, ok := cfg.Queue(name)
 	if ok {
@@ -46,13 +46,13 @@
 	}
 	c, err := h.Admit(cfg, call)
 	if err != nil {
-		return queue.Queue{}, c, resultOf(err)
+		return queue.Queue{}, c, toResult(err)
 	}
 	return q, c, nil
 }
 
 // toResult converts an error to one with a result code.
-func resultOf(err error) error {
+func toResult(err error) error {
 	var refused *platform.RefusedError
 	switch {
 	case errors.Is(err, platform.ErrNoQueue):
@@ -65,7 +65,7 @@
 		return result.New(result.UnknownJob, "%v", err)
 	case errors.As(err, &refused):
 		code := result.Overloaded
-		if refused.Unwritten {
+		if refused.NotStored {
 			code = result.StoreDown
 		}
 		return result.New(code, "%v", err).WithRetryAfter(refused.RetryAfter)
@@ -77,7 +77,7 @@
 
 // NewError converts an error to the API's problem response.
 func (h *handler) NewError(_ context.Context, err error) *jobsapi.ProblemStatusCodeWithHeaders {
-	p := result.ProblemOf(err)
+	p := result.NewProblem(err)
 	out := &jobsapi.ProblemStatusCodeWithHeaders{
 		StatusCode: p.Status,
 		Response:   jobsapi.Problem{Code: int(p.Code), Name: p.Name, Message: p.Message, Ran: jobsapi.ProblemRan(p.Ran)},
