--- a/pkg/jobhost/access.go
+++ b/pkg/jobhost/access.go
@@ -10,45 +10,45 @@
 )
 
 // admit decides whether a call may proceed (package customer), and logs each denial.
-func (h *Host) admit(cfg *queue.Config, c platform.Call) (customer.Caller, error) {
+func (h *Host) admit(cfg *queue.Config, c platform.CallInfo) (customer.Caller, error) {
 	bounds := h.cfg.Load().Bounds
 	call := customer.Call{
-		QueueKnown: c.Queue != nil, Age: h.operatorKeys.Age(),
-		Terms: customer.Terms{Apply: bounds.ConfigApply, Strict: bounds.StrictKeys, Revoke: bounds.Revoke},
+		QueueKnown: c.Queue != nil, ConfigAge: h.operatorKeys.Age(),
+		AccessSettings: customer.AccessSettings{MaxConfigAge: bounds.ConfigApply, StrictRevocation: bounds.StrictRevocation, RevocationLimit: bounds.RevocationLimit},
 	}
 	if c.Queue != nil {
 		call.QueuePublic = c.Queue.Public
 	}
 	var keyOwner *customer.Customer
-	keyOwner, call.Key = keyOf(cfg.Customers, c)
+	keyOwner, call.Key = classifyKey(cfg.Customers, c)
 	caller := customer.NewCaller(keyOwner, call, c.Operator || cfg.Customers == nil)
 	decision := customer.Decide(call)
 	if decision.Verdict != customer.Admitted {
-		h.figures.denied(decision.Verdict)
+		h.metrics.countDenial(decision.Verdict)
 		event := "call_denied"
 		if c.Queue == nil {
 			event = "queue_unknown"
 		}
 		h.log.WithFields(logrus.Fields{
-			"asked": c.Asked, "reason": decision.Reason, "customer": caller.Name(), "config": cfg.Version, "config_age_ms": call.Age.Milliseconds(),
+			"asked": c.RequestedQueue, "reason": decision.Reason, "customer": caller.Name(), "config": cfg.Version, "config_age_ms": call.ConfigAge.Milliseconds(),
 		}).Info(event)
 	}
-	return caller, errorOf(decision)
+	return caller, decisionError(decision)
 }
 
 // classifyKey classifies the keys of a call, and returns the customer that a known key belongs to.
-func keyOf(customers *customer.Directory, call platform.Call) (*customer.Customer, customer.Key) {
-	switch keys := call.Keys; {
+func classifyKey(customers *customer.Directory, call platform.CallInfo) (*customer.Customer, customer.Key) {
+	switch keys := call.APIKeys; {
 	case customers == nil:
 		return nil, customer.KeyNotNeeded
 	case len(keys) == 0 && call.Operator:
-		return nil, customer.KeyOfOperator
+		return nil, customer.KeyAbsentOperator
 	case len(keys) == 0:
 		return nil, customer.KeyAbsent
 	case len(keys) > 1 || keys[0] == "":
-		return nil, customer.KeyUnclear
+		return nil, customer.KeyAmbiguous
 	}
-	c, known := customers.ByKey(call.Keys[0])
+	c, known := customers.ByKey(call.APIKeys[0])
 	if !known {
 		return nil, customer.KeyUnknown
 	}
@@ -56,7 +56,7 @@
 }
 
 // decisionError returns the error that a decision means for a call; nil if the call is admitted.
-func errorOf(d customer.Ruling) error {
+func decisionError(d customer.Decision) error {
 	switch d.Verdict {
 	case customer.Admitted:
 		return nil
@@ -72,24 +72,24 @@
 
 // checkJobAccess returns an error unless a caller may access a job of the customer with the given name,
 // and logs each denial.
-func (h *Host) about(c customer.Caller, id job.ID, customerName string) error {
-	decision := c.About(customerName)
+func (h *Host) checkJobAccess(c customer.Caller, id job.ID, customerName string) error {
+	decision := c.DecideAccess(customerName)
 	if decision.Verdict != customer.Admitted {
-		h.figures.denied(decision.Verdict)
+		h.metrics.countDenial(decision.Verdict)
 		h.log.WithFields(logrus.Fields{"job": id, "reason": decision.Reason, "customer": c.Name(), "holder": customerName}).Info("call_denied")
 	}
-	return errorOf(decision)
+	return decisionError(decision)
 }
 
 // checkStepQuota returns an error if a step can never run within the customer's quota, even if nothing
 // else runs.
-func tooWide(c customer.Caller, j job.Job) error {
+func checkStepQuota(c customer.Caller, j job.Job) error {
 	if c.Customer == nil {
 		return nil
 	}
 	for n, s := range j.Steps {
-		need := s.AtOnce()
-		if !c.Customer.Allows(need) {
+		need := s.MinResources()
+		if !c.Customer.WithinQuota(need) {
 			return errors.Wrapf(platform.ErrRefused, "steps[%d] needs %s at once, more than customer %s may have running: %s",
 				n, need, c.Customer.Name, c.Customer.Quota)
 		}
--- a/pkg/jobhost/config.go
+++ b/pkg/jobhost/config.go
@@ -13,44 +13,44 @@
 	// configWatchWait is how long a watch on the operator's keys waits if changes must be applied soon.
 	// Together with the 0.4 s after which a watch times out, and one read, it stays within the shortest
 	// known limit of 2 s.
-	configWait = time.Second
+	configWatchWait = time.Second
 	// maxConfigWatchWait is the longest wait of a watch. It bounds the load on the store: each of
 	// hundreds of hosts calls the store once per wait even if nothing changes.
-	longConfigWait = 2 * time.Second
+	maxConfigWatchWait = 2 * time.Second
 	// configWatchMargin is the part of the limit that is left for a watch that times out and for two
 	// reads.
-	configSlack = 3 * time.Second
+	configWatchMargin = 3 * time.Second
 )
 
 // newOperatorWatcher returns a watcher of the keys that the operator writes.
-func (h *Host) newConfigFollower() *follower {
-	return h.newFollower(platform.OperatorPrefix, func() time.Duration { return operatorWait(h.cfg.Load().Bounds) }, h.takeOperatorList, h.takeOperatorItems)
+func (h *Host) newOperatorWatcher() *keyWatcher {
+	return h.newKeyWatcher(platform.OperatorPrefix, func() time.Duration { return operatorWatchWait(h.cfg.Load().Bounds) }, h.applyOperatorList, h.applyOperatorItems)
 }
 
 // operatorWatchWait returns how long a watch on the operator's keys waits.
-func operatorWait(b platform.Bounds) time.Duration {
+func operatorWatchWait(b platform.Bounds) time.Duration {
 	bound := b.ConfigApply
-	if b.StrictKeys && b.Revoke > 0 {
-		bound = min(bound, b.Revoke)
+	if b.StrictRevocation && b.RevocationLimit > 0 {
+		bound = min(bound, b.RevocationLimit)
 	}
-	return max(min(configWait, bound/2), min(bound-configSlack, longConfigWait))
+	return max(min(configWatchWait, bound/2), min(bound-configWatchMargin, maxConfigWatchWait))
 }
 
 // applyOperatorItems applies keys that the operator has written.
-func (h *Host) takeOperatorItems(items []platform.Item) {
+func (h *Host) applyOperatorItems(items []platform.Item) {
 	for _, i := range items {
-		h.takeOperatorItem(i)
+		h.applyOperatorItem(i)
 	}
 }
 
 // applyOperatorItem applies one key that the operator has written.
-func (h *Host) takeOperatorItem(i platform.Item) {
-	if i.Key == platform.ConfigKey && !i.Gone {
-		h.takeConfig(i)
+func (h *Host) applyOperatorItem(i platform.Item) {
+	if i.Key == platform.ConfigKey && !i.Removed {
+		h.applyConfig(i)
 		return
 	}
 	if hall, ok := platform.EvacuatedHall(i); ok {
-		h.takeEvacuation(hall, i)
+		h.applyEvacuation(hall, i)
 		return
 	}
 	w, ok, err := platform.ParseWave(i)
@@ -70,7 +70,7 @@
 }
 
 // sendWaves passes the known waves to a new owner.
-func (h *Host) tellWaves(o *poolowner.Owner) {
+func (h *Host) sendWaves(o *poolowner.Owner) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, w := range h.waves {
@@ -79,13 +79,13 @@
 }
 
 // applyConfig puts a configuration in force if its version is higher than the current one's.
-func (h *Host) takeConfig(item platform.Item) {
+func (h *Host) applyConfig(item platform.Item) {
 	cfg, err := platform.ParseConfig(item.Value)
 	if err != nil {
 		h.log.WithField("error", err).Error("config_unreadable")
 		return
 	}
-	if !h.raiseConfig(cfg) {
+	if !h.replaceConfig(cfg) {
 		return
 	}
 	h.log.WithFields(logrus.Fields{
@@ -100,7 +100,7 @@
 }
 
 // replaceConfig stores a configuration and returns true if its version is higher than the current one's.
-func (h *Host) raiseConfig(cfg *queue.Config) bool {
+func (h *Host) replaceConfig(cfg *queue.Config) bool {
 	for {
 		old := h.config.Load()
 		if old != nil && old.Version >= cfg.Version {
--- a/pkg/jobhost/config_test.go
+++ b/pkg/jobhost/config_test.go
@@ -20,7 +20,7 @@
 	t.Helper()
 	log, hook := logtest.NewNullLogger()
 	cfg := platform.Settings{
-		Name: "host-1", Heartbeat: time.Second, Bounds: platform.Bounds{ConfigApply: 2 * time.Second},
+		Name: "host-1", HeartbeatInterval: time.Second, Bounds: platform.Bounds{ConfigApply: 2 * time.Second},
 		Store: platform.StoreSettings{
 			Address: netip.MustParseAddrPort(p.StoreAddress()), WritesPerSecond: 400, ReadsPerSecond: 2000,
 		},
@@ -37,7 +37,7 @@
 }
 
 // runWatcher runs a watcher until the test ends.
-func follow(t *testing.T, w *follower) {
+func runWatcher(t *testing.T, w *keyWatcher) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -52,17 +52,17 @@
 }
 
 // newConfiguredHost returns a host that has a configuration in force and watches it, with its log.
-func newFollowingHost(t *testing.T, p *emulator.Platform) (*Host, *logtest.Hook) {
+func newConfiguredHost(t *testing.T, p *emulator.Platform) (*Host, *logtest.Hook) {
 	t.Helper()
 	p.PutConfig(1)
 	h, hook := newTestHost(t, p)
-	follow(t, h.operatorKeys)
+	runWatcher(t, h.operatorKeys)
 	NewWithT(t).Eventually(h.config.Load, "2s", "5ms").ShouldNot(BeNil())
 	return h, hook
 }
 
 // logLines returns the log entries with the given message.
-func lines(hook *logtest.Hook, message string) []*logrus.Entry {
+func logLines(hook *logtest.Hook, message string) []*logrus.Entry {
 	var found []*logrus.Entry
 	for _, e := range hook.AllEntries() {
 		if e.Message == message {
@@ -72,31 +72,31 @@
 	return found
 }
 
-func TestLogTellsWhenTheConfigurationIsNotFollowed(t *testing.T) {
+func TestLossOfTheConfigurationWatchIsLoggedOnce(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
 	p := startPlatform(t)
-	h, hook := newFollowingHost(t, p)
+	h, hook := newConfiguredHost(t, p)
 	g.Expect(h.operatorKeys.Age()).To(BeNumerically("<", time.Second))
 
 	p.Store.SetMode(emulator.StoreBusy)
 	g.Eventually(h.operatorKeys.Age, "4s", "10ms").Should(BeNumerically(">", 1500*time.Millisecond))
-	g.Expect(lines(hook, "keys_lost")).To(HaveLen(1), "one line, however many attempts fail")
-	g.Expect(lines(hook, "keys_regained")).To(BeEmpty())
+	g.Expect(logLines(hook, "keys_lost")).To(HaveLen(1), "one line, however many attempts fail")
+	g.Expect(logLines(hook, "keys_regained")).To(BeEmpty())
 
 	p.Store.SetMode(emulator.StoreUp)
-	g.Eventually(func() int { return len(lines(hook, "keys_regained")) }, "2s", "5ms").Should(Equal(1))
-	g.Expect(lines(hook, "keys_regained")[0].Data["age_ms"]).To(BeNumerically(">", 1500))
+	g.Eventually(func() int { return len(logLines(hook, "keys_regained")) }, "2s", "5ms").Should(Equal(1))
+	g.Expect(logLines(hook, "keys_regained")[0].Data["age_ms"]).To(BeNumerically(">", 1500))
 	g.Eventually(h.operatorKeys.Age, "2s", "1ms").Should(BeNumerically("<", time.Second))
 }
 
-func TestConfigurationThatWasNeverReadHasTheAgeOfItsFollower(t *testing.T) {
+func TestAgeOfUnreadConfigurationStartsWithItsWatcher(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
 	p := startPlatform(t)
 	p.Store.SetMode(emulator.StoreBusy)
 	h, _ := newTestHost(t, p)
-	follow(t, h.operatorKeys)
+	runWatcher(t, h.operatorKeys)
 	g.Consistently(h.operatorKeys.Age, "400ms", "20ms").Should(BeNumerically("<", time.Second))
 	g.Expect(h.config.Load()).To(BeNil())
 }
@@ -104,22 +104,22 @@
 // Guards against a caller that is told that an existing queue does not exist. The host loses the store,
 // the operator adds the queue, and the caller asks this host. A host whose configuration may be outdated
 // must answer 503 instead of 404.
-func TestHostThatMayMissChangesDeniesNoQueue(t *testing.T) {
+func TestHostWithStaleConfigurationDeniesNoQueue(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
 	p := startPlatform(t)
-	h, hook := newFollowingHost(t, p)
+	h, hook := newConfiguredHost(t, p)
 	ask := func() int {
 		r := httptest.NewRequest(http.MethodGet, "http://jobs.example/added-later/", nil)
 		w := httptest.NewRecorder()
-		h.door().ServeHTTP(w, r)
+		h.jobHandler().ServeHTTP(w, r)
 		return w.Code
 	}
 	g.Expect(ask()).To(Equal(http.StatusNotFound))
 
 	p.Store.SetMode(emulator.StoreSilent)
 	g.Eventually(ask, "4s", "20ms").Should(Equal(http.StatusServiceUnavailable))
-	found := lines(hook, "queue_unknown")
+	found := logLines(hook, "queue_unknown")
 	g.Expect(found[len(found)-1].Data["config_age_ms"]).To(BeNumerically(">=", 2000))
 
 	p.Store.SetMode(emulator.StoreUp)
--- a/pkg/jobhost/customer_limits.go
+++ b/pkg/jobhost/customer_limits.go
@@ -15,17 +15,17 @@
 // customerLimits are the customers of which only a share of the jobs is accepted, as the owner last
 // reported them.
 type customerLimits struct {
-	told[*poolpb.Limit]
+	ownerList[*poolpb.Limit]
 }
 
 // findLimit returns the refusal that applies to a job because it is not in the accepted share of its
 // customer's jobs; nil if it is.
-func limitOf(list []*poolpb.Limit, r job.Record) *poolpb.Refusal {
+func findLimit(list []*poolpb.Limit, r job.Record) *poolpb.Refusal {
 	for _, l := range list {
 		if l.Customer != r.Customer.Name {
 			continue
 		}
-		if q := refusalOf(l.Queues, r.Queue.Name); q != nil && place(r.Job.ID) >= q.Share {
+		if q := findRefusal(l.Queues, r.Queue.Name); q != nil && hashFraction(r.Job.ID) >= q.Share {
 			return q
 		}
 	}
@@ -33,26 +33,26 @@
 }
 
 // hashFractionBits is the number of hash bits used by hashFraction: the precision of a float64.
-const placeBits = 53
+const hashFractionBits = 53
 
 // hashFraction maps a job's id to a number in [0, 1). All hosts compute the same number, so that each
 // makes the same decision about a job that is sent again.
-func place(id job.ID) float64 {
+func hashFraction(id job.ID) float64 {
 	sum := sha256.Sum256([]byte(id))
-	return float64(binary.BigEndian.Uint64(sum[:])>>(64-placeBits)) / (1 << placeBits)
+	return float64(binary.BigEndian.Uint64(sum[:])>>(64-hashFractionBits)) / (1 << hashFractionBits)
 }
 
 // refuseForShare refuses a job of a customer that sends more than its weight if the job would wait too
 // long, unless the job was already accepted. Errors: *platform.RefusedError.
-func (h *Host) refuseBeyondWeight(ctx context.Context, r job.Record) error {
+func (h *Host) refuseForShare(ctx context.Context, r job.Record) error {
 	if r.Customer.Name == "" {
 		return nil
 	}
-	q := limitOf(h.limitsNow(), r)
-	if q == nil || !h.certainlyNew(ctx, r.Job.ID) {
+	q := findLimit(h.currentLimits(), r)
+	if q == nil || !h.isNewJob(ctx, r.Job.ID) {
 		return nil
 	}
-	h.figures.beyondWeight.Inc(1)
+	h.metrics.overShare.Inc(1)
 	return &platform.RefusedError{
 		Reason:     fmt.Sprintf("customer %s sends more than its weight: its work before a new job of queue %s takes %d ms", r.Customer.Name, q.Queue, q.WaitMs),
 		RetryAfter: time.Duration(q.RetryAfterMs) * time.Millisecond,
@@ -60,9 +60,9 @@
 }
 
 // currentLimits lists the customers of which only a share of the jobs is accepted.
-func (h *Host) limitsNow() []*poolpb.Limit {
+func (h *Host) currentLimits() []*poolpb.Limit {
 	if o := h.owner.Load(); o != nil {
-		return o.Limits()
+		return o.CustomerLimits()
 	}
-	return h.limits.now(h.clk.Now())
+	return h.limits.current(h.clk.Now())
 }
--- a/pkg/jobhost/customers.go
+++ b/pkg/jobhost/customers.go
@@ -9,7 +9,7 @@
 
 // maxCustomersWithMetrics is how many customers have their own metrics. All others are summed up, so that
 // the number of metrics is bounded.
-const mostCustomers = 16
+const maxCustomersWithMetrics = 16
 
 // serveCustomers lists the customers with their running and waiting work. A host that is not the owner
 // answers 421 with the owner's record.
@@ -28,7 +28,7 @@
 	h.election.mu.Lock()
 	defer h.election.mu.Unlock()
 	w.WriteHeader(http.StatusMisdirectedRequest)
-	writeAnswer(w, h.election.holder)
+	writeAnswer(w, h.election.ownerRecord)
 }
 
 // writeCustomers writes the metrics of the first maxCustomersWithMetrics rows, which are those with most
@@ -36,7 +36,7 @@
 func writeCustomers(w io.Writer, rows []dispatch.CustomerStatus) {
 	others := dispatch.CustomerStatus{Name: "others"}
 	for n, r := range rows {
-		if n < mostCustomers {
+		if n < maxCustomersWithMetrics {
 			writeCustomer(w, r)
 			continue
 		}
@@ -46,17 +46,17 @@
 		others.AwaitQuota += r.AwaitQuota
 		others.AdviceMs += r.AdviceMs
 	}
-	if len(rows) > mostCustomers {
+	if len(rows) > maxCustomersWithMetrics {
 		writeCustomer(w, others)
 	}
 }
 
 func writeCustomer(w io.Writer, r dispatch.CustomerStatus) {
 	prefix := "customer." + r.Name
-	writeFigure(w, prefix+".used_cpu_millis", float64(r.Used.CPUMillis))
-	writeFigure(w, prefix+".used_memory_mb", float64(r.Used.MemoryMB))
-	writeFigure(w, prefix+".jobs", float64(r.Jobs))
-	writeFigure(w, prefix+".tasks_waiting", float64(r.Waiting))
-	writeFigure(w, prefix+".tasks_awaiting_quota", float64(r.AwaitQuota))
-	writeFigure(w, prefix+".advice_ms", float64(r.AdviceMs))
+	writeMetric(w, prefix+".used_cpu_millis", float64(r.Used.CPUMillis))
+	writeMetric(w, prefix+".used_memory_mb", float64(r.Used.MemoryMB))
+	writeMetric(w, prefix+".jobs", float64(r.Jobs))
+	writeMetric(w, prefix+".tasks_waiting", float64(r.Waiting))
+	writeMetric(w, prefix+".tasks_awaiting_quota", float64(r.AwaitQuota))
+	writeMetric(w, prefix+".advice_ms", float64(r.AdviceMs))
 }
--- a/pkg/jobhost/customers_test.go
+++ b/pkg/jobhost/customers_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestFiguresOfCustomersAreBounded(t *testing.T) {
+func TestCustomerMetricsAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	var rows []dispatch.CustomerStatus
 	for n := range 5000 {
@@ -19,7 +19,7 @@
 	}
 	var out bytes.Buffer
 	writeCustomers(&out, rows)
-	g.Expect(strings.Count(out.String(), "\n")).To(Equal(6 * (mostCustomers + 1)))
+	g.Expect(strings.Count(out.String(), "\n")).To(Equal(6 * (maxCustomersWithMetrics + 1)))
 	g.Expect(out.String()).To(ContainSubstring("customer.c0.used_cpu_millis 2\n"))
-	g.Expect(out.String()).To(ContainSubstring(fmt.Sprintf("customer.others.jobs %d\n", 5000-mostCustomers)))
+	g.Expect(out.String()).To(ContainSubstring(fmt.Sprintf("customer.others.jobs %d\n", 5000-maxCustomersWithMetrics)))
 }
--- a/pkg/jobhost/election.go
+++ b/pkg/jobhost/election.go
@@ -23,106 +23,106 @@
 const (
 	// ownerWatchWait is how long a watch on the owner's record waits. longOwnerWatchWait applies to hosts
 	// to which the owner sends slow heartbeats, since other hosts take over before them.
-	ownerWait     = time.Second
-	longOwnerWait = 3 * time.Second
+	ownerWatchWait     = time.Second
+	longOwnerWatchWait = 3 * time.Second
 
-	linkRetry   = 60 * time.Millisecond
-	linkTimeout = 400 * time.Millisecond
+	linkRetryInterval = 60 * time.Millisecond
+	linkTimeout       = 400 * time.Millisecond
 	// leaseDuration is how long the owner's lease in the store lasts without a renewal. It is the
 	// shortest that the platform allows, since no host takes over before it has expired, and leaves room
 	// for two lost renewals.
-	leaseTerm  = time.Second
-	leaseEvery = 300 * time.Millisecond
+	leaseDuration      = time.Second
+	leaseRenewInterval = 300 * time.Millisecond
 	// campaignInterval is the time between two checks whether to take over.
-	campaignEvery = 50 * time.Millisecond
+	campaignInterval = 50 * time.Millisecond
 	// takeoverHeartbeats is for how many heartbeat intervals nothing may have come from the owner before
 	// a takeover: 0.7 s with the usual interval.
-	silentBeats = 2.8
+	takeoverHeartbeats = 2.8
 	// campaignJitter bounds the random delay by which the takeovers of several hosts are spread.
-	campaignSpread = 60 * time.Millisecond
+	campaignJitter = 60 * time.Millisecond
 	// yieldStoreAge is how long the store may not have answered an owner before the owner asks another
 	// host to take over.
-	yieldAfter = 1200 * time.Millisecond
+	yieldStoreAge = 1200 * time.Millisecond
 )
 
 // election is what a host knows about the owner.
 type election struct {
-	mu      sync.Mutex
-	known   bool // the record, or its absence, was read
-	holder  jobstore.Holder
-	record  int64 // of the owner's record; 0 for none
-	alive   bool  // the owner's lease has not expired
-	yielded bool  // the owner has asked this host to take over
-	heardAt clock.Time
+	mu              sync.Mutex
+	recordRead      bool // the record, or its absence, was read
+	ownerRecord     jobstore.OwnerRecord
+	revision        int64 // of the owner's record; 0 for none
+	leaseHeld       bool  // the owner's lease has not expired
+	askedToTakeOver bool  // the owner has asked this host to take over
+	lastHeardAt     clock.Time
 	// heartbeatInterval is the time between two of the owner's heartbeats, as the owner last reported it.
-	heartbeat time.Duration
-	changed   chan struct{} // of capacity 1: signals that the owner has changed
+	heartbeatInterval time.Duration
+	changed           chan struct{} // of capacity 1: signals that the owner has changed
 }
 
 // newOwnerWatcher returns a watcher of the owner's record.
-func (h *Host) newOwnerFollower() *follower {
-	return h.newFollower(jobstore.OwnerPrefix, h.ownerWait, h.takeOwnerList, h.takeOwnerItems)
+func (h *Host) newOwnerWatcher() *keyWatcher {
+	return h.newKeyWatcher(jobstore.OwnerPrefix, h.nextOwnerWatchWait, h.applyOwnerList, h.applyOwnerItems)
 }
 
 // nextOwnerWatchWait returns how long the next watch on the owner's record waits.
-func (h *Host) ownerWait() time.Duration {
+func (h *Host) nextOwnerWatchWait() time.Duration {
 	if h.member.Load() == nil {
-		return ownerWait
+		return ownerWatchWait
 	}
 	h.election.mu.Lock()
 	defer h.election.mu.Unlock()
-	if h.election.heartbeat > poolrpc.HeartbeatEvery {
-		return longOwnerWait
+	if h.election.heartbeatInterval > poolrpc.HeartbeatInterval {
+		return longOwnerWatchWait
 	}
-	return ownerWait
+	return ownerWatchWait
 }
 
 // applyOwnerList applies a complete list of the owner's keys; a key that is not on it has been removed.
-func (h *Host) takeOwnerList(items []platform.Item, _ int64) {
+func (h *Host) applyOwnerList(items []platform.Item, _ int64) {
 	present := map[string]bool{}
 	for _, i := range items {
 		present[i.Key] = true
 	}
-	for _, key := range []string{jobstore.HolderKey, jobstore.AliveKey} {
+	for _, key := range []string{jobstore.OwnerRecordKey, jobstore.OwnerLeaseKey} {
 		if !present[key] {
-			items = append(items, platform.Item{Key: key, Gone: true})
+			items = append(items, platform.Item{Key: key, Removed: true})
 		}
 	}
-	h.takeOwnerItems(items)
+	h.applyOwnerItems(items)
 }
 
 // applyOwnerItems applies changes of the owner's keys: its record and its lease.
-func (h *Host) takeOwnerItems(items []platform.Item) {
+func (h *Host) applyOwnerItems(items []platform.Item) {
 	e := &h.election
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.known = true
+	e.recordRead = true
 	for _, i := range items {
 		switch i.Key {
-		case jobstore.AliveKey:
-			e.alive = !i.Gone
-		case jobstore.HolderKey:
-			h.takeHolder(i)
+		case jobstore.OwnerLeaseKey:
+			e.leaseHeld = !i.Removed
+		case jobstore.OwnerRecordKey:
+			h.applyOwnerRecord(i)
 		}
 	}
 }
 
 // applyOwnerRecord applies the owner's record. The caller holds the election's lock.
-func (h *Host) takeHolder(i platform.Item) {
+func (h *Host) applyOwnerRecord(i platform.Item) {
 	e := &h.election
-	if i.Gone || i.Revision <= e.record {
+	if i.Removed || i.Revision <= e.revision {
 		return
 	}
-	holder, err := jobstore.DecodeHolder(i.Value)
+	record, err := jobstore.DecodeOwnerRecord(i.Value)
 	if err != nil {
 		h.log.WithField("error", err).Error("holder_unreadable")
 		return
 	}
-	e.holder, e.record, e.yielded, e.heardAt = holder, i.Revision, false, h.clk.Now()
-	e.heartbeat = poolrpc.HeartbeatEvery
-	h.toldReach.Store(nil)
-	h.log.WithFields(logrus.Fields{"owner": holder.Name, "term": holder.Term, "revision": i.Revision}).Info("owner_known")
-	if o := h.owner.Load(); o != nil && holder.Life != h.life {
+	e.ownerRecord, e.revision, e.askedToTakeOver, e.lastHeardAt = record, i.Revision, false, h.clk.Now()
+	e.heartbeatInterval = poolrpc.HeartbeatInterval
+	h.reportedOwner.Store(nil)
+	h.log.WithFields(logrus.Fields{"owner": record.Name, "term": record.Term, "revision": i.Revision}).Info("owner_known")
+	if o := h.owner.Load(); o != nil && record.Incarnation != h.incarnation {
 		o.Depose()
 	}
 	select {
@@ -134,36 +134,36 @@
 // mayTakeOver reports whether this host should replace the owner's record now. This requires that the
 // owner's lease has expired, unless the owner has asked this host to take over or was a previous process
 // of this host; in these cases asked is true.
-func (h *Host) mayTakeOver() (may, asked bool, record int64, term int64) {
+func (h *Host) mayTakeOver() (may, asked bool, revision int64, term int64) {
 	e := &h.election
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	record, term = e.record, e.holder.Term
+	revision, term = e.revision, e.ownerRecord.Term
 	switch {
-	case !e.known || h.config.Load() == nil || h.stopping.Load() || h.owner.Load() != nil:
-		return false, false, record, term
-	case e.record == 0:
-		return true, false, record, term
-	case e.holder.Name == h.cfg.Load().Name && e.holder.Life != h.life, e.yielded && h.storeAnswers():
-		return true, true, record, term
-	case e.holder.Life == h.life:
-		return !e.alive, false, record, term // this host was deposed, but has no successor
+	case !e.recordRead || h.config.Load() == nil || h.stopping.Load() || h.owner.Load() != nil:
+		return false, false, revision, term
+	case e.revision == 0:
+		return true, false, revision, term
+	case e.ownerRecord.Name == h.cfg.Load().Name && e.ownerRecord.Incarnation != h.incarnation, e.askedToTakeOver && h.hasStoreAnswered():
+		return true, true, revision, term
+	case e.ownerRecord.Incarnation == h.incarnation:
+		return !e.leaseHeld, false, revision, term // this host was deposed, but has no successor
 	}
-	silent := h.clk.Now().Sub(e.heardAt) > time.Duration(silentBeats*float64(e.heartbeat))
-	return silent && !e.alive, false, record, term
+	silent := h.clk.Now().Sub(e.lastHeardAt) > time.Duration(takeoverHeartbeats*float64(e.heartbeatInterval))
+	return silent && !e.leaseHeld, false, revision, term
 }
 
 // isOwnerPreviousIncarnation reports whether the recorded owner is a previous process of this host.
-func (h *Host) formerLife() bool {
+func (h *Host) isOwnerPreviousIncarnation() bool {
 	h.election.mu.Lock()
 	defer h.election.mu.Unlock()
-	return h.election.holder.Name == h.cfg.Load().Name && h.election.holder.Life != h.life
+	return h.election.ownerRecord.Name == h.cfg.Load().Name && h.election.ownerRecord.Incarnation != h.incarnation
 }
 
 // campaign takes over when the owner has failed. It runs until ctx ends.
 func (h *Host) campaign(ctx context.Context) {
 	allowedSince := clock.Time(0) // when this host became allowed to take over
-	clock.Every(ctx, campaignEvery, func() {
+	clock.Every(ctx, campaignInterval, func() {
 		may, asked, _, _ := h.mayTakeOver()
 		if !may {
 			allowedSince = 0
@@ -173,10 +173,10 @@
 		if allowedSince == 0 {
 			allowedSince = now
 		}
-		if !asked && now.Sub(allowedSince) < takeoverDelay(strengthOf(*h.cfg.Load())) {
+		if !asked && now.Sub(allowedSince) < takeoverDelay(hostStrength(*h.cfg.Load())) {
 			return
 		}
-		clock.Sleep(ctx, rand.N(campaignSpread))
+		clock.Sleep(ctx, rand.N(campaignJitter))
 		may, asked, revision, term := h.mayTakeOver()
 		if !may {
 			return
@@ -191,52 +191,52 @@
 // from taking over.
 func (h *Host) tryTakeOver(ctx context.Context, ifLeaseExpired bool, recordRevision, term int64) {
 	began := h.clk.Now()
-	previousEnded := h.formerLife()
-	owner := jobstore.Holder{Name: h.cfg.Load().Name, Life: h.life, Address: h.cfg.Load().Peers, Term: term + 1, NamedFrom: h.namedFrom(term + 1)}
+	previousEnded := h.isOwnerPreviousIncarnation()
+	owner := jobstore.OwnerRecord{Name: h.cfg.Load().Name, Incarnation: h.incarnation, Address: h.cfg.Load().PeerAddress, Term: term + 1, RecordWorkersFromTerm: h.recordWorkersFromTerm(term + 1)}
 	text, err := owner.Encode()
 	if err != nil {
 		return
 	}
 	t := platform.Txn{
-		Conditions: []platform.Condition{{Key: jobstore.HolderKey, Revision: recordRevision}},
-		Put:        []platform.Put{{Key: jobstore.HolderKey, Value: text}},
+		Conditions: []platform.Condition{{Key: jobstore.OwnerRecordKey, Revision: recordRevision}},
+		Put:        []platform.Put{{Key: jobstore.OwnerRecordKey, Value: text}},
 	}
-	for n := range jobstore.CommitLanes {
+	for n := range jobstore.MaxParallelCommits {
 		t.Put = append(t.Put, platform.Put{Key: jobstore.CommitKey(n), Value: fmt.Appendf(nil, "%d/0", owner.Term)})
 	}
 	if ifLeaseExpired {
-		t.Conditions = append(t.Conditions, platform.Condition{Key: jobstore.AliveKey})
+		t.Conditions = append(t.Conditions, platform.Condition{Key: jobstore.OwnerLeaseKey})
 	}
-	revision, ok := h.claim(ctx, t, string(text))
+	revision, ok := h.commitTakeover(ctx, t, string(text))
 	if !ok {
 		return
 	}
 	h.log.WithFields(logrus.Fields{"term": owner.Term, "revision": revision, "took": h.clk.Now().Sub(began)}).Info("owner_elected")
-	h.takeOwnerItems([]platform.Item{{Key: jobstore.HolderKey, Value: text, Revision: revision}})
-	h.own(ctx, poolowner.Claim{
-		Term: owner.Term, Revision: revision, First: recordRevision == 0, FormerEnded: previousEnded, NamedFrom: owner.NamedFrom,
+	h.applyOwnerItems([]platform.Item{{Key: jobstore.OwnerRecordKey, Value: text, Revision: revision}})
+	h.runOwner(ctx, poolowner.Claim{
+		Term: owner.Term, Revision: revision, First: recordRevision == 0, PreviousOwnerEnded: previousEnded, RecordWorkersFromTerm: owner.RecordWorkersFromTerm,
 	}, began)
 }
 
 // minWritesToRecordWorkers is the number of writes a second at which a store has room for the records of
 // the workers of each job, beside all other writes: at 140 jobs a second these are up to four entries a
 // job.
-const namingWrites = 1000
+const minWritesToRecordWorkers = 1000
 
 // recordWorkersFromTerm returns the first term from which on all owners record the workers of jobs
 // without a gap, if this host owns the pool in the given term. It is 0 if this host does not record them.
-func (h *Host) namedFrom(term int64) int64 {
-	if h.cfg.Load().Store.WritesPerSecond < namingWrites {
+func (h *Host) recordWorkersFromTerm(term int64) int64 {
+	if h.cfg.Load().Store.WritesPerSecond < minWritesToRecordWorkers {
 		return 0
 	}
 	h.election.mu.Lock()
 	defer h.election.mu.Unlock()
-	return cmp.Or(h.election.holder.NamedFrom, term)
+	return cmp.Or(h.election.ownerRecord.RecordWorkersFromTerm, term)
 }
 
 // commitTakeover commits the transaction that makes this host the owner. If the answer is lost it repeats
 // the transaction, and recognizes its own record by the value.
-func (h *Host) claim(ctx context.Context, t platform.Txn, value string) (revision int64, ok bool) {
+func (h *Host) commitTakeover(ctx context.Context, t platform.Txn, value string) (revision int64, ok bool) {
 	const attempts = 5
 	for range attempts {
 		revision, found, err := h.store.Commit(ctx, t)
@@ -245,12 +245,12 @@
 			return revision, true
 		case errors.Is(err, platform.ErrConflict):
 			for _, i := range found {
-				if i.Key == jobstore.HolderKey && string(i.Value) == value {
+				if i.Key == jobstore.OwnerRecordKey && string(i.Value) == value {
 					return i.Revision, true
 				}
 			}
 			return 0, false
-		case errors.Is(err, platform.ErrUnsettled):
+		case errors.Is(err, platform.ErrOutcomeUnknown):
 			continue
 		}
 		return 0, false
@@ -259,25 +259,25 @@
 }
 
 // runOwner owns the pool until another host has taken over, or ctx ends.
-func (h *Host) own(ctx context.Context, claim poolowner.Claim, confirmedAt clock.Time) {
-	k := &leaseKeeper{host: h, record: claim.Revision}
+func (h *Host) runOwner(ctx context.Context, claim poolowner.Claim, confirmedAt clock.Time) {
+	k := &leaseKeeper{host: h, ownerRevision: claim.Revision}
 	k.renewedAt.Store(int64(confirmedAt))
-	var machines *platform.Machines
-	if address := h.cfg.Load().Machines; address.IsValid() {
-		machines = platform.NewMachines(address)
+	var machines *platform.MachineClient
+	if address := h.cfg.Load().MachinesAddress; address.IsValid() {
+		machines = platform.NewMachineClient(address)
 	}
 	o := poolowner.New(poolowner.Deps{
 		Machines: machines,
-		Name:     h.cfg.Load().Name, Hall: h.cfg.Load().Zone, Clock: h.clk, Store: h.store, Workers: h.worker, WorkerTimeout: workerTimeout, Bounds: h.cfg.Load().Bounds, Heartbeat: h.cfg.Load().Heartbeat,
-		Advise: h.advise, Write: h.writeFor, ReadOperator: h.readOperatorKeys, StoreAge: h.storeAge, Leased: k.holds, Log: h.log, Strength: strengthOf(*h.cfg.Load()), LinkMbps: h.cfg.Load().LinkMbps, Figures: h.figures.registry,
+		Name:     h.cfg.Load().Name, Hall: h.cfg.Load().Zone, Clock: h.clk, Store: h.store, Workers: h.workers, WorkerTimeout: workerTimeout, Bounds: h.cfg.Load().Bounds, HeartbeatInterval: h.cfg.Load().HeartbeatInterval,
+		Advise: h.advise, Write: h.writeForMember, ReadOperatorKeys: h.readOperatorKeys, StoreAge: h.storeAge, HasLease: k.isConfirmed, Log: h.log, Strength: hostStrength(*h.cfg.Load()), LinkMbps: h.cfg.Load().LinkMbps, Metrics: h.metrics.registry,
 	}, claim)
 	o.SetConfig(h.config.Load())
 	h.owner.Store(o)
 	o.SetConfig(h.config.Load()) // a configuration that arrived in between: applyConfig had no owner to pass it to
-	h.tellWaves(o)
-	h.tellEvacuations()
+	h.sendWaves(o)
+	h.sendEvacuations()
 	ctx, cancel := context.WithCancel(ctx)
-	h.duties.Go(func() { k.run(ctx, o) })
+	h.background.Go(func() { k.run(ctx, o) })
 	err := o.Run(ctx)
 	cancel()
 	h.owner.Store(nil)
@@ -285,34 +285,34 @@
 }
 
 // maintainLink maintains a link to the owner while another host is the owner. It runs until ctx ends.
-func (h *Host) keepLink(ctx context.Context) {
+func (h *Host) maintainLink(ctx context.Context) {
 	for ctx.Err() == nil {
 		e := &h.election
 		e.mu.Lock()
-		holder, record := e.holder, e.record
+		record, revision := e.ownerRecord, e.revision
 		e.mu.Unlock()
-		if record == 0 || holder.Life == h.life || holder.Name == h.cfg.Load().Name {
-			clock.Sleep(ctx, linkRetry)
+		if revision == 0 || record.Incarnation == h.incarnation || record.Name == h.cfg.Load().Name {
+			clock.Sleep(ctx, linkRetryInterval)
 			continue
 		}
-		h.link(ctx, holder)
-		clock.Sleep(ctx, linkRetry)
+		h.runLink(ctx, record)
+		clock.Sleep(ctx, linkRetryInterval)
 	}
 }
 
 // runLink runs one link to an owner until it breaks or another host is recorded as the owner.
-func (h *Host) link(ctx context.Context, owner jobstore.Holder) {
+func (h *Host) runLink(ctx context.Context, record jobstore.OwnerRecord) {
 	d := net.Dialer{Timeout: linkTimeout}
-	conn, err := d.DialContext(ctx, "tcp", owner.Address.String())
+	conn, err := d.DialContext(ctx, "tcp", record.Address.String())
 	if err != nil {
 		return
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	calls := relay.NewServer(relay.DirectCalls(h.worker))
+	calls := relay.NewServer(relay.DirectCalls(h.workers))
 	m := poolrpc.NewMember(poolrpc.MemberHandlers{
-		Status: h.memberStatus, Advise: h.advise, Orders: calls.Take,
-		OwnerStatus: func(s *poolpb.OwnerStatus) { h.ownerHeard(owner, s) },
+		Status: h.memberStatus, Advise: h.advise, Orders: calls.HandleOrders,
+		OwnerStatus: func(s *poolpb.OwnerStatus) { h.handleOwnerStatus(record, s) },
 	}, h.clk)
 	go calls.Run(ctx, m.Send)
 	h.member.Store(m)
@@ -324,7 +324,7 @@
 			case <-ctx.Done():
 				return
 			case <-h.election.changed:
-				if h.holderLife() != owner.Life {
+				if h.ownerIncarnation() != record.Incarnation {
 					return
 				}
 			}
@@ -335,17 +335,17 @@
 
 // knownOwner returns the revision of the latest owner's record that this host knows, and the term of that
 // owner; 0 for none.
-func (h *Host) knownOwner() (record, term int64) {
+func (h *Host) knownOwner() (revision, term int64) {
 	h.election.mu.Lock()
 	defer h.election.mu.Unlock()
-	return h.election.record, h.election.holder.Term
+	return h.election.revision, h.election.ownerRecord.Term
 }
 
 // handleFoundOwnerRecord applies an owner's record that a write has found in the store.
-func (h *Host) sawHolder(i platform.Item) {
+func (h *Host) handleFoundOwnerRecord(i platform.Item) {
 	h.election.mu.Lock()
 	defer h.election.mu.Unlock()
-	h.takeHolder(i)
+	h.applyOwnerRecord(i)
 }
 
 // knownTerm returns the highest term of an owner that this host knows.
@@ -354,31 +354,31 @@
 	return term
 }
 
-func (h *Host) holderLife() string {
+func (h *Host) ownerIncarnation() string {
 	h.election.mu.Lock()
 	defer h.election.mu.Unlock()
-	return h.election.holder.Life
+	return h.election.ownerRecord.Incarnation
 }
 
 func (h *Host) memberStatus() *poolpb.MemberStatus {
 	return &poolpb.MemberStatus{Name: h.cfg.Load().Name, StoreAgeMs: h.storeAge().Milliseconds(), Stopping: h.stopping.Load(),
-		Strength: int64(strengthOf(*h.cfg.Load())), Hall: h.cfg.Load().Zone,
-		MostWorkers: int64(min(relay.WorkersOnLink(h.cfg.Load().LinkMbps), relay.WorkersPerHost))}
+		Strength: int64(hostStrength(*h.cfg.Load())), Hall: h.cfg.Load().Zone,
+		MostWorkers: int64(min(relay.MaxWorkersForLink(h.cfg.Load().LinkMbps), relay.MaxWorkersPerRelay))}
 }
 
 // handleOwnerStatus applies a heartbeat of the owner.
-func (h *Host) ownerHeard(holder jobstore.Holder, s *poolpb.OwnerStatus) {
+func (h *Host) handleOwnerStatus(record jobstore.OwnerRecord, s *poolpb.OwnerStatus) {
 	e := &h.election
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.holder.Life != holder.Life || e.holder.Term != s.Term {
+	if e.ownerRecord.Incarnation != record.Incarnation || e.ownerRecord.Term != s.Term {
 		return
 	}
-	e.heardAt = h.clk.Now()
-	h.refusals.put(s.Refusals, e.heardAt)
-	h.limits.put(s.Limits, e.heardAt)
-	h.takeReach(s)
-	h.stateReads.setHosts(int(s.Hosts))
-	e.heartbeat = time.Duration(s.HeartbeatMs) * time.Millisecond
-	e.yielded = s.Yield == h.cfg.Load().Name
+	e.lastHeardAt = h.clk.Now()
+	h.refusedQueues.set(s.Refusals, e.lastHeardAt)
+	h.limits.set(s.Limits, e.lastHeardAt)
+	h.applyOwnerReach(s)
+	h.lookupLimiter.setHosts(int(s.Hosts))
+	e.heartbeatInterval = time.Duration(s.HeartbeatMs) * time.Millisecond
+	e.askedToTakeOver = s.Yield == h.cfg.Load().Name
 }
--- a/pkg/jobhost/evacuations.go
+++ b/pkg/jobhost/evacuations.go
@@ -9,51 +9,51 @@
 )
 
 // applyOperatorList applies a complete list of the operator's keys as of a revision.
-func (h *Host) takeOperatorList(items []platform.Item, at int64) {
+func (h *Host) applyOperatorList(items []platform.Item, at int64) {
 	evacuated := map[string]int64{}
 	for _, i := range items {
 		if hall, ok := platform.EvacuatedHall(i); ok {
 			evacuated[hall] = i.Revision
 			continue
 		}
-		h.takeOperatorItem(i)
+		h.applyOperatorItem(i)
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.evacuated.List(evacuated, at) {
-		h.evacuationsChanged()
+		h.publishEvacuations()
 	}
 }
 
 // applyEvacuation applies that an evacuation was requested or withdrawn.
-func (h *Host) takeEvacuation(hall string, i platform.Item) {
+func (h *Host) applyEvacuation(hall string, i platform.Item) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	apply := h.evacuated.Put
-	if i.Gone {
+	if i.Removed {
 		apply = h.evacuated.Remove
 	}
 	if apply(hall, i.Revision) {
-		h.evacuationsChanged()
+		h.publishEvacuations()
 	}
 }
 
 // publishEvacuations passes the evacuated halls to the owner if it runs on this host. The caller holds
 // h.mu.
-func (h *Host) evacuationsChanged() {
+func (h *Host) publishEvacuations() {
 	halls := h.evacuated.Names()
 	h.log.WithFields(logrus.Fields{"halls": strings.Join(halls, ","), "keys_age_ms": h.operatorKeys.Age().Milliseconds()}).Info("evacuations")
 	if o := h.owner.Load(); o != nil {
-		o.SetEvacuated(halls)
+		o.SetEvacuatedHalls(halls)
 	}
 }
 
 // sendEvacuations passes the evacuated halls to a new owner.
-func (h *Host) tellEvacuations() {
+func (h *Host) sendEvacuations() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if o := h.owner.Load(); o != nil {
-		o.SetEvacuated(h.evacuated.Names())
+		o.SetEvacuatedHalls(h.evacuated.Names())
 	}
 }
 
--- a/pkg/jobhost/host.go
+++ b/pkg/jobhost/host.go
@@ -31,54 +31,54 @@
 	workerTimeout = 160 * time.Millisecond
 	// readStallShare is the share of the configuration's time limit for which a read of it may stall. A
 	// read that is lost in an outage is repeated with half of that time left.
-	stallShare = 0.5
+	readStallShare = 0.5
 	// storeRateShare is the share of the store's rate limits that one host may use.
-	storeShare = 0.25
+	storeRateShare = 0.25
 	// storeAnswerMaxAge is how old the store's last answer may be for the store to count as reachable.
-	storeFresh = 1500 * time.Millisecond
+	storeAnswerMaxAge = 1500 * time.Millisecond
 	// memoryLimitShare is the share of the host's memory limit that is set as Go's soft memory limit.
-	memoryShare = 0.8
-	gcPercent   = 200
+	memoryLimitShare = 0.8
+	gcPercent        = 200
 	// stopMargin is the part of the platform's grace period that is kept in reserve for the end of a
 	// planned stop.
 	stopMargin = 1500 * time.Millisecond
 	// stopAcceptTime is how long a stopping host still accepts requests, so that callers and the
 	// platform's balancer have time to switch to other hosts.
-	stopPause     = 2500 * time.Millisecond
-	headerTimeout = 10 * time.Second
+	stopAcceptTime = 2500 * time.Millisecond
+	headerTimeout  = 10 * time.Second
 )
 
 // Host is the process of one entry host.
 type Host struct {
-	cfg    atomic.Pointer[platform.Settings]
-	life   string
-	log    *logrus.Entry
-	clk    clock.Clock
-	store  *platform.Store
-	worker *platform.Workers
-	advice atomic.Pointer[platform.Adviser] // nil without an advice service
-
-	config       atomic.Pointer[queue.Config]
-	operatorKeys *follower // the configuration, waves and evacuations
-	intake       *intake
-	stateReads   *stateReads // limits lookups for callers
-	figures      *figures
-	election     election
-	member       atomic.Pointer[poolrpc.Member]
-	owner        atomic.Pointer[poolowner.Owner]
-	refusals     queueRefusals
-	limits       customerLimits
-	stopping     atomic.Bool
+	cfg         atomic.Pointer[platform.Settings]
+	incarnation string
+	log         *logrus.Entry
+	clk         clock.Clock
+	store       *platform.Store
+	workers     *platform.WorkerClient
+	advice      atomic.Pointer[platform.AdviceClient] // nil without an advice service
+
+	config        atomic.Pointer[queue.Config]
+	operatorKeys  *keyWatcher // the configuration, waves and evacuations
+	writer        *batchWriter
+	lookupLimiter *lookupLimiter // limits lookups for callers
+	metrics       *hostMetrics
+	election      election
+	member        atomic.Pointer[poolrpc.Member]
+	owner         atomic.Pointer[poolowner.Owner]
+	refusedQueues refusedQueueList
+	limits        customerLimits
+	stopping      atomic.Bool
 	// probeFailedAt is when a probe of the store last failed, and lastProbeAt when the last probe was
 	// started. Only watchStore uses lastProbeAt.
 	probeFailedAt atomic.Int64
-	probedAt      clock.Time
-	hosts         atomic.Int64 // the number of hosts as reported by the owner; 0 if unknown
+	lastProbeAt   clock.Time
+	hostCount     atomic.Int64 // the number of hosts as reported by the owner; 0 if unknown
 	// ownerStoreRecovered, of capacity 1, signals that the owner has reported that it reaches the store
 	// again.
-	ownerStoreBack chan struct{}
-	gate           gate
-	toldReach      atomic.Pointer[reach.Owner] // from the owner's last heartbeat; nil before the first one
+	ownerStoreRecovered chan struct{}
+	intakeMode          modeState
+	reportedOwner       atomic.Pointer[reach.OwnerView] // from the owner's last heartbeat; nil before the first one
 
 	// bytes on the connections to other hosts, to callers and to the advice service
 	peerBytes, callerBytes, adviceBytes *traffic.Meter
@@ -87,34 +87,34 @@
 	waves     map[int64]upkeep.Wave // requested by the operator
 	evacuated *evacuation.Halls
 
-	duties sync.WaitGroup
+	background sync.WaitGroup
 }
 
 // New returns a host that does nothing until Run is called.
 func New(cfg platform.Settings, log *logrus.Entry) *Host {
 	clk := clock.System()
-	figures := newFigures()
+	metrics := newHostMetrics()
 	store := platform.NewStore(cfg.Store, platform.StoreOptions{
 		CallTimeout:     storeTimeout,
-		Stall:           time.Duration(stallShare * float64(cfg.Bounds.ConfigApply)),
-		WritesPerSecond: cfg.Store.WritesPerSecond * storeShare,
-		ReadsPerSecond:  cfg.Store.ReadsPerSecond * storeShare,
+		Stall:           time.Duration(readStallShare * float64(cfg.Bounds.ConfigApply)),
+		WritesPerSecond: cfg.Store.WritesPerSecond * storeRateShare,
+		ReadsPerSecond:  cfg.Store.ReadsPerSecond * storeRateShare,
 		LinkMbps:        cfg.LinkMbps,
-		Calls:           traffic.New("store", figures.registry),
-		Watches:         traffic.New("store_watches", figures.registry),
+		Calls:           traffic.New("store", metrics.registry),
+		Watches:         traffic.New("store_watches", metrics.registry),
 	}, clk)
 	h := &Host{
-		life: uuid.NewString(), log: log.WithField("host", cfg.Name), clk: clk, store: store,
-		worker: platform.NewWorkers(workerTimeout, traffic.New("workers", figures.registry)), figures: figures,
-		peerBytes: traffic.New("peers", figures.registry), callerBytes: traffic.New("callers", figures.registry), adviceBytes: traffic.New("advice", figures.registry),
+		incarnation: uuid.NewString(), log: log.WithField("host", cfg.Name), clk: clk, store: store,
+		workers: platform.NewWorkerClient(workerTimeout, traffic.New("workers", metrics.registry)), metrics: metrics,
+		peerBytes: traffic.New("peers", metrics.registry), callerBytes: traffic.New("callers", metrics.registry), adviceBytes: traffic.New("advice", metrics.registry),
 		waves: map[int64]upkeep.Wave{}, evacuated: evacuation.New(),
-		election: election{changed: make(chan struct{}, 1)}, ownerStoreBack: make(chan struct{}, 1),
+		election: election{changed: make(chan struct{}, 1)}, ownerStoreRecovered: make(chan struct{}, 1),
 	}
 	h.cfg.Store(&cfg)
-	h.intake = newIntake(store, clk, h.sawHolder)
-	h.stateReads = newStateReads(cfg.Store.ReadsPerSecond)
-	h.operatorKeys = h.newConfigFollower()
-	h.setAdvice(cfg.Advice)
+	h.writer = newBatchWriter(store, clk, h.handleFoundOwnerRecord)
+	h.lookupLimiter = newLookupLimiter(cfg.Store.ReadsPerSecond)
+	h.operatorKeys = h.newOperatorWatcher()
+	h.setAdvice(cfg.AdviceAddress)
 	return h
 }
 
@@ -125,7 +125,7 @@
 		h.advice.Store(nil)
 		return
 	}
-	h.advice.Store(platform.NewAdviser(address, h.adviceBytes))
+	h.advice.Store(platform.NewAdviceClient(address, h.adviceBytes))
 }
 
 // Run serves until ctx ends and then performs a planned stop: it hands the pool over and answers the
@@ -139,45 +139,45 @@
 	if cfg.Cores > 0 {
 		runtime.GOMAXPROCS(int(math.Ceil(cfg.Cores))) // more threads than cores only add context switches
 	}
-	callers, err := net.Listen("tcp", cfg.Callers.String())
+	callers, err := net.Listen("tcp", cfg.CallerAddress.String())
 	if err != nil {
 		return errors.Wrap(err, "callers' address")
 	}
-	ready, err := net.Listen("tcp", cfg.Ready.String())
+	ready, err := net.Listen("tcp", cfg.ReadyAddress.String())
 	if err != nil {
 		return errors.Wrap(err, "ready address")
 	}
-	peers, err := net.Listen("tcp", cfg.Peers.String())
+	peers, err := net.Listen("tcp", cfg.PeerAddress.String())
 	if err != nil {
 		return errors.Wrap(err, "peers' address")
 	}
-	h.log.WithFields(logrus.Fields{"life": h.life, "callers": cfg.Callers, "peers": cfg.Peers, "zone": cfg.Zone}).Info("started")
+	h.log.WithFields(logrus.Fields{"life": h.incarnation, "callers": cfg.CallerAddress, "peers": cfg.PeerAddress, "zone": cfg.Zone}).Info("started")
 	h.logWarnings(*cfg)
 	work, stop := context.WithCancel(context.Background())
 	defer stop()
-	server := &http.Server{Handler: h.door(), ReadHeaderTimeout: headerTimeout}
-	probe := &http.Server{Handler: http.HandlerFunc(h.ready), ReadHeaderTimeout: headerTimeout}
+	server := &http.Server{Handler: h.jobHandler(), ReadHeaderTimeout: headerTimeout}
+	probe := &http.Server{Handler: http.HandlerFunc(h.serveReady), ReadHeaderTimeout: headerTimeout}
 	go func() { _ = server.Serve(h.callerBytes.Listener(callers)) }()
 	go func() { _ = probe.Serve(ready) }()
 	if metricsPort != 0 {
-		if err := h.serveOperators(netip.AddrPortFrom(cfg.Ready.Addr(), metricsPort)); err != nil {
+		if err := h.listenForOperators(netip.AddrPortFrom(cfg.ReadyAddress.Addr(), metricsPort)); err != nil {
 			return err
 		}
 	}
-	h.startDuties(work, peers)
-	h.duties.Go(func() { h.watchSettings(work, path) })
+	h.startBackground(work, peers)
+	h.background.Go(func() { h.watchSettings(work, path) })
 	<-ctx.Done()
-	h.leave(server)
+	h.shutDown(server)
 	stop()
-	h.duties.Wait()
+	h.background.Wait()
 	h.log.Info("stopped")
 	return nil
 }
 
 // listenForOperators serves the operators' requests. If the address is already in use, the host still
 // serves callers.
-func (h *Host) serveOperators(address netip.AddrPort) error {
-	handler, err := h.operatorDoor()
+func (h *Host) listenForOperators(address netip.AddrPort) error {
+	handler, err := h.operatorHandler()
 	if err != nil {
 		return err
 	}
@@ -189,14 +189,14 @@
 	return nil
 }
 
-func (h *Host) startDuties(ctx context.Context, peers net.Listener) {
-	h.duties.Go(func() { h.operatorKeys.run(ctx) })
-	h.duties.Go(func() { h.intake.run(ctx) })
-	h.duties.Go(func() { h.newOwnerFollower().run(ctx) })
-	h.duties.Go(func() { h.campaign(ctx) })
-	h.duties.Go(func() { h.watchReach(ctx) })
-	h.duties.Go(func() { h.keepLink(ctx) })
-	h.duties.Go(func() { _ = poolrpc.Serve(ctx, h.peerBytes.Listener(peers), h.ownerHandlers, h.clk) })
+func (h *Host) startBackground(ctx context.Context, peers net.Listener) {
+	h.background.Go(func() { h.operatorKeys.run(ctx) })
+	h.background.Go(func() { h.writer.run(ctx) })
+	h.background.Go(func() { h.newOwnerWatcher().run(ctx) })
+	h.background.Go(func() { h.campaign(ctx) })
+	h.background.Go(func() { h.watchStore(ctx) })
+	h.background.Go(func() { h.maintainLink(ctx) })
+	h.background.Go(func() { _ = poolrpc.Serve(ctx, h.peerBytes.Listener(peers), h.ownerHandlers, h.clk) })
 }
 
 func (h *Host) ownerHandlers() (poolrpc.OwnerHandlers, bool) {
@@ -209,8 +209,8 @@
 
 // serveReady answers the platform's health check. A host is not ready while it is stopping, has no
 // configuration, or can't accept jobs that other hosts may be able to accept.
-func (h *Host) ready(w http.ResponseWriter, _ *http.Request) {
-	if h.config.Load() == nil || h.stopping.Load() || !h.row().Ready() {
+func (h *Host) serveReady(w http.ResponseWriter, _ *http.Request) {
+	if h.config.Load() == nil || h.stopping.Load() || !h.mode().IsReady() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -218,15 +218,15 @@
 }
 
 // shutDown performs a planned stop within the platform's grace period.
-func (h *Host) leave(server *http.Server) {
+func (h *Host) shutDown(server *http.Server) {
 	h.stopping.Store(true)
 	h.log.Info("stopping")
-	grace := h.cfg.Load().Bounds.Grace
+	grace := h.cfg.Load().Bounds.TerminationGrace
 	deadline := h.clk.Now().Add(grace - stopMargin)
-	until := h.clk.Now().Add(min(stopPause, grace-stopMargin))
+	until := h.clk.Now().Add(min(stopAcceptTime, grace-stopMargin))
 	for h.clk.Now() < until || h.owner.Load() != nil && h.clk.Now() < deadline {
 		if o := h.owner.Load(); o != nil {
-			o.Yield(poolowner.Stopping)
+			o.Yield(poolowner.YieldStopping)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
--- a/pkg/jobhost/jobs.go
+++ b/pkg/jobhost/jobs.go
@@ -21,25 +21,25 @@
 
 const (
 	// refusalRetryAfter is after how long a refused caller may try again.
-	refusedPause = time.Second
+	refusalRetryAfter = time.Second
 	// ownerQueryTimeout bounds a query to the owner; the store can answer the same query.
-	askTimeout = 600 * time.Millisecond
+	ownerQueryTimeout = 600 * time.Millisecond
 	// ownerWriteTimeout bounds a write by the owner, so that a caller whose host was cut off still has
 	// time to try another host.
 	ownerWriteTimeout = 1200 * time.Millisecond
 )
 
-func (h *Host) door() http.Handler {
-	return &platform.Door{
-		Jobs: h.jobs(), Closing: func() bool { return h.stopping.Load() || !h.row().Ready() }, RetryAfter: func() time.Duration { return refusedPause },
+func (h *Host) jobHandler() http.Handler {
+	return &platform.JobHandler{
+		JobService: h.jobService(), CloseConnections: func() bool { return h.stopping.Load() || !h.mode().IsReady() }, RetryAfter: func() time.Duration { return refusalRetryAfter },
 	}
 }
 
 // jobService returns the operations on jobs that callers and operators may request.
-func (h *Host) jobs() platform.Jobs {
-	return platform.Jobs{
+func (h *Host) jobService() platform.JobService {
+	return platform.JobService{
 		Config: h.config.Load, Admit: h.admit,
-		Submit: h.submit, State: h.state, Cancel: h.cancelJob, Pending: h.pending,
+		Submit: h.submit, State: h.jobState, Cancel: h.cancelJob, Pending: h.pendingJobs,
 	}
 }
 
@@ -50,116 +50,116 @@
 	if c.Customer != nil {
 		record.Customer = *c.Customer
 	}
-	var stored keptValue
-	err := h.mayAccept(ctx, c, record)
+	var stored storedValue
+	err := h.checkAcceptance(ctx, c, record)
 	if err == nil {
-		stored, err = h.put(ctx, jobstore.JobKey(j.ID), func(term int64) ([]byte, error) {
+		stored, err = h.writeOnce(ctx, jobstore.JobKey(j.ID), func(term int64) ([]byte, error) {
 			record.Term = term
 			return record.Encode()
 		})
-		err = spread(ctx, j.ID, err)
+		err = spreadRetries(ctx, j.ID, err)
 	}
-	h.countAccept(started, err)
+	h.countSubmission(started, err)
 	h.logOutcome("job_accepted", j.ID, record, j.Summary(), started, err)
 	if err != nil {
 		return err
 	}
 	if !stored.created {
-		return h.handedInBefore(ctx, c, j.ID)
+		return h.answerResubmission(ctx, c, j.ID)
 	}
 	if o := h.owner.Load(); o != nil {
-		o.Accepted(j.ID, stored.text)
+		o.JobAccepted(j.ID, stored.text)
 	} else if m := h.member.Load(); m != nil {
-		m.Accepted(string(j.ID), stored.text)
+		m.ReportAccepted(string(j.ID), stored.text)
 	}
 	return nil
 }
 
 // checkAcceptance returns why a job can't be accepted, or nil if it can. Errors:
 // platform.ErrUnauthenticated, platform.ErrRefused.
-func (h *Host) mayAccept(ctx context.Context, c customer.Caller, r job.Record) error {
-	if err := errorOf(c.HandIn()); err != nil {
+func (h *Host) checkAcceptance(ctx context.Context, c customer.Caller, r job.Record) error {
+	if err := decisionError(c.DecideSubmit()); err != nil {
 		return err
 	}
-	if row := h.row(); !row.Open() {
-		return spread(ctx, r.Job.ID, h.refuseClosed(row))
+	if mode := h.mode(); !mode.AcceptsJobs() {
+		return spreadRetries(ctx, r.Job.ID, h.refuseForMode(mode))
 	}
-	if err := tooWide(c, r.Job); err != nil {
+	if err := checkStepQuota(c, r.Job); err != nil {
 		return err
 	}
-	if err := h.refuseUnserved(ctx, r.Queue.Name, r.Job.ID); err != nil {
+	if err := h.refuseForQueue(ctx, r.Queue.Name, r.Job.ID); err != nil {
 		return err
 	}
-	return h.refuseBeyondWeight(ctx, r)
+	return h.refuseForShare(ctx, r)
 }
 
 // answerResubmission returns the answer to a submission whose job id is already in the store: an error if
 // that job belongs to another customer. The owner may know the job, also as ended.
-func (h *Host) handedInBefore(ctx context.Context, c customer.Caller, id job.ID) error {
+func (h *Host) answerResubmission(ctx context.Context, c customer.Caller, id job.ID) error {
 	if c.Customer == nil {
 		return nil
 	}
-	_, customerName, err := h.find(ctx, id, func() bool { return true })
+	_, customerName, err := h.findJob(ctx, id, func() bool { return true })
 	if err != nil {
-		return errors.Mark(err, platform.ErrUnsettled)
+		return errors.Mark(err, platform.ErrOutcomeUnknown)
 	}
-	return h.about(c, id, customerName)
+	return h.checkJobAccess(c, id, customerName)
 }
 
 // countSubmission updates the metrics of submissions with the outcome of one.
-func (h *Host) countAccept(started clock.Time, err error) {
-	h.figures.accept.Update(h.clk.Now().Sub(started))
+func (h *Host) countSubmission(started clock.Time, err error) {
+	h.metrics.submitTime.Update(h.clk.Now().Sub(started))
 	switch {
 	case err == nil:
-		h.figures.accepted.Inc(1)
+		h.metrics.accepted.Inc(1)
 	case errors.IsAny(err, platform.ErrRefused, platform.ErrUnauthenticated):
-		h.figures.refused.Inc(1)
+		h.metrics.refused.Inc(1)
 	default:
-		h.figures.unknown.Inc(1)
+		h.metrics.outcomeUnknown.Inc(1)
 	}
 }
 
-// storedValue is the result of writeOnce.
-type keptValue struct {
+// storedValue is the result of writeIfAbsent.
+type storedValue struct {
 	text []byte
 	// created is true if the key holds text, and false if it already held an earlier value.
 	created bool
 }
 
 // maxOwnerChanges bounds how often a write is repeated because the owner has changed meanwhile.
-const mostOwnerChanges = 5
+const maxOwnerChanges = 5
 
-// writeOnce writes a key that is never changed afterwards; textUnder returns its value for an owner's
+// writeIfAbsent writes a key that is never changed afterwards; textUnder returns its value for an owner's
 // term. If the store does not answer this host, the owner is asked to write, since the store may answer
 // the owner. Errors: platform.ErrRefused, platform.ErrOutcomeUnknown.
-func (h *Host) put(ctx context.Context, key string, textUnder func(term int64) ([]byte, error)) (keptValue, error) {
-	for range mostOwnerChanges {
+func (h *Host) writeOnce(ctx context.Context, key string, textUnder func(term int64) ([]byte, error)) (storedValue, error) {
+	for range maxOwnerChanges {
 		ownerRevision, term := h.knownOwner()
 		text, err := textUnder(term)
 		if err != nil {
-			return keptValue{}, errors.Mark(err, platform.ErrRefused)
+			return storedValue{}, errors.Mark(err, platform.ErrRefused)
 		}
-		created, err := h.putUnder(ctx, key, text, ownerRevision)
+		created, err := h.writeUnderOwner(ctx, key, text, ownerRevision)
 		if !errors.Is(err, errOwnerChanged) {
-			return keptValue{text: text, created: created}, err
+			return storedValue{text: text, created: created}, err
 		}
 	}
-	return keptValue{}, errors.Wrap(platform.ErrRefused, "the owner changes")
+	return storedValue{}, errors.Wrap(platform.ErrRefused, "the owner changes")
 }
 
 // writeUnderOwner writes a key on condition that the owner's record has the given revision. The mode of
-// this host decides who writes (package reach). Errors: as of batchWriter.writeOnce.
-func (h *Host) putUnder(ctx context.Context, key string, value []byte, ownerRevision int64) (created bool, err error) {
-	row := h.row()
-	if !row.Open() {
-		return false, h.refuseClosed(row)
-	}
-	h.figures.rows[row].Inc(1)
-	if m := h.ownerToWrite(); row == reach.OwnerWrites && m != nil {
+// this host decides who writes (package reach). Errors: as of batchWriter.writeIfAbsent.
+func (h *Host) writeUnderOwner(ctx context.Context, key string, value []byte, ownerRevision int64) (created bool, err error) {
+	mode := h.mode()
+	if !mode.AcceptsJobs() {
+		return false, h.refuseForMode(mode)
+	}
+	h.metrics.writesByMode[mode].Inc(1)
+	if m := h.ownerForWrites(); mode == reach.OwnerWrites && m != nil {
 		return writeByOwner(ctx, m, key, value)
 	}
-	created, err = h.intake.put(ctx, key, value, ownerRevision)
-	m := h.ownerToWrite()
+	created, err = h.writer.writeOnce(ctx, key, value, ownerRevision)
+	m := h.ownerForWrites()
 	if err == nil || m == nil || errors.Is(err, errOwnerChanged) {
 		return created, err
 	}
@@ -171,8 +171,8 @@
 }
 
 // refuseForMode refuses a write in a mode in which no host can write. Errors: platform.ErrRefused.
-func (h *Host) refuseClosed(mode reach.Row) error {
-	h.figures.rows[mode].Inc(1)
+func (h *Host) refuseForMode(mode reach.Mode) error {
+	h.metrics.writesByMode[mode].Inc(1)
 	return errors.Wrap(platform.ErrRefused, mode.Reason())
 }
 
@@ -186,22 +186,22 @@
 	case errors.Is(err, poolrpc.ErrNotSent):
 		return false, errors.Mark(err, platform.ErrRefused)
 	case err != nil:
-		return false, errors.Mark(err, platform.ErrUnsettled)
+		return false, errors.Mark(err, platform.ErrOutcomeUnknown)
 	case a.Refused:
 		return false, errors.Wrap(platform.ErrRefused, "the owner could not write")
 	case a.Unknown:
-		return false, errors.Wrap(platform.ErrUnsettled, "the owner does not know")
+		return false, errors.Wrap(platform.ErrOutcomeUnknown, "the owner does not know")
 	}
 	return a.Created, nil
 }
 
 // spreadRetries adds a time to retry to the refusal of a write that no host could carry out. The times of
 // different jobs are spread over the time that their callers have left.
-func spread(ctx context.Context, id job.ID, err error) error {
+func spreadRetries(ctx context.Context, id job.ID, err error) error {
 	if !errors.Is(err, platform.ErrRefused) || errors.Is(err, platform.ErrTooLarge) {
 		return err
 	}
-	return &platform.RefusedError{Reason: err.Error(), RetryAfter: reach.RetryAfter(string(id), timeLeft(ctx)), Unwritten: true}
+	return &platform.RefusedError{Reason: err.Error(), RetryAfter: reach.RetryAfter(string(id), timeLeft(ctx)), NotStored: true}
 }
 
 // timeLeft returns how long the caller still waits; 0 if that is unknown.
@@ -214,9 +214,9 @@
 }
 
 // writeForMember writes a key for another host, while this host is the owner.
-func (h *Host) writeFor(ctx context.Context, key string, value []byte) *poolpb.Answer {
+func (h *Host) writeForMember(ctx context.Context, key string, value []byte) *poolpb.Answer {
 	ownerRevision, _ := h.knownOwner()
-	created, err := h.intake.put(ctx, key, value, ownerRevision)
+	created, err := h.writer.writeOnce(ctx, key, value, ownerRevision)
 	refused := errors.IsAny(err, platform.ErrRefused, errOwnerChanged)
 	return &poolpb.Answer{Created: created, Refused: refused, Unknown: err != nil && !refused}
 }
@@ -237,25 +237,25 @@
 }
 
 // jobState returns the state of a job.
-func (h *Host) state(ctx context.Context, c customer.Caller, id job.ID) (job.State, error) {
-	defer h.figures.state.UpdateSince(time.Now())
-	state, customerName, err := h.find(ctx, id, h.stateReads.allow)
+func (h *Host) jobState(ctx context.Context, c customer.Caller, id job.ID) (job.State, error) {
+	defer h.metrics.lookupTime.UpdateSince(time.Now())
+	state, customerName, err := h.findJob(ctx, id, h.lookupLimiter.allow)
 	if err != nil {
 		return "", err
 	}
-	return state, h.about(c, id, customerName)
+	return state, h.checkJobAccess(c, id, customerName)
 }
 
 // findJob returns the state of a job and the name of its customer. If the owner does not know the job,
 // the store is read. If the owner can't be asked, the store is read only if mayRead returns true. Errors:
 // platform.ErrNoJob, platform.ErrOutcomeUnknown.
-func (h *Host) find(ctx context.Context, id job.ID, mayRead func() bool) (state job.State, customerName string, err error) {
-	a := h.ask(ctx, &poolpb.Question{Job: string(id)})
+func (h *Host) findJob(ctx context.Context, id job.ID, mayRead func() bool) (state job.State, customerName string, err error) {
+	a := h.queryOwner(ctx, &poolpb.Question{Job: string(id)})
 	if a != nil && !a.Unknown {
 		return job.State(a.State), a.Customer, nil
 	}
 	if a == nil && !mayRead() {
-		return "", "", errors.Wrap(platform.ErrUnsettled, "the owner does not tell, and the store is asked enough")
+		return "", "", errors.Wrap(platform.ErrOutcomeUnknown, "the owner does not tell, and the store is asked enough")
 	}
 	record, err := h.readRecord(ctx, id)
 	switch {
@@ -292,25 +292,25 @@
 		return job.Record{}, errors.Mark(err, platform.ErrNoJob)
 	}
 	if err != nil {
-		return job.Record{}, errors.Wrapf(platform.ErrUnsettled, "%v", err)
+		return job.Record{}, errors.Wrapf(platform.ErrOutcomeUnknown, "%v", err)
 	}
 	record, err := job.DecodeRecord(item.Value)
 	if err != nil {
-		return job.Record{}, errors.Mark(err, platform.ErrUnsettled)
+		return job.Record{}, errors.Mark(err, platform.ErrOutcomeUnknown)
 	}
 	return record, nil
 }
 
 // queryOwner sends a query to the owner; it returns nil if the owner can't be asked.
-func (h *Host) ask(ctx context.Context, q *poolpb.Question) *poolpb.Answer {
+func (h *Host) queryOwner(ctx context.Context, q *poolpb.Question) *poolpb.Answer {
 	if o := h.owner.Load(); o != nil {
-		return o.Answer(q)
+		return o.AnswerQuestion(q)
 	}
 	m := h.member.Load()
 	if m == nil {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, ownerQueryTimeout)
 	defer cancel()
 	a, err := m.Ask(ctx, q)
 	if err != nil {
@@ -325,30 +325,30 @@
 	if err != nil {
 		return err
 	}
-	if err := h.about(c, id, record.Customer.Name); err != nil {
+	if err := h.checkJobAccess(c, id, record.Customer.Name); err != nil {
 		return err
 	}
 	if record.Outcome != "" {
 		return errors.Wrap(platform.ErrNoJob, "the job has ended")
 	}
 	started := h.clk.Now()
-	_, err = h.put(ctx, jobstore.CancelKey(id), func(int64) ([]byte, error) { return []byte{}, nil })
-	err = spread(ctx, id, err)
+	_, err = h.writeOnce(ctx, jobstore.CancelKey(id), func(int64) ([]byte, error) { return []byte{}, nil })
+	err = spreadRetries(ctx, id, err)
 	h.logOutcome("job_cancelled", id, record, "", started, err)
 	if err != nil {
 		return err
 	}
 	if o := h.owner.Load(); o != nil {
-		o.Cancelled(id)
+		o.JobCancelled(id)
 	} else if m := h.member.Load(); m != nil {
-		m.Cancelled(string(id))
+		m.ReportCancelled(string(id))
 	}
 	return nil
 }
 
 // pendingJobs counts the jobs of a queue that have not begun. Only the owner knows this number.
-func (h *Host) pending(ctx context.Context, q queue.Queue) (int, error) {
-	a := h.ask(ctx, &poolpb.Question{Queue: q.Name})
+func (h *Host) pendingJobs(ctx context.Context, q queue.Queue) (int, error) {
+	a := h.queryOwner(ctx, &poolpb.Question{Queue: q.Name})
 	if a == nil || a.Unknown {
 		return 0, errors.Wrap(platform.ErrRefused, "the owner can't be asked")
 	}
@@ -362,9 +362,9 @@
 	if client == nil {
 		return result
 	}
-	tickets, err := client.Advise(ctx, stepOf(call), workersOf(call), time.Duration(call.LimitMs)*time.Millisecond)
+	tickets, err := client.Advise(ctx, adviceStep(call), adviceWorkers(call), time.Duration(call.LimitMs)*time.Millisecond)
 	if err != nil {
-		h.log.WithFields(logrus.Fields{"step": stepOf(call), "error": err}).Warn("advice_failed")
+		h.log.WithFields(logrus.Fields{"step": adviceStep(call), "error": err}).Warn("advice_failed")
 		return result
 	}
 	result.Ok = true
@@ -374,11 +374,11 @@
 	return result
 }
 
-func stepOf(call *poolpb.AdviceCall) job.StepID {
+func adviceStep(call *poolpb.AdviceCall) job.StepID {
 	return job.StepID{Job: job.ID(call.Job), Time: int(call.Time), Step: int(call.Step)}
 }
 
-func workersOf(call *poolpb.AdviceCall) []dispatch.WorkerID {
+func adviceWorkers(call *poolpb.AdviceCall) []dispatch.WorkerID {
 	out := make([]dispatch.WorkerID, 0, len(call.Workers))
 	for _, w := range call.Workers {
 		out = append(out, dispatch.WorkerID(w))
--- a/pkg/jobhost/jobs_fuzz_test.go
+++ b/pkg/jobhost/jobs_fuzz_test.go
@@ -12,7 +12,7 @@
 
 // A call without a customer's key must be denied and must store nothing, whatever its key, path and body
 // are.
-func FuzzDoor(f *testing.F) {
+func FuzzJobHandler(f *testing.F) {
 	const known = "north-key"
 	for _, seed := range []struct{ method, key, second, path, body string }{
 		{http.MethodPost, "", "", "/fits/5c0e7a21d94b36f8", `{"steps":[{"count":1}]}`},
@@ -28,15 +28,15 @@
 	p, err := emulator.Start(emulator.Options{Customers: []emulator.Customer{{Name: "north", Keys: []string{known}}}})
 	NewWithT(f).Expect(err).NotTo(HaveOccurred())
 	f.Cleanup(p.Close)
-	var door http.Handler
+	var handler http.Handler
 	f.Fuzz(func(t *testing.T, method, key, second, path, body string) {
-		if door == nil {
+		if handler == nil {
 			p.PutConfig(1)
 			h, _ := newTestHost(t, p)
 			items, _, err := h.store.List(t.Context(), "op/")
 			NewWithT(t).Expect(err).NotTo(HaveOccurred())
-			h.takeOperatorItems(items)
-			door = h.door()
+			h.applyOperatorItems(items)
+			handler = h.jobHandler()
 		}
 		r, err := http.NewRequest(method, "http://"+emulator.QueueHost, strings.NewReader(body))
 		if err != nil {
@@ -51,7 +51,7 @@
 			r.Header.Add("X-Api-Key", second)
 		}
 		w := httptest.NewRecorder()
-		door.ServeHTTP(w, r)
+		handler.ServeHTTP(w, r)
 		admitted := key == known && second == "" || second == known && key == ""
 		if w.Code < http.StatusBadRequest && !admitted {
 			t.Fatalf("%s %q with keys %q and %q: got %d", method, path, key, second, w.Code)
--- a/pkg/jobhost/key_watcher.go
+++ b/pkg/jobhost/key_watcher.go
@@ -11,33 +11,33 @@
 
 // listRetryInterval is the pause after a failed list: 10 attempts a second of one host are 0.5% of the
 // rate of the smallest known store.
-const listRetry = 100 * time.Millisecond
+const listRetryInterval = 100 * time.Millisecond
 
 // keyWatcher keeps track of the keys under a prefix of the store. It lists them, then watches for
 // changes, and lists them again when a watch fails.
-type follower struct {
-	*jobstore.Following
+type keyWatcher struct {
+	*jobstore.WatchStatus
 	store  *platform.Store
 	clk    clock.Clock
 	prefix string
 	// nextWait returns how long the next watch waits for a change. A broken watch may give no error, so
 	// no watch is relied on for longer.
-	wait func() time.Duration
+	nextWait func() time.Duration
 	// applyList is called with all keys as of a revision, applyChanges with keys that have changed.
-	takeList    func(items []platform.Item, at int64)
-	takeChanges func([]platform.Item)
+	applyList    func(items []platform.Item, at int64)
+	applyChanges func([]platform.Item)
 }
 
 // newKeyWatcher returns a watcher of the keys under a prefix.
-func (h *Host) newFollower(prefix string, wait func() time.Duration, takeList func([]platform.Item, int64), takeChanges func([]platform.Item)) *follower {
-	return &follower{
-		Following: jobstore.NewFollowing(prefix, h.clk, h.log),
-		store:     h.store, clk: h.clk, prefix: prefix, wait: wait, takeList: takeList, takeChanges: takeChanges,
+func (h *Host) newKeyWatcher(prefix string, nextWait func() time.Duration, applyList func([]platform.Item, int64), applyChanges func([]platform.Item)) *keyWatcher {
+	return &keyWatcher{
+		WatchStatus: jobstore.NewWatchStatus(prefix, h.clk, h.log),
+		store:       h.store, clk: h.clk, prefix: prefix, nextWait: nextWait, applyList: applyList, applyChanges: applyChanges,
 	}
 }
 
 // run watches the keys until ctx ends.
-func (w *follower) run(ctx context.Context) {
+func (w *keyWatcher) run(ctx context.Context) {
 	for {
 		after, listErr := w.list(ctx)
 		err := listErr
@@ -47,34 +47,34 @@
 		if ctx.Err() != nil {
 			return
 		}
-		w.Lost(err)
+		w.RecordFailure(err)
 		if listErr != nil {
-			clock.Sleep(ctx, listRetry)
+			clock.Sleep(ctx, listRetryInterval)
 		}
 	}
 }
 
 // list reads all keys and returns the revision after which to watch.
-func (w *follower) list(ctx context.Context) (after int64, err error) {
+func (w *keyWatcher) list(ctx context.Context) (after int64, err error) {
 	requestedAt := w.clk.Now()
 	items, after, err := w.store.List(ctx, w.prefix)
 	if err != nil {
 		return 0, err
 	}
-	w.takeList(items, after)
-	w.Known(requestedAt)
+	w.applyList(items, after)
+	w.RecordCurrent(requestedAt)
 	return after, nil
 }
 
 // watch applies the changes after a revision until a watch fails, and returns the error.
-func (w *follower) watch(ctx context.Context, after int64) error {
+func (w *keyWatcher) watch(ctx context.Context, after int64) error {
 	for {
-		items, at, err := w.store.Watch(ctx, w.prefix, after, w.wait())
+		items, at, err := w.store.Watch(ctx, w.prefix, after, w.nextWait())
 		if err != nil {
 			return err
 		}
-		w.takeChanges(items)
-		w.Known(w.clk.Now())
+		w.applyChanges(items)
+		w.RecordCurrent(w.clk.Now())
 		after = at
 	}
 }
--- a/pkg/jobhost/lease.go
+++ b/pkg/jobhost/lease.go
@@ -14,15 +14,15 @@
 // leaseKeeper renews the owner's lease, which shows other hosts that the owner is alive. The lease alone
 // does not decide what the owner may do (package poolowner).
 type leaseKeeper struct {
-	host      *Host
-	lease     int64 // id in the store; 0 before the first lease
-	record    int64
-	renewedAt atomic.Int64
+	host          *Host
+	lease         int64 // id in the store; 0 before the first lease
+	ownerRevision int64
+	renewedAt     atomic.Int64
 }
 
 // isConfirmed reports whether the store has confirmed the ownership within the duration of a lease.
-func (k *leaseKeeper) holds(now clock.Time) bool {
-	return now.Sub(clock.Time(k.renewedAt.Load())) < leaseTerm
+func (k *leaseKeeper) isConfirmed(now clock.Time) bool {
+	return now.Sub(clock.Time(k.renewedAt.Load())) < leaseDuration
 }
 
 // run renews the lease until ctx ends, and asks another host to take over when the store does not answer
@@ -35,15 +35,15 @@
 		}
 		switch {
 		case k.host.stopping.Load(): // shutDown asks another host to take over
-		case k.host.storeAge() > yieldAfter:
-			o.Yield(poolowner.Unreached)
-		case !o.Strong() && o.Yield(poolowner.TooSmall):
+		case k.host.storeAge() > yieldStoreAge:
+			o.Yield(poolowner.YieldStoreUnreached)
+		case !o.IsStrongEnough() && o.Yield(poolowner.YieldHostTooSmall):
 		default:
-			o.Stay()
+			o.CancelYield()
 		}
 	}
 	keep()
-	clock.Every(ctx, leaseEvery, keep)
+	clock.Every(ctx, leaseRenewInterval, keep)
 }
 
 // renew renews the lease, or opens a new one, and reports whether the store has confirmed it.
@@ -51,7 +51,7 @@
 	if k.lease == 0 {
 		return k.reopen(ctx)
 	}
-	err := k.host.store.KeepLease(ctx, k.lease)
+	err := k.host.store.RenewLease(ctx, k.lease)
 	if errors.Is(err, platform.ErrNoLease) {
 		return k.reopen(ctx)
 	}
@@ -61,13 +61,13 @@
 // reopen opens a lease, either the first one or one that replaces an expired one. It fails if another
 // host is recorded as the owner.
 func (k *leaseKeeper) reopen(ctx context.Context) bool {
-	lease, _, err := k.host.store.OpenLease(ctx, max(leaseTerm, k.host.cfg.Load().Store.MinLease))
+	lease, _, err := k.host.store.OpenLease(ctx, max(leaseDuration, k.host.cfg.Load().Store.MinLease))
 	if err != nil {
 		return false
 	}
 	_, _, err = k.host.store.Commit(ctx, platform.Txn{
-		Conditions: []platform.Condition{{Key: jobstore.HolderKey, Revision: k.record}},
-		Put:        []platform.Put{{Key: jobstore.AliveKey, Value: []byte(k.host.life), Lease: lease}},
+		Conditions: []platform.Condition{{Key: jobstore.OwnerRecordKey, Revision: k.ownerRevision}},
+		Put:        []platform.Put{{Key: jobstore.OwnerLeaseKey, Value: []byte(k.host.incarnation), Lease: lease}},
 	})
 	if err != nil {
 		return false
--- a/pkg/jobhost/lookup_limiter.go
+++ b/pkg/jobhost/lookup_limiter.go
@@ -7,13 +7,13 @@
 const (
 	// lookupReadShare is the share of the store's read rate that all hosts together may use for looking
 	// up jobs for callers.
-	stateShare = 0.5
+	lookupReadShare = 0.5
 	// readsPerLookup is how many reads the lookup of a job that has not ended needs.
-	readsAState = 3
+	readsPerLookup = 3
 	// lookupBurst is how many lookups a host may make at once.
-	stateBurst = 20
+	lookupBurst = 20
 	// assumedHosts is the assumed number of hosts until an owner reports it.
-	unknownHosts = 300
+	assumedHosts = 300
 )
 
 // lookupLimiter limits the lookups of jobs in the store for callers. It is safe for concurrent use.
@@ -22,26 +22,26 @@
 // its host read the store, many times a second for every waiting job. Without a limit all hosts together
 // would use up the store's read rate, and a new owner could not start, since its own reads would be
 // refused.
-type stateReads struct {
+type lookupLimiter struct {
 	limiter        *rate.Limiter
 	readsPerSecond float64 // limit of the store for all hosts together
 }
 
 // newLookupLimiter returns a limiter for a store with the given read rate.
-func newStateReads(readsPerSecond float64) *stateReads {
-	l := &stateReads{limiter: rate.NewLimiter(0, stateBurst), readsPerSecond: readsPerSecond}
-	l.setHosts(unknownHosts)
+func newLookupLimiter(readsPerSecond float64) *lookupLimiter {
+	l := &lookupLimiter{limiter: rate.NewLimiter(0, lookupBurst), readsPerSecond: readsPerSecond}
+	l.setHosts(assumedHosts)
 	return l
 }
 
 // setHosts sets the number of hosts that share the rate; 0 means unknown and changes nothing.
-func (l *stateReads) setHosts(n int) {
+func (l *lookupLimiter) setHosts(n int) {
 	if n > 0 {
-		l.limiter.SetLimit(rate.Limit(stateShare * l.readsPerSecond / readsAState / float64(n)))
+		l.limiter.SetLimit(rate.Limit(lookupReadShare * l.readsPerSecond / readsPerLookup / float64(n)))
 	}
 }
 
 // allow reports whether one more job may be looked up now.
-func (l *stateReads) allow() bool {
+func (l *lookupLimiter) allow() bool {
 	return l.limiter.Allow()
 }
--- a/pkg/jobhost/lookup_limiter_test.go
+++ b/pkg/jobhost/lookup_limiter_test.go
@@ -13,7 +13,7 @@
 
 // Guards against callers that poll their jobs while there is no owner: their reads left none of the
 // store's rate to the next owner.
-func TestCallersLeaveTheStoreToTheOwner(t *testing.T) {
+func TestCallersLeaveStoreReadsToTheOwner(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
 	p := startPlatform(t)
@@ -25,27 +25,27 @@
 	before := p.Store.Calls()
 	answered := 0
 	for range 400 {
-		state, err := h.state(t.Context(), anyone, "a")
+		state, err := h.jobState(t.Context(), anyone, "a")
 		if err == nil {
 			g.Expect(state).To(Equal(job.Queued))
 			answered++
 			continue
 		}
-		g.Expect(errors.Is(err, platform.ErrUnsettled)).To(BeTrue(), "%v", err)
+		g.Expect(errors.Is(err, platform.ErrOutcomeUnknown)).To(BeTrue(), "%v", err)
 	}
-	g.Expect(answered).To(BeNumerically(">=", stateBurst), "some lookups are answered from the store")
-	g.Expect(p.Store.Calls() - before).To(BeNumerically("<", 3*2*stateBurst))
+	g.Expect(answered).To(BeNumerically(">=", lookupBurst), "some lookups are answered from the store")
+	g.Expect(p.Store.Calls() - before).To(BeNumerically("<", 3*2*lookupBurst))
 }
 
 // All hosts together leave half of the store's read rate unused, however many there are.
-func TestStateReadsAreSharedAmongHosts(t *testing.T) {
+func TestLookupRateIsSharedAmongHosts(t *testing.T) {
 	g := NewWithT(t)
 	const readsPerSecond = 6000
-	s := newStateReads(readsPerSecond)
+	s := newLookupLimiter(readsPerSecond)
 	for _, hosts := range []int{1, 9, 40, 600} {
 		s.setHosts(hosts)
-		g.Expect(float64(s.limiter.Limit()) * readsAState * float64(hosts)).To(BeNumerically("~", readsPerSecond/2, 1))
+		g.Expect(float64(s.limiter.Limit()) * readsPerLookup * float64(hosts)).To(BeNumerically("~", readsPerSecond/2, 1))
 	}
 	s.setHosts(0)
-	g.Expect(float64(s.limiter.Limit())*readsAState*600).To(BeNumerically("~", readsPerSecond/2, 1), "an unknown number changes nothing")
+	g.Expect(float64(s.limiter.Limit())*readsPerLookup*600).To(BeNumerically("~", readsPerSecond/2, 1), "an unknown number changes nothing")
 }
--- a/pkg/jobhost/metrics.go
+++ b/pkg/jobhost/metrics.go
@@ -19,69 +19,69 @@
 )
 
 // hostMetrics are the counters and latency histograms of a host.
-type figures struct {
-	registry metrics.Registry
-	accept   metrics.Timer // from a request to its answer, whether accepted or not
-	accepted metrics.Counter
-	refused  metrics.Counter
-	unknown  metrics.Counter
-	unserved metrics.Counter // refused because their queue accepts no jobs
+type hostMetrics struct {
+	registry       metrics.Registry
+	submitTime     metrics.Timer // from a request to its answer, whether accepted or not
+	accepted       metrics.Counter
+	refused        metrics.Counter
+	outcomeUnknown metrics.Counter
+	queueRefused   metrics.Counter // refused because their queue accepts no jobs
 	// overShare counts the jobs refused because their customer sends more than its weight.
-	beyondWeight metrics.Counter
-	state        metrics.Timer
+	overShare  metrics.Counter
+	lookupTime metrics.Timer
 	// denials count the rejected calls by verdict.
 	denials map[customer.Verdict]metrics.Counter
 	// writesByMode count the requested writes of jobs and cancellations by the mode of this host (package
 	// reach).
-	rows map[reach.Row]metrics.Counter
+	writesByMode map[reach.Mode]metrics.Counter
 }
 
-func newFigures() *figures {
+func newHostMetrics() *hostMetrics {
 	r := metrics.NewRegistry()
-	rows := map[reach.Row]metrics.Counter{}
-	for _, mode := range reach.Rows() {
-		rows[mode] = metrics.NewRegisteredCounter("intake."+string(mode), r)
+	writesByMode := map[reach.Mode]metrics.Counter{}
+	for _, mode := range reach.Modes() {
+		writesByMode[mode] = metrics.NewRegisteredCounter("intake."+string(mode), r)
 	}
-	return &figures{
-		rows:         rows,
-		registry:     r,
-		accept:       metrics.NewRegisteredTimer("jobs.accept", r),
-		accepted:     metrics.NewRegisteredCounter("jobs.accepted", r),
-		refused:      metrics.NewRegisteredCounter("jobs.refused", r),
-		unserved:     metrics.NewRegisteredCounter("jobs.refused_unserved", r),
-		beyondWeight: metrics.NewRegisteredCounter("jobs.refused_beyond_weight", r),
-		unknown:      metrics.NewRegisteredCounter("jobs.outcome_unknown", r),
-		state:        metrics.NewRegisteredTimer("jobs.state", r),
+	return &hostMetrics{
+		writesByMode:   writesByMode,
+		registry:       r,
+		submitTime:     metrics.NewRegisteredTimer("jobs.accept", r),
+		accepted:       metrics.NewRegisteredCounter("jobs.accepted", r),
+		refused:        metrics.NewRegisteredCounter("jobs.refused", r),
+		queueRefused:   metrics.NewRegisteredCounter("jobs.refused_unserved", r),
+		overShare:      metrics.NewRegisteredCounter("jobs.refused_beyond_weight", r),
+		outcomeUnknown: metrics.NewRegisteredCounter("jobs.outcome_unknown", r),
+		lookupTime:     metrics.NewRegisteredTimer("jobs.state", r),
 		denials: map[customer.Verdict]metrics.Counter{
 			customer.UnknownQueue:    metrics.NewRegisteredCounter("calls.unknown_queue", r),
 			customer.Unauthenticated: metrics.NewRegisteredCounter("calls.unauthenticated", r),
 			customer.Forbidden:       metrics.NewRegisteredCounter("calls.forbidden", r),
-			customer.Later:           metrics.NewRegisteredCounter("calls.later", r),
+			customer.RetryLater:      metrics.NewRegisteredCounter("calls.later", r),
 		},
 	}
 }
 
 // countDenial counts a rejected call.
-func (m *figures) denied(v customer.Verdict) {
+func (m *hostMetrics) countDenial(v customer.Verdict) {
 	if c, ok := m.denials[v]; ok {
 		c.Inc(1)
 	}
 }
 
 // serveMetrics writes all metrics as text, one a line, such as "jobs.accept.p99_ms 12.1".
-func (h *Host) serveFigures(w http.ResponseWriter, _ *http.Request) {
+func (h *Host) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	writeRegistry(w, h.figures.registry)
-	writeFigure(w, "store.calls", float64(h.store.Calls()))
-	writeFigure(w, "store.age_ms", float64(h.storeAge().Milliseconds()))
+	writeRegistry(w, h.metrics.registry)
+	writeMetric(w, "store.calls", float64(h.store.Calls()))
+	writeMetric(w, "store.age_ms", float64(h.storeAge().Milliseconds()))
 	if cfg := h.config.Load(); cfg != nil {
-		writeFigure(w, "config.version", float64(cfg.Version))
+		writeMetric(w, "config.version", float64(cfg.Version))
 	}
-	writeFigure(w, "config.age_ms", float64(h.operatorKeys.Age().Milliseconds()))
-	writeFigure(w, "owner.term", float64(h.knownTerm()))
+	writeMetric(w, "config.age_ms", float64(h.operatorKeys.Age().Milliseconds()))
+	writeMetric(w, "owner.term", float64(h.knownTerm()))
 	o := h.owner.Load()
-	writeFigure(w, "owner.self", boolFigure(o != nil))
-	writeFigure(w, "owner.linked", boolFigure(h.linked()))
+	writeMetric(w, "owner.self", boolMetric(o != nil))
+	writeMetric(w, "owner.linked", boolMetric(h.isLinked()))
 	if o != nil {
 		writePool(w, o)
 		writeCustomers(w, o.Customers())
@@ -90,18 +90,18 @@
 
 // operatorHandler returns the handler of operators' requests: metrics, who owns the pool, what the owner
 // knows about a job, profiles of the process under /debug/pprof/, and foldarch's own jobs API under /v1/.
-func (h *Host) operatorDoor() (http.Handler, error) {
-	jobs, err := jobapi.New(h.jobs())
+func (h *Host) operatorHandler() (http.Handler, error) {
+	jobs, err := jobapi.New(h.jobService())
 	if err != nil {
 		return nil, err
 	}
 	mux := http.NewServeMux()
 	mux.Handle("/v1/", jobs)
-	mux.HandleFunc("GET /metrics", h.serveFigures)
+	mux.HandleFunc("GET /metrics", h.serveMetrics)
 	mux.HandleFunc("GET /owner", func(w http.ResponseWriter, _ *http.Request) {
 		h.election.mu.Lock()
 		defer h.election.mu.Unlock()
-		writeAnswer(w, h.election.holder)
+		writeAnswer(w, h.election.ownerRecord)
 	})
 	mux.HandleFunc("GET /jobs/{id}", h.serveExplanation)
 	mux.HandleFunc("GET /customers", h.serveCustomers)
@@ -136,7 +136,7 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-func boolFigure(b bool) float64 {
+func boolMetric(b bool) float64 {
 	if b {
 		return 1
 	}
@@ -147,8 +147,8 @@
 	s := o.Status()
 	values := map[string]int64{
 		"pool.workers": int64(s.Workers), "pool.workers_silent": int64(s.UnresponsiveWorkers), "pool.workers_evacuated": int64(s.EvacuatedWorkers), "pool.jobs": int64(s.Jobs),
-		"pool.steps_waiting": int64(s.Steps), "pool.tasks_waiting": int64(s.Waiting), "pool.runs": int64(s.Runs),
-		"pool.jobs_held": int64(s.BlockedJobs), "pool.workers_retired_silent": int64(s.SilentRetiredWorkers), "pool.calls_waiting": int64(o.CallsWaiting()), "pool.workers_relayed": int64(o.Relayed()), "pool.advice_calls": int64(s.AdviceCalls), "pool.advisers_free": int64(s.FreeAdvisers),
+		"pool.steps_waiting": int64(s.WaitingSteps), "pool.tasks_waiting": int64(s.WaitingTasks), "pool.runs": int64(s.Runs),
+		"pool.jobs_held": int64(s.BlockedJobs), "pool.workers_retired_silent": int64(s.SilentRetiredWorkers), "pool.calls_waiting": int64(o.WaitingCalls()), "pool.workers_relayed": int64(o.RelayedWorkers()), "pool.advice_calls": int64(s.AdviceCalls), "pool.advisers_free": int64(s.FreeAdvisers),
 		"pool.used_cpu_millis": s.Used.CPUMillis, "pool.capacity_cpu_millis": s.Capacity.CPUMillis,
 		"pool.used_memory_mb": s.Used.MemoryMB, "pool.capacity_memory_mb": s.Capacity.MemoryMB,
 	}
@@ -156,7 +156,7 @@
 		values["pool."+name] = n
 	}
 	for _, name := range slices.Sorted(maps.Keys(values)) {
-		writeFigure(w, name, float64(values[name]))
+		writeMetric(w, name, float64(values[name]))
 	}
 }
 
@@ -166,17 +166,17 @@
 	for _, name := range slices.Sorted(maps.Keys(found)) {
 		switch m := found[name].(type) {
 		case metrics.Counter:
-			writeFigure(w, name, float64(m.Count()))
+			writeMetric(w, name, float64(m.Count()))
 		case metrics.Timer:
 			s := m.Snapshot()
-			writeFigure(w, name+".count", float64(s.Count()))
+			writeMetric(w, name+".count", float64(s.Count()))
 			for _, p := range []float64{0.5, 0.9, 0.99} {
-				writeFigure(w, fmt.Sprintf("%s.p%g_ms", name, p*100), s.Percentile(p)/float64(time.Millisecond))
+				writeMetric(w, fmt.Sprintf("%s.p%g_ms", name, p*100), s.Percentile(p)/float64(time.Millisecond))
 			}
 		}
 	}
 }
 
-func writeFigure(w io.Writer, name string, value float64) {
+func writeMetric(w io.Writer, name string, value float64) {
 	_, _ = fmt.Fprintf(w, "%s %g\n", name, value)
 }
--- a/pkg/jobhost/owner_change_test.go
+++ b/pkg/jobhost/owner_change_test.go
@@ -14,26 +14,26 @@
 )
 
 // putOwnerRecord writes an owner's record that a host learns of only when it reads the store.
-func putHolder(t *testing.T, p *emulator.Platform, name string, term int64) {
-	text, err := jobstore.Holder{Name: name, Life: "incarnation of " + name, Term: term}.Encode()
+func putOwnerRecord(t *testing.T, p *emulator.Platform, name string, term int64) {
+	text, err := jobstore.OwnerRecord{Name: name, Incarnation: "incarnation of " + name, Term: term}.Encode()
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
-	p.Store.Put(jobstore.HolderKey, text)
+	p.Store.Put(jobstore.OwnerRecordKey, text)
 }
 
 // newHostUnderOwner returns a host that has read the owner's record once and does not watch it.
 func newHostUnderOwner(t *testing.T, p *emulator.Platform) *Host {
-	putHolder(t, p, "first", 1)
+	putOwnerRecord(t, p, "first", 1)
 	h, _ := newTestHost(t, p)
 	p.PutConfig(1)
-	h.takeOperatorItems(listed(t, h, "op/"))
-	h.takeOwnerList(listed(t, h, jobstore.OwnerPrefix), 0)
+	h.applyOperatorItems(listKeys(t, h, "op/"))
+	h.applyOwnerList(listKeys(t, h, jobstore.OwnerPrefix), 0)
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
-	go h.intake.run(ctx)
+	go h.writer.run(ctx)
 	return h
 }
 
-func listed(t *testing.T, h *Host, prefix string) []platform.Item {
+func listKeys(t *testing.T, h *Host, prefix string) []platform.Item {
 	items, _, err := h.store.List(t.Context(), prefix)
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	return items
@@ -43,13 +43,13 @@
 // on the owner's record is silent accepts a job after a new owner has listed the jobs. If the host
 // notified only the previous owner, that one would start the job. So each write requires that the owner's
 // record is unchanged.
-func TestHostLearnsOfTheOwnerBeforeAJobIsKept(t *testing.T) {
+func TestJobIsStoredUnderTheLatestOwner(t *testing.T) {
 	g := NewWithT(t)
 	p := startPlatform(t)
 	h := newHostUnderOwner(t, p)
 	g.Expect(h.knownTerm()).To(Equal(int64(1)))
-	putHolder(t, p, "second", 2)
-	keep(t, h, "00000000000000a1")
+	putOwnerRecord(t, p, "second", 2)
+	submitJob(t, h, "00000000000000a1")
 	g.Expect(h.knownTerm()).To(Equal(int64(2)))
 	record, err := job.DecodeRecord(p.Store.Value(jobstore.JobKey("00000000000000a1")))
 	g.Expect(err).NotTo(HaveOccurred())
@@ -57,22 +57,22 @@
 }
 
 // Writes continue when the owner changes, also several at once and for keys that exist already.
-func TestIntakeGoesOnWhenTheOwnerChanges(t *testing.T) {
+func TestWritesContinueWhenTheOwnerChanges(t *testing.T) {
 	g := NewWithT(t)
 	p := startPlatform(t)
 	h := newHostUnderOwner(t, p)
 	for term := int64(2); term < 6; term++ {
-		keep(t, h, "00000000000000b1")
-		putHolder(t, p, "other", term)
+		submitJob(t, h, "00000000000000b1")
+		putOwnerRecord(t, p, "other", term)
 		for _, id := range []string{"00000000000000b1", "00000000000000b2", fmt.Sprintf("%016x", term)} {
-			keep(t, h, id)
+			submitJob(t, h, id)
 		}
 		g.Expect(h.knownTerm()).To(Equal(term))
 	}
 }
 
 // submitJob submits a job to a host, which must accept it.
-func keep(t *testing.T, h *Host, id string) {
+func submitJob(t *testing.T, h *Host, id string) {
 	t.Helper()
-	NewWithT(t).Expect(handIn(t, h, id).Code).To(Equal(http.StatusOK))
+	NewWithT(t).Expect(postJob(t, h, id).Code).To(Equal(http.StatusOK))
 }
--- a/pkg/jobhost/owner_list.go
+++ b/pkg/jobhost/owner_list.go
@@ -9,27 +9,27 @@
 
 // ownerListValidity is for how long a list from the owner stays in force: two slow heartbeats. Without a
 // responsive owner nothing is refused on its behalf.
-const refusalsHold = 2 * time.Second
+const ownerListValidity = 2 * time.Second
 
 // ownerList is a list that the owner sends with its heartbeats. It is safe for concurrent use.
-type told[T any] struct {
-	last atomic.Pointer[toldList[T]]
+type ownerList[T any] struct {
+	last atomic.Pointer[receivedList[T]]
 }
 
-type toldList[T any] struct {
-	at   clock.Time
-	list []T
+type receivedList[T any] struct {
+	receivedAt clock.Time
+	list       []T
 }
 
 // set stores a list that was received from the owner.
-func (l *told[T]) put(list []T, now clock.Time) {
-	l.last.Store(&toldList[T]{now, list})
+func (l *ownerList[T]) set(list []T, now clock.Time) {
+	l.last.Store(&receivedList[T]{now, list})
 }
 
 // current returns the list in force; nil if none was received recently.
-func (l *told[T]) now(now clock.Time) []T {
+func (l *ownerList[T]) current(now clock.Time) []T {
 	last := l.last.Load()
-	if last == nil || now.Sub(last.at) > refusalsHold {
+	if last == nil || now.Sub(last.receivedAt) > ownerListValidity {
 		return nil
 	}
 	return last.list
--- a/pkg/jobhost/recorded_workers_test.go
+++ b/pkg/jobhost/recorded_workers_test.go
@@ -10,7 +10,7 @@
 
 // Guards against tasks that are started a second time: an owner must not rely on recorded workers if an
 // owner in between did not record them.
-func TestNamedFromHoldsOnlyWithoutAGap(t *testing.T) {
+func TestRecordWorkersFromTermHasNoGap(t *testing.T) {
 	for name, test := range map[string]struct {
 		rate     float64
 		previous string
@@ -29,10 +29,10 @@
 			cfg := platform.Settings{}
 			cfg.Store.WritesPerSecond = test.rate
 			h.cfg.Store(&cfg)
-			holder, err := jobstore.DecodeHolder([]byte(test.previous))
+			record, err := jobstore.DecodeOwnerRecord([]byte(test.previous))
 			g.Expect(err).NotTo(HaveOccurred())
-			h.election.holder = holder
-			g.Expect(h.namedFrom(7)).To(Equal(test.want))
+			h.election.ownerRecord = record
+			g.Expect(h.recordWorkersFromTerm(7)).To(Equal(test.want))
 		})
 	}
 }
--- a/pkg/jobhost/refused_queues_test.go
+++ b/pkg/jobhost/refused_queues_test.go
@@ -14,47 +14,47 @@
 )
 
 // postJob submits a job to a host's job handler and returns the answer.
-func handIn(t *testing.T, h *Host, id string) *httptest.ResponseRecorder {
+func postJob(t *testing.T, h *Host, id string) *httptest.ResponseRecorder {
 	t.Helper()
-	r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+emulator.QueueHost+emulator.Prefix+id, strings.NewReader(`{"spec":"x","steps":[{"count":1}]}`))
+	r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+emulator.QueueHost+emulator.PathPrefix+id, strings.NewReader(`{"spec":"x","steps":[{"count":1}]}`))
 	r.Host = emulator.QueueHost
 	w := httptest.NewRecorder()
-	h.door().ServeHTTP(w, r)
+	h.jobHandler().ServeHTTP(w, r)
 	return w
 }
 
 // The owner has reported that a queue accepts no jobs. A new job is refused with a time to retry, and not
 // stored. A job that was accepted earlier stays accepted.
-func TestQueueThatTakesInNoJobsRefusesNewOnesOnly(t *testing.T) {
+func TestRefusedQueueRejectsOnlyNewJobs(t *testing.T) {
 	g := NewWithT(t)
 	p := startPlatform(t)
 	p.PutConfig(1)
 	h, _ := newTestHost(t, p)
 	items, _, err := h.store.List(t.Context(), "op/")
 	g.Expect(err).NotTo(HaveOccurred())
-	h.takeOperatorItems(items)
-	go h.intake.run(t.Context())
+	h.applyOperatorItems(items)
+	go h.writer.run(t.Context())
 
-	g.Expect(handIn(t, h, "5c0e7a21d94b36f8").Code).To(Equal(http.StatusOK))
-	h.refusals.put([]*poolpb.Refusal{{Queue: h.config.Load().Queues[0].Name, WaitMs: 13_200, RetryAfterMs: 4200}}, h.clk.Now())
-	w := handIn(t, h, "5c0e7a21d94b36f9")
+	g.Expect(postJob(t, h, "5c0e7a21d94b36f8").Code).To(Equal(http.StatusOK))
+	h.refusedQueues.set([]*poolpb.Refusal{{Queue: h.config.Load().Queues[0].Name, WaitMs: 13_200, RetryAfterMs: 4200}}, h.clk.Now())
+	w := postJob(t, h, "5c0e7a21d94b36f9")
 	g.Expect(w.Code).To(Equal(http.StatusServiceUnavailable))
 	g.Expect(w.Header().Get("Retry-After")).To(Equal("5"))
 	g.Expect(p.Store.Values("foldarch/jobs/5c0e7a21d94b36f9")).To(BeEmpty())
-	g.Expect(handIn(t, h, "5c0e7a21d94b36f8").Code).To(Equal(http.StatusOK), "it is the same job")
-	g.Expect(h.figures.unserved.Count()).To(BeEquivalentTo(1))
+	g.Expect(postJob(t, h, "5c0e7a21d94b36f8").Code).To(Equal(http.StatusOK), "it is the same job")
+	g.Expect(h.metrics.queueRefused.Count()).To(BeEquivalentTo(1))
 }
 
 // A list from an owner that is no longer heard refuses no queue.
-func TestRefusalsHoldAsLongAsTheOwnerIsHeard(t *testing.T) {
+func TestRefusalsExpireWithoutTheOwner(t *testing.T) {
 	g := NewWithT(t)
-	var q queueRefusals
+	var q refusedQueueList
 	now := clock.Time(100_000)
-	g.Expect(q.of("fits", now)).To(BeNil())
-	q.put([]*poolpb.Refusal{{Queue: "fits"}}, now)
-	g.Expect(q.of("fits", now.Add(refusalsHold))).NotTo(BeNil())
-	g.Expect(q.of("others", now)).To(BeNil())
-	g.Expect(q.of("fits", now.Add(refusalsHold+time.Millisecond))).To(BeNil())
-	q.put(nil, now)
-	g.Expect(q.of("fits", now)).To(BeNil())
+	g.Expect(q.find("fits", now)).To(BeNil())
+	q.set([]*poolpb.Refusal{{Queue: "fits"}}, now)
+	g.Expect(q.find("fits", now.Add(ownerListValidity))).NotTo(BeNil())
+	g.Expect(q.find("others", now)).To(BeNil())
+	g.Expect(q.find("fits", now.Add(ownerListValidity+time.Millisecond))).To(BeNil())
+	q.set(nil, now)
+	g.Expect(q.find("fits", now)).To(BeNil())
 }
--- a/pkg/jobhost/reload.go
+++ b/pkg/jobhost/reload.go
@@ -13,14 +13,14 @@
 )
 
 // settingsCheckInterval is how often the settings file is checked for changes, in addition to SIGHUP.
-const settingsEvery = 2 * time.Second
+const settingsCheckInterval = 2 * time.Second
 
 // watchSettings applies changes of the settings file without a restart. It runs until ctx ends.
 func (h *Host) watchSettings(ctx context.Context, path string) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
-	platform.WatchSettings(ctx, path, settingsEvery, hangups, h.applySettings, func(err error) {
+	platform.WatchSettings(ctx, path, settingsCheckInterval, hangups, h.applySettings, func(err error) {
 		h.log.WithField("error", err).Error("settings_refused")
 	})
 }
@@ -30,12 +30,12 @@
 func (h *Host) applySettings(s platform.Settings) {
 	old := h.cfg.Swap(&s)
 	h.store.SetAddress(s.Store.Address)
-	if s.Advice != old.Advice {
-		h.setAdvice(s.Advice)
+	if s.AdviceAddress != old.AdviceAddress {
+		h.setAdvice(s.AdviceAddress)
 	}
 	debug.SetMemoryLimit(memoryLimit(s))
 	h.log.WithFields(logrus.Fields{
-		"restart_needed": s.Callers != old.Callers || s.Ready != old.Ready || s.Peers != old.Peers || s.Name != old.Name,
+		"restart_needed": s.CallerAddress != old.CallerAddress || s.ReadyAddress != old.ReadyAddress || s.PeerAddress != old.PeerAddress || s.Name != old.Name,
 	}).Info("settings_reloaded")
 	h.logWarnings(s)
 }
@@ -48,5 +48,5 @@
 }
 
 func memoryLimit(s platform.Settings) int64 {
-	return int64(float64(s.MemoryBytes) * memoryShare)
+	return int64(float64(s.MemoryBytes) * memoryLimitShare)
 }
--- a/pkg/jobhost/write_queue.go
+++ b/pkg/jobhost/write_queue.go
@@ -11,7 +11,7 @@
 )
 
 // maxWaitingWrites bounds the number of waiting writes.
-const mostWaiting = 512
+const maxWaitingWrites = 512
 
 // write is a request to write one key if it does not exist yet.
 type write struct {
@@ -19,8 +19,8 @@
 	key   string
 	value []byte
 	// ownerRevision is the required revision of the owner's record; 0 for no record.
-	holder int64
-	done   chan putResult
+	ownerRevision int64
+	done          chan writeResult
 }
 
 // deadline returns when the caller stops waiting; an hour from now if that is unknown.
@@ -33,26 +33,26 @@
 
 // refuse answers a write that was not sent.
 func (w *write) refuse(reason string) {
-	w.done <- putResult{err: errors.Wrap(platform.ErrRefused, reason)}
+	w.done <- writeResult{err: errors.Wrap(platform.ErrRefused, reason)}
 }
 
 // writeQueue holds the writes that were not sent yet. It is safe for concurrent use.
 type writeQueue struct {
-	more chan struct{} // of capacity 1: signals that writes are waiting
+	notEmpty chan struct{} // of capacity 1: signals that writes are waiting
 
 	mu      sync.Mutex
 	waiting []*write
 }
 
 func newWriteQueue() *writeQueue {
-	return &writeQueue{more: make(chan struct{}, 1)}
+	return &writeQueue{notEmpty: make(chan struct{}, 1)}
 }
 
 // add adds a write and reports whether there was room.
-func (q *writeQueue) put(w *write) bool {
+func (q *writeQueue) add(w *write) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if len(q.waiting) >= mostWaiting {
+	if len(q.waiting) >= maxWaitingWrites {
 		return false
 	}
 	q.waiting = append(q.waiting, w)
@@ -62,7 +62,7 @@
 
 func (q *writeQueue) signal() {
 	select {
-	case q.more <- struct{}{}:
+	case q.notEmpty <- struct{}{}:
 	default:
 	}
 }
@@ -106,7 +106,7 @@
 
 // refuseAll refuses all waiting writes.
 func (q *writeQueue) refuseAll(reason string) {
-	for _, w := range q.take(mostWaiting, false) {
+	for _, w := range q.take(maxWaitingWrites, false) {
 		w.refuse(reason)
 	}
 }
--- a/pkg/jobstore/keys.go
+++ b/pkg/jobstore/keys.go
@@ -15,8 +15,8 @@
 	JobsPrefix     = "foldarch/jobs/"
 	ProgressPrefix = "foldarch/progress/"
 	OwnerPrefix    = "foldarch/owner/"
-	HolderKey      = OwnerPrefix + "holder"
-	AliveKey       = OwnerPrefix + "alive"
+	OwnerRecordKey = OwnerPrefix + "holder"
+	OwnerLeaseKey  = OwnerPrefix + "alive"
 	RosterPrefix   = "foldarch/roster/"
 
 	cancelSuffix = "/cancel"
@@ -26,7 +26,7 @@
 // MaxParallelCommits is how many independent sequences of commits an owner may have. The transaction that
 // makes another host the owner replaces the commit keys of all of them, so that further commits of the
 // previous owner fail.
-const CommitLanes = 6
+const MaxParallelCommits = 6
 
 // CommitKey returns the key that each commit of a sequence replaces.
 func CommitKey(n int) string {
@@ -66,27 +66,27 @@
 }
 
 // OwnerRecord describes the host that owns the pool.
-type Holder struct {
-	Name    string         `json:"name"`
-	Life    string         `json:"life"` // of the process
-	Address netip.AddrPort `json:"address"`
+type OwnerRecord struct {
+	Name        string         `json:"name"`
+	Incarnation string         `json:"life"` // of the process
+	Address     netip.AddrPort `json:"address"`
 	// Term is the number of owners up to this one.
 	Term int64 `json:"term"`
 	// RecordWorkersFromTerm is the first term from which on every owner has recorded a job's workers
 	// (job.Progress) before it started the job there; 0 if this owner does not record them. It applies to
 	// jobs that were accepted under that term or a later one.
-	NamedFrom int64 `json:"named_from,omitempty"`
+	RecordWorkersFromTerm int64 `json:"named_from,omitempty"`
 }
 
 // Encode returns the record as the store keeps it.
-func (r Holder) Encode() ([]byte, error) {
+func (r OwnerRecord) Encode() ([]byte, error) {
 	text, err := json.Marshal(r)
 	return text, errors.Wrap(err, "encode owner record")
 }
 
 // DecodeOwnerRecord decodes what Encode returned.
-func DecodeHolder(text []byte) (Holder, error) {
-	var r Holder
+func DecodeOwnerRecord(text []byte) (OwnerRecord, error) {
+	var r OwnerRecord
 	err := json.Unmarshal(text, &r)
 	return r, errors.Wrap(err, "owner record")
 }
--- a/pkg/jobstore/watch_status_test.go
+++ b/pkg/jobstore/watch_status_test.go
@@ -11,29 +11,29 @@
 	logtest "github.com/sirupsen/logrus/hooks/test"
 )
 
-func TestFollowingLogsEachLossOnceWithItsAge(t *testing.T) {
+func TestWatchStatusLogsEachLossOnceWithItsAge(t *testing.T) {
 	g := NewWithT(t)
 	now := clock.Time(1_000)
 	log, hook := logtest.NewNullLogger()
-	s := NewFollowing(JobsPrefix, clock.Clock{Now: func() clock.Time { return now }}, logrus.NewEntry(log))
-	s.Known(now)
+	s := NewWatchStatus(JobsPrefix, clock.Clock{Now: func() clock.Time { return now }}, logrus.NewEntry(log))
+	s.RecordCurrent(now)
 	g.Expect(hook.AllEntries()).To(BeEmpty(), "nothing was lost")
 
 	now = now.Add(1400 * time.Millisecond)
-	s.Lost(errors.New("no answer"))
+	s.RecordFailure(errors.New("no answer"))
 	now = now.Add(time.Second)
-	s.Lost(errors.New("no answer again"))
+	s.RecordFailure(errors.New("no answer again"))
 	g.Expect(s.Age()).To(Equal(2400 * time.Millisecond))
 	g.Expect(hook.AllEntries()).To(HaveLen(1))
 	g.Expect(hook.LastEntry().Message).To(Equal("keys_lost"))
 	g.Expect(hook.LastEntry().Data).To(HaveKeyWithValue("age_ms", int64(1400)))
 
-	s.Known(now.Add(-100 * time.Millisecond)) // a list that was requested 0.1 s ago
+	s.RecordCurrent(now.Add(-100 * time.Millisecond)) // a list that was requested 0.1 s ago
 	g.Expect(hook.AllEntries()).To(HaveLen(2))
 	g.Expect(hook.LastEntry().Message).To(Equal("keys_regained"))
 	g.Expect(hook.LastEntry().Data).To(HaveKeyWithValue("age_ms", int64(2400)))
 	g.Expect(s.Age()).To(Equal(100 * time.Millisecond))
 
-	s.Lost(errors.New("no answer"))
+	s.RecordFailure(errors.New("no answer"))
 	g.Expect(hook.AllEntries()).To(HaveLen(3))
 }
--- a/pkg/keys/table.go
+++ b/pkg/keys/table.go
@@ -13,7 +13,7 @@
 }
 
 // Request is one arrival of a request with a key.
-type Use struct {
+type Request struct {
 	Key
 	// Digest is a hash of the request; a key may be reused only with the same digest.
 	Digest        uint64
@@ -69,70 +69,70 @@
 }
 
 // Table holds the keys of recent requests and their answers. It is not safe for concurrent use.
-type Memory struct {
+type Table struct {
 	cfg Config
 	// takeoverTime is when this owner's epoch began, zero when there was no owner before.
-	takenOver time.Time
-	entries   map[Key]*entry
-	order     []expiry // in order of time
-	bytes     int
-	uses      int
+	takeoverTime time.Time
+	entries      map[Key]*entry
+	expiries     []expiry // in order of time
+	bodyBytes    int
+	lastUseID    int
 }
 
 type entry struct {
-	digest uint64
-	ended  bool
-	kept   bool
-	answer Answer
-	use    int // tells this entry from an earlier one of the same key that was removed by Abort
+	digest   uint64
+	finished bool
+	bodyKept bool
+	answer   Answer
+	useID    int // tells this entry from an earlier one of the same key that was removed by Abort
 }
 
 type expiry struct {
-	key Key
-	at  time.Time
-	use int
+	key   Key
+	at    time.Time
+	useID int
 }
 
 // New returns an empty table for an owner that took the shard over at the given time, or
 // for the first owner of the shard when the time is zero.
-func New(cfg Config, takeoverTime time.Time) *Memory {
-	return &Memory{cfg: cfg, takenOver: takeoverTime, entries: map[Key]*entry{}}
+func New(cfg Config, takeoverTime time.Time) *Table {
+	return &Table{cfg: cfg, takeoverTime: takeoverTime, entries: map[Key]*entry{}}
 }
 
 // Len returns the number of keys in the table.
-func (t *Memory) Len() int {
+func (t *Table) Len() int {
 	return len(t.entries)
 }
 
 // Begin says what to do with a request. After Fresh the caller must call Finish or Abort.
-func (t *Memory) Begin(req Use, now time.Time) Verdict {
+func (t *Table) Begin(req Request, now time.Time) Verdict {
 	t.expire(now)
 	if e, ok := t.entries[req.Key]; ok {
-		return t.repeated(e, req)
+		return t.checkKnownKey(e, req)
 	}
-	if v := t.beforeMemory(req, now); v.Kind != Fresh {
+	if v := t.checkUnknownKey(req, now); v.Kind != Fresh {
 		return v
 	}
 	if len(t.entries) >= t.cfg.MaxKeys {
 		return Verdict{Kind: Full, RetryAfter: t.cfg.RetryAfter}
 	}
-	t.remember(req, now)
+	t.insert(req, now)
 	return Verdict{Kind: Fresh}
 }
 
-func (t *Memory) remember(req Use, now time.Time) {
-	t.uses++
-	t.entries[req.Key] = &entry{digest: req.Digest, use: t.uses}
-	t.order = append(t.order, expiry{req.Key, now.Add(t.cfg.Window), t.uses})
+func (t *Table) insert(req Request, now time.Time) {
+	t.lastUseID++
+	t.entries[req.Key] = &entry{digest: req.Digest, useID: t.lastUseID}
+	t.expiries = append(t.expiries, expiry{req.Key, now.Add(t.cfg.Window), t.lastUseID})
 }
 
-func (t *Memory) repeated(e *entry, req Use) Verdict {
+func (t *Table) checkKnownKey(e *entry, req Request) Verdict {
 	switch {
 	case e.digest != req.Digest:
 		return Verdict{Kind: Reused}
-	case !e.ended:
+	case !e.finished:
 		return Verdict{Kind: InProgress, RetryAfter: t.cfg.RetryAfter}
-	case !e.kept:
+	case !e.bodyKept:
 		return Verdict{Kind: AnsweredNoBody, Answer: e.answer}
 	}
 	return Verdict{Kind: Answered, Answer: e.answer}
@@ -140,7 +140,7 @@
 
 // checkUnknownKey decides about a request whose key is not in the table. The key may have
 // been used before this owner took over, or so long ago that its entry has expired.
-func (t *Memory) beforeMemory(req Use, now time.Time) Verdict {
+func (t *Table) checkUnknownKey(req Request, now time.Time) Verdict {
 	if !req.IssuedAt.IsZero() {
 		if req.IssuedAt.After(now.Add(t.cfg.MaxSkew)) {
 			return Verdict{Kind: TooEarly}
@@ -149,10 +149,10 @@
 			return Verdict{Kind: Unknown}
 		}
 	}
-	if t.takenOver.IsZero() || t.madeAfterTakeover(req) {
+	if t.takeoverTime.IsZero() || t.issuedAfterTakeover(req) {
 		return Verdict{Kind: Fresh}
 	}
-	sinceTakeover := now.Sub(t.takenOver)
+	sinceTakeover := now.Sub(t.takeoverTime)
 	if req.NotRepeatable {
 		if sinceTakeover > t.cfg.Window {
 			return Verdict{Kind: Fresh}
@@ -168,47 +168,47 @@
 // issuedAfterTakeover says whether the previous owner can't have accepted the key. This
 // holds even when the caller's clock is wrong: the previous owner refused keys issued more
 // than MaxSkew after its own time, and its clock differs from ours by at most MaxSkew.
-func (t *Memory) madeAfterTakeover(req Use) bool {
-	return !req.IssuedAt.IsZero() && req.IssuedAt.After(t.takenOver.Add(2*t.cfg.MaxSkew))
+func (t *Table) issuedAfterTakeover(req Request) bool {
+	return !req.IssuedAt.IsZero() && req.IssuedAt.After(t.takeoverTime.Add(2*t.cfg.MaxSkew))
 }
 
 // Finish records the answer of a request. The body is dropped when MaxBytes would be exceeded.
-func (t *Memory) Finish(k Key, a Answer) {
+func (t *Table) Finish(k Key, a Answer) {
 	e, ok := t.entries[k]
 	if !ok {
 		return
 	}
-	e.ended, e.kept = true, true
-	if t.bytes+len(a.Body) > t.cfg.MaxBytes {
-		a.Body, e.kept = nil, len(a.Body) == 0
+	e.finished, e.bodyKept = true, true
+	if t.bodyBytes+len(a.Body) > t.cfg.MaxBytes {
+		a.Body, e.bodyKept = nil, len(a.Body) == 0
 	}
-	t.bytes += len(a.Body)
+	t.bodyBytes += len(a.Body)
 	e.answer = a
 }
 
 // Abort removes the key of a request that certainly did not run, so that it can be used again.
-func (t *Memory) Forget(k Key) {
-	if e, ok := t.entries[k]; ok && !e.ended {
+func (t *Table) Abort(k Key) {
+	if e, ok := t.entries[k]; ok && !e.finished {
 		delete(t.entries, k)
 	}
 }
 
 // expire removes the keys whose window has passed. A key in progress stays for another window.
-func (t *Memory) expire(now time.Time) {
+func (t *Table) expire(now time.Time) {
 	n := 0
-	for n < len(t.order) && now.After(t.order[n].at) {
-		next := t.order[n]
+	for n < len(t.expiries) && now.After(t.expiries[n].at) {
+		next := t.expiries[n]
 		n++
 		e, ok := t.entries[next.key]
-		if !ok || e.use != next.use {
+		if !ok || e.useID != next.useID {
 			continue
 		}
-		if !e.ended {
-			t.order = append(t.order, expiry{next.key, now.Add(t.cfg.Window), next.use})
+		if !e.finished {
+			t.expiries = append(t.expiries, expiry{next.key, now.Add(t.cfg.Window), next.useID})
 			continue
 		}
-		t.bytes -= len(e.answer.Body)
+		t.bodyBytes -= len(e.answer.Body)
 		delete(t.entries, next.key)
 	}
-	t.order = t.order[n:]
+	t.expiries = t.expiries[n:]
 }
--- a/pkg/latestart/latestart_test.go
+++ b/pkg/latestart/latestart_test.go
@@ -17,7 +17,7 @@
 
 // Guards against a start under a new number, or on another worker, while an incarnation may carry out the
 // late one.
-func TestNextRunRepeatsTheNumberUntilARunWithItHasEnded(t *testing.T) {
+func TestNextRunReusesNumberUntilRunWithItEnds(t *testing.T) {
 	for name, c := range map[string]struct {
 		start           Start
 		numbers         RunNumbers
@@ -47,7 +47,7 @@
 // Guards against a start on another worker beside a run that no worker has reported. Only an answer to a
 // poll sent after the late start's expiry, or a confirmed ownership after the leases expired, tells that
 // the run has ended.
-func TestBoundStartIsOverWhenWhatItBeganHasEnded(t *testing.T) {
+func TestBoundStartExpiresOnceItsRunHasEnded(t *testing.T) {
 	expiry := sent.Add(MaxDelay)
 	leaseExpiry := expiry.Add(time.Second)
 	for name, c := range map[string]struct {
@@ -74,7 +74,7 @@
 
 // Guards against a late start that is taken for carried out when a run with its number is seen on the
 // same incarnation, on another worker, or while two starts have that number.
-func TestOnlyTheNextLifeOfTheWorkerCarriesTheOneStartOut(t *testing.T) {
+func TestOnlyNextIncarnationExecutesLateStart(t *testing.T) {
 	for name, c := range map[string]struct {
 		starts      []Start
 		incarnation int64
@@ -97,11 +97,11 @@
 
 // Guards against a later owner that drops an invalidated start which a worker's list doesn't settle, or
 // that waits for a start which a worker has answered.
-func TestStartOfAFormerOwnerIsSettledUnlessItWasVoid(t *testing.T) {
+func TestExecutedStartOfPreviousOwnerIsRemovedUnlessInvalidated(t *testing.T) {
 	g := NewWithT(t)
 	var x TaskStarts
-	x.LoadUnanswered(job.Unanswered{Run: 1, Worker: "w1@1"}, "w1", sent.Add(MaxDelay))
-	x.LoadUnanswered(job.Unanswered{Run: 2, Worker: "w1@1", Void: true}, "w1", sent.Add(MaxDelay))
+	x.LoadUnanswered(job.UnansweredStart{Run: 1, Worker: "w1@1"}, "w1", sent.Add(MaxDelay))
+	x.LoadUnanswered(job.UnansweredStart{Run: 2, Worker: "w1@1", Invalidated: true}, "w1", sent.Add(MaxDelay))
 	x.RemoveExecuted(1)
 	x.RemoveExecuted(2)
 	g.Expect(x.Unanswered()).To(HaveLen(1))
@@ -112,7 +112,7 @@
 
 // Guards against a later owner whose clock is behind and takes a start for expired too early, and against
 // one that waits longer than MaxDelay for it.
-func TestTimeOfAFormerOwnerIsTakenWithTheDifferenceOfClocks(t *testing.T) {
+func TestExpiryAllowsForClockDifference(t *testing.T) {
 	g := NewWithT(t)
 	wall, maxSkew := time.Unix(1000, 0), 5*time.Second
 	g.Expect(ExpiryOf(wall, wall, maxSkew, sent)).To(Equal(sent.Add(MaxDelay)))
@@ -122,7 +122,7 @@
 }
 
 // Guards against acknowledging ends from a delayed one on: the worker would forget the delayed end.
-func TestEndsAreNotedUpToTheFirstThatIsHeld(t *testing.T) {
+func TestEndsAreAckableUpToFirstDelayed(t *testing.T) {
 	g := NewWithT(t)
 	var delays AckDelays
 	delays.Add(3, sent)
@@ -134,7 +134,7 @@
 
 // Guards against a gang that waits though there is room, because a member that is not bound takes the
 // room of one that is.
-func TestBoundMembersGetTheirWorkersFirst(t *testing.T) {
+func TestBoundMembersAreAssignedFirst(t *testing.T) {
 	g := NewWithT(t)
 	free, first := &TaskStarts{}, &TaskStarts{}
 	first.Add(bound(1))
@@ -145,7 +145,7 @@
 
 // Guards against a start that counts as number reuse after it can't come any more, or no longer does
 // while it can.
-func TestRepeatedStartIsSettledByItsAnswerOrByTime(t *testing.T) {
+func TestNumberReuseEndsWithAnswerOrExpiry(t *testing.T) {
 	g := NewWithT(t)
 	c := StartCall{OrderedAt: sent, ReusesNumber: true}
 	c.RecordResult(true, sent+100)
--- a/pkg/latestart/task_starts.go
+++ b/pkg/latestart/task_starts.go
@@ -25,7 +25,7 @@
 	// FromPreviousOwner says that a previous owner sent the start, and Invalidated that this previous
 	// owner knew the start to have no effect on the incarnation it was sent to.
 	FromPreviousOwner, Invalidated bool
-	listed                         bool // returned by TakeNewBlocking
+	returned                       bool // returned by TakeNewBlocking
 }
 
 // RunNumbers are the run numbers of a task, or of its whole gang.
@@ -38,7 +38,7 @@
 type TaskStarts struct {
 	starts []Start
 	// unanswered has the starts without an answer as they are put into the store (unanswered.go).
-	unanswered []job.Unanswered
+	unanswered []job.UnansweredStart
 }
 
 // Add adds a start that may come late.
@@ -109,10 +109,10 @@
 	var out []Start
 	for i := range t.starts {
 		s := &t.starts[i]
-		if s.listed || !s.blocksTask(n) {
+		if s.returned || !s.blocksTask(n) {
 			continue
 		}
-		s.listed = true
+		s.returned = true
 		out = append(out, *s)
 	}
 	return out
--- a/pkg/load/driver.go
+++ b/pkg/load/driver.go
@@ -20,16 +20,16 @@
 )
 
 const (
-	idleConns   = 256
-	callTimeout = 30 * time.Second
+	maxIdleConnsPerHost = 256
+	callTimeout         = 30 * time.Second
 
 	// The state of a batch request is polled at intervals that grow from initialPollInterval to
 	// maxPollInterval.
-	pollFirst = 20 * time.Millisecond
-	pollMost  = 500 * time.Millisecond
+	initialPollInterval = 20 * time.Millisecond
+	maxPollInterval     = 500 * time.Millisecond
 
-	submitTries  = 20
-	resubmitWait = 250 * time.Millisecond
+	maxSubmitAttempts = 20
+	resubmitInterval  = 250 * time.Millisecond
 )
 
 // Target is the cell that requests are sent to.
@@ -44,18 +44,18 @@
 	Speed float64
 	// KeepRecordedWork leaves the work duration of each request as recorded. Otherwise it is divided by Speed
 	// too.
-	KeepWork bool
+	KeepRecordedWork bool
 	// BatchGrace is how long, in addition to its work duration, an accepted batch request may take before it
 	// is recorded as batch_open.
-	Settle time.Duration
+	BatchGrace time.Duration
 }
 
 // driver is the state of one call of Run.
 type driver struct {
-	target Target
-	opt    Options
-	http   *http.Client
-	begin  time.Time
+	target    Target
+	opt       Options
+	http      *http.Client
+	startTime time.Time
 
 	mu     sync.Mutex
 	result *Result
@@ -67,22 +67,22 @@
 	if opt.Speed <= 0 {
 		opt.Speed = 1
 	}
-	transport := &http.Transport{MaxIdleConnsPerHost: idleConns, DisableCompression: true}
+	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConnsPerHost, DisableCompression: true}
 	defer transport.CloseIdleConnections()
 	d := &driver{
-		target: target, opt: opt, begin: time.Now(), result: newResult(),
+		target: target, opt: opt, startTime: time.Now(), result: newResult(),
 		http: &http.Client{Transport: transport, Timeout: callTimeout},
 	}
 	var senders sync.WaitGroup
 	for _, e := range events {
 		at := time.Duration(float64(e.At()) / opt.Speed)
-		if !waitUntil(ctx, d.begin.Add(at)) {
+		if !waitUntil(ctx, d.startTime.Add(at)) {
 			break
 		}
-		senders.Go(func() { d.send(ctx, e, d.begin.Add(at)) })
+		senders.Go(func() { d.send(ctx, e, d.startTime.Add(at)) })
 	}
 	senders.Wait()
-	d.result.Seconds = time.Since(d.begin).Seconds()
+	d.result.Seconds = time.Since(d.startTime).Seconds()
 	return d.result
 }
 
@@ -98,41 +98,41 @@
 	}
 }
 
-func (d *driver) entry() netip.AddrPort {
+func (d *driver) randomEntry() netip.AddrPort {
 	return d.target.Entries[rand.IntN(len(d.target.Entries))]
 }
 
 func (d *driver) send(ctx context.Context, e trace.Event, due time.Time) {
-	if !d.opt.KeepWork {
+	if !d.opt.KeepRecordedWork {
 		e.WorkMS = max(int64(float64(e.WorkMS)/d.opt.Speed), 1)
 	}
 	if e.Batch {
 		d.runBatch(ctx, e, due)
 		return
 	}
-	d.call(ctx, e, due)
+	d.sendCall(ctx, e, due)
 }
 
-func (d *driver) call(ctx context.Context, e trace.Event, due time.Time) {
+func (d *driver) sendCall(ctx context.Context, e trace.Event, due time.Time) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost,
-		fmt.Sprintf("http://%s/v1/services/%s/calls", d.entry(), e.Workload), strings.NewReader(e.Body()))
+		fmt.Sprintf("http://%s/v1/services/%s/calls", d.randomEntry(), e.Workload), strings.NewReader(e.Body()))
 	if err != nil {
 		return
 	}
 	req.Header.Set("Content-Type", "application/octet-stream")
 	req.Header.Set("Foldarch-Caller", e.Caller)
-	setIf(req, "Idempotency-Key", e.Key)
-	setIf(req, "Foldarch-Class", e.Class)
+	setNonEmptyHeader(req, "Idempotency-Key", e.Key)
+	setNonEmptyHeader(req, "Foldarch-Class", e.Class)
 	if e.Key != "" {
 		req.Header.Set("Foldarch-Issued-At", strconv.FormatInt(time.Now().UnixMilli(), 10))
 	}
 	if e.LimitMS > 0 {
 		req.Header.Set("Foldarch-Deadline", strconv.FormatInt(time.Now().UnixMilli()+e.LimitMS, 10))
 	}
-	if e.Once {
+	if e.NotRepeatable {
 		req.Header.Set("Foldarch-Not-Repeatable", "true")
 	}
-	status, body, err := d.do(req)
+	status, body, err := d.roundTrip(req)
 	work := time.Duration(e.WorkMS) * time.Millisecond
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -145,17 +145,17 @@
 		d.result.add(e, outcome{name: "wrong_answer"})
 	default:
 		took := time.Since(due)
-		d.result.add(e, outcome{name: result.OK.String(), took: took, waited: max(took-work, 0), at: time.Since(d.begin)})
+		d.result.add(e, outcome{name: result.OK.String(), took: took, wait: max(took-work, 0), endedAt: time.Since(d.startTime)})
 	}
 }
 
-func setIf(req *http.Request, header, value string) {
+func setNonEmptyHeader(req *http.Request, header, value string) {
 	if value != "" {
 		req.Header.Set(header, value)
 	}
 }
 
-func (d *driver) do(req *http.Request) (int, string, error) {
+func (d *driver) roundTrip(req *http.Request) (int, string, error) {
 	resp, err := d.http.Do(req)
 	if err != nil {
 		return 0, "", err
@@ -176,16 +176,16 @@
 
 // runBatch submits a batch request, polls its state until it has ended, and records the outcome.
 func (d *driver) runBatch(ctx context.Context, e trace.Event, due time.Time) {
-	id, name := d.submit(ctx, e)
+	id, name := d.submitBatch(ctx, e)
 	if id == "" {
-		d.finish(e, outcome{name: name})
+		d.recordOutcome(e, outcome{name: name})
 		return
 	}
-	pause := pollFirst
-	deadline := time.Now().Add(d.opt.Settle + time.Duration(e.WorkMS)*time.Millisecond)
+	pause := initialPollInterval
+	deadline := time.Now().Add(d.opt.BatchGrace + time.Duration(e.WorkMS)*time.Millisecond)
 	for time.Now().Before(deadline) && waitUntil(ctx, time.Now().Add(pause)) {
-		pause = min(pause*3/2, pollMost)
-		s, err := d.read(ctx, e, id)
+		pause = min(pause*3/2, maxPollInterval)
+		s, err := d.readBatch(ctx, e, id)
 		if err != nil {
 			continue
 		}
@@ -193,16 +193,16 @@
 			continue
 		}
 		took := time.Since(due)
-		o := outcome{name: "batch_" + string(s.State), took: took, at: time.Since(d.begin)}
-		o.waited = max(took-time.Duration(e.WorkMS)*time.Millisecond, 0)
-		o.late = e.Window > 0 && took > time.Duration(float64(e.Window)/d.opt.Speed)*time.Millisecond
-		d.finish(e, o)
+		o := outcome{name: "batch_" + string(s.State), took: took, endedAt: time.Since(d.startTime)}
+		o.wait = max(took-time.Duration(e.WorkMS)*time.Millisecond, 0)
+		o.missedWindow = e.WindowMS > 0 && took > time.Duration(float64(e.WindowMS)/d.opt.Speed)*time.Millisecond
+		d.recordOutcome(e, o)
 		return
 	}
-	d.finish(e, outcome{name: "batch_open"})
+	d.recordOutcome(e, outcome{name: "batch_open"})
 }
 
-func (d *driver) finish(e trace.Event, o outcome) {
+func (d *driver) recordOutcome(e trace.Event, o outcome) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.result.add(e, o)
@@ -210,20 +210,20 @@
 
 // submitBatch tries to submit a batch request until it is accepted, at most maxSubmitAttempts times. It
 // returns the id of the accepted request, or the name of the last problem.
-func (d *driver) submit(ctx context.Context, e trace.Event) (id, name string) {
+func (d *driver) submitBatch(ctx context.Context, e trace.Event) (id, name string) {
 	text, err := json.Marshal(map[string]string{"workload": e.Workload, "payload": e.Body()})
 	if err != nil {
 		return "", err.Error()
 	}
-	for range submitTries {
-		req, err := http.NewRequestWithContext(ctx, http.MethodPost, fmt.Sprintf("http://%s/v1/batches", d.entry()), bytes.NewReader(text))
+	for range maxSubmitAttempts {
+		req, err := http.NewRequestWithContext(ctx, http.MethodPost, fmt.Sprintf("http://%s/v1/batches", d.randomEntry()), bytes.NewReader(text))
 		if err != nil {
 			return "", err.Error()
 		}
 		req.Header.Set("Content-Type", "application/json")
 		req.Header.Set("Foldarch-Caller", e.Caller)
 		req.Header.Set("Idempotency-Key", e.Key)
-		status, body, err := d.do(req)
+		status, body, err := d.roundTrip(req)
 		var s entryapi.BatchStatus
 		if err == nil && status == http.StatusAccepted && s.UnmarshalJSON([]byte(body)) == nil {
 			return s.ID, ""
@@ -232,21 +232,21 @@
 		if err == nil {
 			name = problemName(body)
 		}
-		if !waitUntil(ctx, time.Now().Add(resubmitWait)) {
+		if !waitUntil(ctx, time.Now().Add(resubmitInterval)) {
 			break
 		}
 	}
 	return "", name
 }
 
-func (d *driver) read(ctx context.Context, e trace.Event, id string) (entryapi.BatchStatus, error) {
+func (d *driver) readBatch(ctx context.Context, e trace.Event, id string) (entryapi.BatchStatus, error) {
 	var s entryapi.BatchStatus
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s/v1/batches/%s", d.entry(), id), nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s/v1/batches/%s", d.randomEntry(), id), nil)
 	if err != nil {
 		return s, err
 	}
 	req.Header.Set("Foldarch-Caller", e.Caller)
-	_, body, err := d.do(req)
+	_, body, err := d.roundTrip(req)
 	if err != nil {
 		return s, err
 	}
--- a/pkg/load/experiment.go
+++ b/pkg/load/experiment.go
@@ -16,11 +16,11 @@
 
 // Experiment describes generated traffic in TOML.
 type Experiment struct {
-	Entries  []netip.AddrPort  `toml:"entries"`
-	Duration tomlfile.Duration `toml:"duration"`
-	Seed     uint64            `toml:"seed"`
-	Settle   tomlfile.Duration `toml:"settle"` // Options.BatchGrace of the run
-	Loads    []Load            `toml:"load"`
+	Entries    []netip.AddrPort  `toml:"entries"`
+	Duration   tomlfile.Duration `toml:"duration"`
+	Seed       uint64            `toml:"seed"`
+	BatchGrace tomlfile.Duration `toml:"settle"` // Options.BatchGrace of the run
+	Loads      []Load            `toml:"load"`
 }
 
 // Load is one stream of requests to a workload with Poisson arrivals.
@@ -95,10 +95,10 @@
 			return events
 		}
 		e := trace.Event{
-			AtMS: int64(at * 1000), Workload: l.Workload, Batch: l.Batch, Class: l.Class, Once: l.Once,
+			AtMS: int64(at * 1000), Workload: l.Workload, Batch: l.Batch, Class: l.Class, NotRepeatable: l.Once,
 			Caller:  fmt.Sprintf("caller-%d", rng.IntN(max(l.Callers, 1))),
 			WorkMS:  int64(float64(time.Duration(l.Work).Milliseconds()) * (0.5 + 0.5*rng.ExpFloat64())),
-			LimitMS: time.Duration(l.Deadline).Milliseconds(), Window: time.Duration(l.Window).Milliseconds(),
+			LimitMS: time.Duration(l.Deadline).Milliseconds(), WindowMS: time.Duration(l.Window).Milliseconds(),
 		}
 		if l.Keyed || l.Batch {
 			e.Key = fmt.Sprintf("x%d-%d-%d", stream, len(events), rng.Uint32())
--- a/pkg/load/result.go
+++ b/pkg/load/result.go
@@ -16,18 +16,18 @@
 
 // The histograms of waiting times count microseconds, from 1 µs to ten minutes.
 const (
-	histogramLowest  = 1
-	histogramHighest = int64(10 * time.Minute / time.Microsecond)
-	histogramDigits  = 2
+	histogramMinMicros         = 1
+	histogramMaxMicros         = int64(10 * time.Minute / time.Microsecond)
+	histogramSignificantDigits = 2
 )
 
 // outcome is the outcome of one request.
 type outcome struct {
-	name   string        // such as "ok", "batch_done", "connection_lost", or the name of a problem
-	took   time.Duration // since the scheduled time; 0 unless the call succeeded or the batch request ended
-	waited time.Duration // took without the work duration
-	at     time.Duration // since the start of the run; 0 if took is 0
-	late   bool          // a batch request ended after its window
+	name         string        // such as "ok", "batch_done", "connection_lost", or the name of a problem
+	took         time.Duration // since the scheduled time; 0 unless the call succeeded or the batch request ended
+	wait         time.Duration // took without the work duration
+	endedAt      time.Duration // since the start of the run; 0 if took is 0
+	missedWindow bool          // a batch request ended after its window
 }
 
 // Result is the result of a run.
@@ -67,28 +67,28 @@
 func (r *Result) add(e trace.Event, o outcome) {
 	w, ok := r.Workloads[e.Workload]
 	if !ok {
-		w = &Workload{ByName: map[string]int{}, waits: hdrhistogram.New(histogramLowest, histogramHighest, histogramDigits)}
+		w = &Workload{ByName: map[string]int{}, waits: hdrhistogram.New(histogramMinMicros, histogramMaxMicros, histogramSignificantDigits)}
 		r.Workloads[e.Workload] = w
 	}
 	w.Sent++
 	w.ByName[o.name]++
-	if o.late {
+	if o.missedWindow {
 		w.Late++
 	}
-	s := r.second(o.at)
+	s := r.timelineSecond(o.endedAt)
 	if o.took == 0 {
 		s.Refused++
 		return
 	}
 	s.Done++
-	s.WorstWait = max(s.WorstWait, millis(o.waited))
-	_ = w.waits.RecordValue(max(o.waited.Microseconds(), histogramLowest))
+	s.WorstWait = max(s.WorstWait, toMilliseconds(o.wait))
+	_ = w.waits.RecordValue(max(o.wait.Microseconds(), histogramMinMicros))
 	w.WaitP50 = float64(w.waits.ValueAtQuantile(50)) / 1000
 	w.WaitP99 = float64(w.waits.ValueAtQuantile(99)) / 1000
 	w.WaitMax = float64(w.waits.Max()) / 1000
 }
 
-func (r *Result) second(at time.Duration) *Second {
+func (r *Result) timelineSecond(at time.Duration) *Second {
 	i := int(at / time.Second)
 	for len(r.Timeline) <= i {
 		r.Timeline = append(r.Timeline, Second{})
@@ -96,7 +96,7 @@
 	return &r.Timeline[i]
 }
 
-func millis(d time.Duration) float64 {
+func toMilliseconds(d time.Duration) float64 {
 	return float64(d.Microseconds()) / 1000
 }
 
@@ -111,12 +111,12 @@
 	for _, name := range slices.Sorted(maps.Keys(r.Workloads)) {
 		s := r.Workloads[name]
 		fmt.Fprintf(w, "%-12s %7d %7d %6d %8.1fms %8.1fms %8.1fms  %s\n",
-			name, s.Sent, s.Done(), s.Late, s.WaitP50, s.WaitP99, s.WaitMax, s.others())
+			name, s.Sent, s.Done(), s.Late, s.WaitP50, s.WaitP99, s.WaitMax, s.formatOtherOutcomes())
 	}
 }
 
 // formatOtherOutcomes lists the outcomes that Done does not count, with their numbers.
-func (w *Workload) others() string {
+func (w *Workload) formatOtherOutcomes() string {
 	text := ""
 	for _, name := range slices.Sorted(maps.Keys(w.ByName)) {
 		if name != "ok" && name != "batch_done" {
@@ -161,12 +161,12 @@
 			fmt.Fprintf(w, "%-12s %10d %10s\n", name, x.Done(), "-")
 			continue
 		}
-		fmt.Fprintf(w, "%-12s %10d %10d %12.2f %12.2f\n", name, x.Done(), y.Done(), quotient(y.WaitP50, x.WaitP50), quotient(y.WaitP99, x.WaitP99))
+		fmt.Fprintf(w, "%-12s %10d %10d %12.2f %12.2f\n", name, x.Done(), y.Done(), ratioOrZero(y.WaitP50, x.WaitP50), ratioOrZero(y.WaitP99, x.WaitP99))
 	}
 }
 
 // ratioOrZero returns a/b, or 0 if b is 0.
-func quotient(a, b float64) float64 {
+func ratioOrZero(a, b float64) float64 {
 	if b == 0 {
 		return 0
 	}
--- a/pkg/loadcli/main.go
+++ b/pkg/loadcli/main.go
@@ -39,18 +39,18 @@
 		kong.Description("Drives a running cell, open-loop, and measures what callers see.\n\n"+
 			"Example: foldarch-load run --result before.json --plot before.png examples/load.toml"))
 	if err != nil {
-		return program.Complain(errOut, programName, err, program.ExitFault)
+		return program.ReportError(errOut, programName, err, program.ExitFailure)
 	}
 	ctx, err := parser.Parse(args)
 	if err != nil {
-		return program.Complain(errOut, programName, err, program.ExitUsage)
+		return program.ReportError(errOut, programName, err, program.ExitUsage)
 	}
 	if ctx.Command() == "" {
 		return program.ExitOK // --help was printed
 	}
 	ctx.BindTo(out, (*io.Writer)(nil))
 	if err := ctx.Run(); err != nil {
-		return program.Complain(errOut, programName, err, program.ExitFault)
+		return program.ReportError(errOut, programName, err, program.ExitFailure)
 	}
 	return program.ExitOK
 }
@@ -64,7 +64,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	r := load.Run(ctx, load.Target{Entries: e.Entries}, e.Events(), load.Options{Speed: 1, KeepWork: true, Settle: time.Duration(e.Settle)})
+	r := load.Run(ctx, load.Target{Entries: e.Entries}, e.Events(), load.Options{Speed: 1, KeepRecordedWork: true, BatchGrace: time.Duration(e.BatchGrace)})
 	r.Print(out)
 	if c.Result != "" {
 		if err := r.Save(c.Result); err != nil {
--- a/pkg/local/cell.go
+++ b/pkg/local/cell.go
@@ -25,40 +25,40 @@
 )
 
 const (
-	hostsPerHall   = 2
-	workersPerHall = 4
-	readyTimeout   = 30 * time.Second
-	readyPause     = 50 * time.Millisecond
-	leaveGrace     = 50 * time.Millisecond
+	entryHostsPerHall = 2
+	workersPerHall    = 4
+	readyTimeout      = 30 * time.Second
+	readyPollInterval = 50 * time.Millisecond
+	leaveGrace        = 50 * time.Millisecond
 )
 
 var (
-	halls    = []cell.Hall{"seoul-1", "seoul-2", "derby-1"}
-	capacity = cell.Resources{CPUMillis: 16000, MemoryMB: 65536}
+	halls          = []cell.Hall{"seoul-1", "seoul-2", "derby-1"}
+	workerCapacity = cell.Resources{CPUMillis: 16000, MemoryMB: 65536}
 )
 
 // localCell is a cell whose entry hosts and stand-ins all run in this process.
 type localCell struct {
-	out       io.Writer
-	farm      *standin.Farm
-	processes []*entry.Process
-	configs   []procconf.Entry
-	log       *decisionCounter
-	cancel    context.CancelFunc
-	running   sync.WaitGroup
+	out              io.Writer
+	standIns         *standin.Environment
+	processes        []*entry.Process
+	configs          []procconf.Entry
+	decisions        *decisionCounter
+	cancel           context.CancelFunc
+	runningProcesses sync.WaitGroup
 }
 
 // startCell starts the stand-ins and the entry hosts. The caller has to call close.
-func start(out io.Writer) (*localCell, error) {
-	farm, err := standin.StartFarm(standin.FarmConfig{Workers: standin.Uniform(halls, workersPerHall, capacity)})
+func startCell(out io.Writer) (*localCell, error) {
+	farm, err := standin.StartEnvironment(standin.EnvironmentConfig{Workers: standin.UniformWorkers(halls, workersPerHall, workerCapacity)})
 	if err != nil {
 		return nil, err
 	}
-	c := &localCell{out: out, farm: farm, log: &decisionCounter{}}
+	c := &localCell{out: out, standIns: farm, decisions: &decisionCounter{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	c.cancel = cancel
 	if err := c.startEntries(ctx); err != nil {
-		c.stop()
+		c.close()
 		return nil, err
 	}
 	fmt.Fprintf(out, "a cell of %d entry hosts and %d workers in %d halls, on the loopback\n",
@@ -68,7 +68,7 @@
 
 // startEntries starts entryHostsPerHall entry hosts in each hall.
 func (c *localCell) startEntries(ctx context.Context) error {
-	addresses, err := freeAddresses(2 * hostsPerHall * len(halls))
+	addresses, err := findFreeAddresses(2 * entryHostsPerHall * len(halls))
 	if err != nil {
 		return err
 	}
@@ -77,12 +77,12 @@
 		peers = append(peers, addresses[i])
 	}
 	for i, hall := range halls {
-		for n := range hostsPerHall {
+		for n := range entryHostsPerHall {
 			cfg := procconf.DefaultEntry()
-			at := 2 * (i*hostsPerHall + n)
+			at := 2 * (i*entryHostsPerHall + n)
 			cfg.ID, cfg.Hall = fmt.Sprintf("%s-%c", hall, 'a'+n), hall
 			cfg.CallersAddress, cfg.PeerAddress = addresses[at], addresses[at+1]
-			cfg.Store, cfg.Peers = []netip.AddrPort{c.farm.StoreAddress()}, peers
+			cfg.Store, cfg.Peers = []netip.AddrPort{c.standIns.StoreAddress()}, peers
 			cfg.Times.LeaveGrace = tomlfile.Duration(leaveGrace)
 			cfg.Limits.MemoryMB = 1024 // all entry hosts share this process
 			if err := c.startEntry(ctx, cfg); err != nil {
@@ -94,13 +94,13 @@
 }
 
 func (c *localCell) startEntry(ctx context.Context, cfg procconf.Entry) error {
-	p, err := entry.New(cfg, c.log.newLog())
+	p, err := entry.New(cfg, c.decisions.newLogger())
 	if err != nil {
 		return err
 	}
 	c.processes = append(c.processes, p)
 	c.configs = append(c.configs, cfg)
-	c.running.Go(func() {
+	c.runningProcesses.Go(func() {
 		if err := p.Run(ctx); err != nil {
 			fmt.Fprintf(c.out, "entry host %s: %v\n", cfg.ID, err)
 		}
@@ -117,7 +117,7 @@
 )
 
 // findFreeAddresses returns n loopback addresses with ports that nothing listens on.
-func freeAddresses(n int) ([]netip.AddrPort, error) {
+func findFreeAddresses(n int) ([]netip.AddrPort, error) {
 	var addresses []netip.AddrPort
 	for port := firstPort; port < lastPort && len(addresses) < n; port++ {
 		address := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(port))
@@ -133,13 +133,13 @@
 }
 
 // close stops the entry hosts, waits for them to end, and stops the stand-ins.
-func (c *localCell) stop() {
+func (c *localCell) close() {
 	c.cancel()
-	c.running.Wait()
-	c.farm.Close()
+	c.runningProcesses.Wait()
+	c.standIns.Close()
 }
 
-func (c *localCell) addresses() []netip.AddrPort {
+func (c *localCell) callersAddresses() []netip.AddrPort {
 	var list []netip.AddrPort
 	for _, cfg := range c.configs {
 		list = append(list, cfg.CallersAddress)
@@ -148,14 +148,14 @@
 }
 
 // applyDeclarations puts the embedded declarations in force.
-func (c *localCell) apply() error {
-	docs, err := documents()
+func (c *localCell) applyDeclarations() error {
+	docs, err := bundledDocuments()
 	if err != nil {
 		return err
 	}
 	clk := clock.System()
 	s, err := store.New(store.Config{
-		Addresses: []netip.AddrPort{c.farm.StoreAddress()}, CallTimeout: time.Second,
+		Addresses: []netip.AddrPort{c.standIns.StoreAddress()}, CallTimeout: time.Second,
 		ReadsPerSecond: 100, WritesPerSecond: 100,
 	}, dialer.New(nil, time.Second, metrics.NewCounter()), clk, metrics.NewRegistry())
 	if err != nil {
@@ -166,8 +166,8 @@
 }
 
 // waitUntilReady waits until all instances of all services run, at most readyTimeout.
-func (c *localCell) waitReady() error {
-	docs, err := documents()
+func (c *localCell) waitUntilReady() error {
+	docs, err := bundledDocuments()
 	if err != nil {
 		return err
 	}
@@ -179,17 +179,17 @@
 	for _, w := range tree.Workloads {
 		wanted += w.Instances
 	}
-	for begin := time.Now(); time.Since(begin) < readyTimeout; time.Sleep(readyPause) {
-		if c.endpoints() == wanted {
+	for begin := time.Now(); time.Since(begin) < readyTimeout; time.Sleep(readyPollInterval) {
+		if c.countEndpoints() == wanted {
 			fmt.Fprintf(c.out, "%d instances of services are placed and take requests after %.1f s\n", wanted, time.Since(begin).Seconds())
 			return nil
 		}
 	}
-	return errors.Newf("%d of %d instances run after %s", c.endpoints(), wanted, readyTimeout)
+	return errors.Newf("%d of %d instances run after %s", c.countEndpoints(), wanted, readyTimeout)
 }
 
 // countEndpoints returns the number of endpoints that the entry hosts route to.
-func (c *localCell) endpoints() int {
+func (c *localCell) countEndpoints() int {
 	n := 0
 	for _, p := range c.processes {
 		for _, s := range p.ShardStatuses() {
@@ -207,7 +207,7 @@
 }
 
 // newLogger returns a logger that prints nothing and whose events are counted.
-func (d *decisionCounter) newLog() *logrus.Entry {
+func (d *decisionCounter) newLogger() *logrus.Entry {
 	l := logrus.New()
 	l.SetOutput(io.Discard)
 	l.AddHook(d)
--- a/pkg/local/run.go
+++ b/pkg/local/run.go
@@ -22,7 +22,7 @@
 }
 
 // batchGrace is the load.Options.BatchGrace of the runs.
-const settle = 20 * time.Second
+const batchGrace = 20 * time.Second
 
 //go:embed declarations
 var declarations embed.FS
@@ -30,27 +30,27 @@
 // Run starts a cell, sends it recorded traffic, and prints the results. It returns an error if the run log of
 // the stand-ins shows a violated invariant.
 func Run(out io.Writer, opt Options) error {
-	c, err := start(out)
+	c, err := startCell(out)
 	if err != nil {
 		return err
 	}
-	defer c.stop()
-	if err := c.apply(); err != nil {
+	defer c.close()
+	if err := c.applyDeclarations(); err != nil {
 		return err
 	}
-	if err := c.waitReady(); err != nil {
+	if err := c.waitUntilReady(); err != nil {
 		return err
 	}
-	for _, name := range tracesOf(opt.Trace) {
-		if err := c.play(name, opt); err != nil {
+	for _, name := range traceNames(opt.Trace) {
+		if err := c.playTrace(name, opt); err != nil {
 			return err
 		}
 	}
-	c.printPlacement()
-	return c.printVerdict()
+	c.printShards()
+	return c.printViolations()
 }
 
-func tracesOf(name string) []trace.Name {
+func traceNames(name string) []trace.Name {
 	if name == "all" {
 		return []trace.Name{trace.Hanbit, trace.Association}
 	}
@@ -58,7 +58,7 @@
 }
 
 // playTrace sends the requests of a trace, sped up to fit the duration of the options, and prints the result.
-func (c *localCell) play(name trace.Name, opt Options) error {
+func (c *localCell) playTrace(name trace.Name, opt Options) error {
 	events, err := trace.Bundled(name)
 	if opt.Seed != trace.BundledSeed {
 		events, err = trace.Generate(name, opt.Seed), nil
@@ -69,13 +69,13 @@
 	length := events[len(events)-1].At()
 	speed := max(float64(length)/float64(opt.Duration), 1)
 	fmt.Fprintf(c.out, "\n%s: %d requests recorded in %s, sent %.0f times as fast\n\n", name, len(events), length.Round(time.Second), speed)
-	r := load.Run(context.Background(), load.Target{Entries: c.addresses()}, events, load.Options{Speed: speed, Settle: settle})
+	r := load.Run(context.Background(), load.Target{Entries: c.callersAddresses()}, events, load.Options{Speed: speed, BatchGrace: batchGrace})
 	r.Print(c.out)
 	return nil
 }
 
 // printShards prints the number of tasks and the CPU use of each shard, and the numbers of decisions.
-func (c *localCell) printPlacement() {
+func (c *localCell) printShards() {
 	fmt.Fprintf(c.out, "\n%-12s %-12s %6s %8s %6s %10s\n", "SHARD", "OWNER", "EPOCH", "WORKERS", "TASKS", "CPU IN USE")
 	for _, p := range c.processes {
 		for _, s := range p.ShardStatuses() {
@@ -84,17 +84,17 @@
 			}
 		}
 	}
-	placements, routes := c.log.counts()
+	placements, routes := c.decisions.counts()
 	fmt.Fprintf(c.out, "\n%d placements and %d routings decided\n", placements, routes)
 }
 
 // printViolations prints the number of runs and of violated invariants in the run log of the stand-ins. It
 // returns an error if there are violations.
-func (c *localCell) printVerdict() error {
-	v := c.farm.Ledger.Judge()
+func (c *localCell) printViolations() error {
+	v := c.standIns.RunLog.Check()
 	fmt.Fprintf(c.out, "%d runs in the back ends' ledger; violations: ", v.Runs)
 	violations := 0
-	for _, invariant := range standin.Promises() {
+	for _, invariant := range standin.Invariants() {
 		violations += v.Violations[invariant]
 	}
 	fmt.Fprintln(c.out, violations)
@@ -105,7 +105,7 @@
 }
 
 // bundledDocuments returns the embedded declarations by their path.
-func documents() (map[string]string, error) {
+func bundledDocuments() (map[string]string, error) {
 	docs := map[string]string{}
 	root, err := fs.Sub(declarations, "declarations")
 	if err != nil {
--- a/pkg/logring/writer.go
+++ b/pkg/logring/writer.go
@@ -12,8 +12,8 @@
 	closeTimeout = 200 * time.Millisecond
 	// batchDelay is how long lines are collected for one write of at most maxWriteBytes. A write of that size
 	// to a pipe is atomic, so lines are not split.
-	gatherFor = 20 * time.Millisecond
-	maxWrite  = 4000
+	batchDelay    = 20 * time.Millisecond
+	maxWriteBytes = 4000
 )
 
 // Writer writes log lines in the background. It is safe for concurrent use.
@@ -72,7 +72,7 @@
 			return
 		}
 		buffer.Write(line)
-		time.Sleep(gatherFor)
+		time.Sleep(batchDelay)
 		open := w.drain(&buffer, flush)
 		if n := w.dropped.Swap(0); n > 0 {
 			_, _ = fmt.Fprintf(&buffer, "level=warning msg=log_lines_dropped count=%d\n", n)
@@ -93,7 +93,7 @@
 			if line == nil {
 				return false
 			}
-			if buffer.Len()+len(line) > maxWrite {
+			if buffer.Len()+len(line) > maxWriteBytes {
 				flush()
 			}
 			buffer.Write(line)
--- a/pkg/logring/writer_test.go
+++ b/pkg/logring/writer_test.go
@@ -29,7 +29,7 @@
 	return o.text.String()
 }
 
-func TestLinesComeOutInOrder(t *testing.T) {
+func TestLinesAreWrittenInOrder(t *testing.T) {
 	g := NewWithT(t)
 	out := &slowOutput{release: make(chan struct{})}
 	close(out.release)
@@ -41,7 +41,7 @@
 	g.Expect(out.String()).To(Equal("a\nb\nc\n"))
 }
 
-func TestOutputThatBlocksDoesNotHoldUpWriters(t *testing.T) {
+func TestBlockedOutputDoesNotBlockWriters(t *testing.T) {
 	g := NewWithT(t)
 	out := &slowOutput{release: make(chan struct{})}
 	w := New(out, 10)
--- a/pkg/members/table.go
+++ b/pkg/members/table.go
@@ -13,17 +13,17 @@
 
 // The intervals and limits of the exchange of heartbeats.
 const (
-	beatInHall  = 1500 * time.Millisecond
-	beatOutside = 4 * time.Second
+	hallHeartbeatInterval      = 1500 * time.Millisecond
+	otherHallHeartbeatInterval = 4 * time.Second
 	// peersPerOtherHall is the number of processes of each other hall with which a process
 	// exchanges heartbeats per interval.
-	outsideEach = 1
-	aliveFor    = 5 * time.Second
-	forgetAfter = time.Minute
+	peersPerOtherHall = 1
+	aliveTimeout      = 5 * time.Second
+	forgetAfter       = time.Minute
 )
 
 // OwnedShard is one shard that a member owns.
-type Owned struct {
+type OwnedShard struct {
 	Shard cell.ShardID
 	Epoch cell.Epoch
 	Loads map[string]routing.Load
@@ -38,44 +38,44 @@
 	CallersAddress netip.AddrPort
 	Revision       int64 // of the settings in force
 	Draining       bool
-	Owned          []Owned
+	Owned          []OwnedShard
 
-	Heard clock.Time
+	LastHeard clock.Time
 }
 
 // Table holds the other processes by address. It is not safe for concurrent use.
 type Table struct {
-	self  Member
-	rows  map[netip.AddrPort]*row
-	turns map[cell.Hall]int
+	self      Member
+	rows      map[netip.AddrPort]*row
+	nextIndex map[cell.Hall]int
 }
 
 type row struct {
-	member    Member
-	known     bool // a heartbeat has come
-	seed      bool // from the settings; never removed
-	exchanged clock.Time
+	member       Member
+	heardFrom    bool // a heartbeat has come
+	seed         bool // from the settings; never removed
+	lastExchange clock.Time
 }
 
 // New returns a table of the process self without other processes.
 func New(self Member) *Table {
-	return &Table{self: self, rows: map[netip.AddrPort]*row{}, turns: map[cell.Hall]int{}}
+	return &Table{self: self, rows: map[netip.AddrPort]*row{}, nextIndex: map[cell.Hall]int{}}
 }
 
 // AddSeed adds an address from the process's own settings, which is never removed.
 func (t *Table) AddSeed(address netip.AddrPort) {
-	t.at(address).seed = true
+	t.getOrCreate(address).seed = true
 }
 
 // AddListed adds an address from the platform's host list.
 func (t *Table) AddListed(address netip.AddrPort, hall cell.Hall) {
-	r := t.at(address)
-	if !r.known {
+	r := t.getOrCreate(address)
+	if !r.heardFrom {
 		r.member.Hall = hall
 	}
 }
 
-func (t *Table) at(address netip.AddrPort) *row {
+func (t *Table) getOrCreate(address netip.AddrPort) *row {
 	r, ok := t.rows[address]
 	if !ok {
 		r = &row{member: Member{Address: address}}
@@ -85,33 +85,33 @@
 }
 
 // Update stores what a member reports about itself in a heartbeat.
-func (t *Table) Heard(m Member, now clock.Time) {
+func (t *Table) Update(m Member, now clock.Time) {
 	if m.Address == t.self.Address {
 		return
 	}
-	r := t.at(m.Address)
-	m.Heard = now
-	r.member, r.known, r.exchanged = m, true, now
+	r := t.getOrCreate(m.Address)
+	m.LastHeard = now
+	r.member, r.heardFrom, r.lastExchange = m, true, now
 }
 
 // DueHeartbeats returns the addresses with which to exchange a heartbeat now: all of the own hall
 // whose interval has passed, and of each other hall peersPerOtherHall members in turn. It also
 // removes the members that have not been heard from for forgetAfter.
-func (t *Table) Due(now clock.Time) []netip.AddrPort {
+func (t *Table) DueHeartbeats(now clock.Time) []netip.AddrPort {
 	var due []netip.AddrPort
 	otherHalls := map[cell.Hall][]*row{}
 	for address, r := range t.rows {
 		switch {
-		case address == t.self.Address || t.forget(address, r, now):
-		case r.known && r.member.Hall != t.self.Hall:
+		case address == t.self.Address || t.forgetIfStale(address, r, now):
+		case r.heardFrom && r.member.Hall != t.self.Hall:
 			otherHalls[r.member.Hall] = append(otherHalls[r.member.Hall], r)
-		case now.Sub(r.exchanged) >= t.interval(address) || r.exchanged == 0:
-			r.exchanged = now
+		case now.Sub(r.lastExchange) >= t.hallInterval(address) || r.lastExchange == 0:
+			r.lastExchange = now
 			due = append(due, address)
 		}
 	}
 	for hall, rows := range otherHalls {
-		due = append(due, t.dueOutside(hall, rows, now)...)
+		due = append(due, t.dueInOtherHall(hall, rows, now)...)
 	}
 	slices.SortFunc(due, func(a, b netip.AddrPort) int { return a.Compare(b) })
 	return due
@@ -120,31 +120,31 @@
 // hallInterval is how often this process starts an exchange with another process of its hall. An
 // exchange informs both sides, so the process with the lower address starts it, and the other one
 // only if the first is late.
-func (t *Table) interval(address netip.AddrPort) time.Duration {
+func (t *Table) hallInterval(address netip.AddrPort) time.Duration {
 	if t.self.Address.Compare(address) < 0 {
-		return beatInHall
+		return hallHeartbeatInterval
 	}
-	return 2 * beatInHall
+	return 2 * hallHeartbeatInterval
 }
 
-func (t *Table) dueOutside(hall cell.Hall, rows []*row, now clock.Time) []netip.AddrPort {
+func (t *Table) dueInOtherHall(hall cell.Hall, rows []*row, now clock.Time) []netip.AddrPort {
 	slices.SortFunc(rows, func(a, b *row) int { return a.member.Address.Compare(b.member.Address) })
-	latest := slices.MaxFunc(rows, func(a, b *row) int { return cmp.Compare(a.exchanged, b.exchanged) })
-	if now.Sub(latest.exchanged) < beatOutside {
+	latest := slices.MaxFunc(rows, func(a, b *row) int { return cmp.Compare(a.lastExchange, b.lastExchange) })
+	if now.Sub(latest.lastExchange) < otherHallHeartbeatInterval {
 		return nil
 	}
 	var due []netip.AddrPort
-	for range min(outsideEach, len(rows)) {
-		r := rows[t.turns[hall]%len(rows)]
-		t.turns[hall]++
-		r.exchanged = now
+	for range min(peersPerOtherHall, len(rows)) {
+		r := rows[t.nextIndex[hall]%len(rows)]
+		t.nextIndex[hall]++
+		r.lastExchange = now
 		due = append(due, r.member.Address)
 	}
 	return due
 }
 
-func (t *Table) forget(address netip.AddrPort, r *row, now clock.Time) bool {
-	if r.seed || !r.known || now.Sub(r.member.Heard) < forgetAfter {
+func (t *Table) forgetIfStale(address netip.AddrPort, r *row, now clock.Time) bool {
+	if r.seed || !r.heardFrom || now.Sub(r.member.LastHeard) < forgetAfter {
 		return false
 	}
 	delete(t.rows, address)
@@ -155,7 +155,7 @@
 func (t *Table) Alive(hall cell.Hall, now clock.Time) []Member {
 	var alive []Member
 	for _, r := range t.rows {
-		if r.known && r.member.Hall == hall && now.Sub(r.member.Heard) < aliveFor {
+		if r.heardFrom && r.member.Hall == hall && now.Sub(r.member.LastHeard) < aliveTimeout {
 			alive = append(alive, r.member)
 		}
 	}
@@ -167,7 +167,7 @@
 func (t *Table) All() []Member {
 	var all []Member
 	for _, r := range t.rows {
-		if r.known {
+		if r.heardFrom {
 			all = append(all, r.member)
 		}
 	}
@@ -190,7 +190,7 @@
 // Incarnation returns the incarnation that was last reported from an address.
 func (t *Table) Incarnation(address netip.AddrPort) (string, bool) {
 	r, ok := t.rows[address]
-	if !ok || !r.known {
+	if !ok || !r.heardFrom {
 		return "", false
 	}
 	return r.member.Incarnation, true
--- a/pkg/outcome/outcome_test.go
+++ b/pkg/outcome/outcome_test.go
@@ -12,7 +12,7 @@
 const at = clock.Time(1000)
 
 // Guards against an outcome that changes later: a job ends once.
-func TestFirstOutcomeOfAJobStands(t *testing.T) {
+func TestFirstOutcomeIsKept(t *testing.T) {
 	g := NewWithT(t)
 	o := New()
 	o.Put("a", Outcome{State: job.Completed, Customer: "north", LearnedAt: at})
@@ -24,7 +24,7 @@
 }
 
 // Guards against ends that are acknowledged too early because an earlier time replaces a later one.
-func TestLatestOfTheLateStartsCounts(t *testing.T) {
+func TestLatestLateStartExpiryIsKept(t *testing.T) {
 	g := NewWithT(t)
 	o := New()
 	o.Put("a", Outcome{State: job.Completed, LearnedAt: at})
@@ -37,7 +37,7 @@
 }
 
 // Guards against outcomes that are removed while callers may still ask for them, or kept for ever.
-func TestOutcomesAreForgottenInTheOrderInWhichTheyWereLearned(t *testing.T) {
+func TestOutcomesAreForgottenOldestFirst(t *testing.T) {
 	g := NewWithT(t)
 	o := New()
 	for n, id := range []job.ID{"c", "a", "b"} {
--- a/pkg/ownership/controller.go
+++ b/pkg/ownership/controller.go
@@ -12,7 +12,7 @@
 )
 
 // tickInterval is how often a controller examines its state machines.
-const tickEvery = 50 * time.Millisecond
+const tickInterval = 50 * time.Millisecond
 
 // Deps are a controller's connections to the store, the other processes and the clock. They are
 // functions, so that tests can replace them.
@@ -24,9 +24,9 @@
 	// Read returns the record in the store; revision 0 means that there is none.
 	Read func(ctx context.Context, shard cell.ShardID) (Record, int64, error)
 	// RequestGrant sends a grant request to a successor and returns its reply.
-	Ask func(ctx context.Context, successor Holder, shard cell.ShardID, request Ask) (Reply, error)
+	RequestGrant func(ctx context.Context, successor Holder, shard cell.ShardID, request GrantRequest) (GrantReply, error)
 	// HasEnded reports whether there is proof that a holder's process has ended.
-	Ended func(ctx context.Context, holder Holder) bool
+	HasEnded func(ctx context.Context, holder Holder) bool
 	// Peers lists the other processes of the hall that are alive and not about to stop.
 	Peers func() []Peer
 	// StoreUp reports whether the store has answered recently.
@@ -37,7 +37,7 @@
 // Peer is a process that may become a successor.
 type Peer struct {
 	Holder
-	Heard clock.Time
+	LastHeard clock.Time
 }
 
 // Authority is the permission of a process to act on a shard, under an epoch and until a time.
@@ -47,61 +47,61 @@
 }
 
 // Controller runs the state machines of the shards of one hall.
-type Keeper struct {
-	self  Holder
-	terms Terms
-	deps  Deps
-
-	mu       sync.Mutex
-	machines map[cell.ShardID]*shardKeeper
-	leaving  bool
+type Controller struct {
+	self   Holder
+	timing Timing
+	deps   Deps
+
+	mu      sync.Mutex
+	shards  map[cell.ShardID]*shardState
+	leaving bool
 	// suspects holds, by incarnation, the time at which a process was last found not to act as the
 	// owner or successor that it is. A process that is heard from after that time is not suspected.
-	suspects map[string]clock.Time
-	duties   sync.WaitGroup
+	suspects   map[string]clock.Time
+	background sync.WaitGroup
 }
 
 // shardState is a state machine with what the controller knows about the shard and which actions it
 // has under way.
-type shardKeeper struct {
+type shardState struct {
 	shard   cell.ShardID
-	machine *Machine
+	machine *StateMachine
 	// authority is read for every request, without the controller's lock.
-	authority atomic.Pointer[Authority]
-	lastRole  Role
-	lastEpoch cell.Epoch
-	asking    bool
-	probing   bool
-	writing   bool
-	seen      bool       // the store was read, so a shard without a known record has none
-	claimable clock.Time // when the shard was found free; 0 if it was not
+	authority  atomic.Pointer[Authority]
+	lastRole   Role
+	lastEpoch  cell.Epoch
+	requesting bool
+	probing    bool
+	writing    bool
+	storeRead  bool       // the store was read, so a shard without a known record has none
+	freeSince  clock.Time // when the shard was found free; 0 if it was not
 	// freeWriteID is the write id of the record under which the shard was found free.
-	freeRecord string
+	freeWriteID string
 }
 
 // NewController returns a controller for the given shards.
-func NewKeeper(self Holder, shards []cell.ShardID, terms Terms, deps Deps) *Keeper {
-	c := &Keeper{self: self, terms: terms, deps: deps, machines: map[cell.ShardID]*shardKeeper{}, suspects: map[string]clock.Time{}}
+func NewController(self Holder, shards []cell.ShardID, terms Timing, deps Deps) *Controller {
+	c := &Controller{self: self, timing: terms, deps: deps, shards: map[cell.ShardID]*shardState{}, suspects: map[string]clock.Time{}}
 	for _, shard := range shards {
-		s := &shardKeeper{shard: shard, machine: NewMachine(self, terms)}
+		s := &shardState{shard: shard, machine: NewStateMachine(self, terms)}
 		s.authority.Store(&Authority{})
-		c.machines[shard] = s
+		c.shards[shard] = s
 	}
 	return c
 }
 
 // Run runs the state machines until ctx ends, and returns when all actions are done.
-func (c *Keeper) Run(ctx context.Context) {
-	clock.Every(ctx, tickEvery, func() { c.Step(ctx) })
-	c.duties.Wait()
+func (c *Controller) Run(ctx context.Context) {
+	clock.Every(ctx, tickInterval, func() { c.Step(ctx) })
+	c.background.Wait()
 }
 
 // Step examines every state machine once and starts the actions that are due.
-func (c *Keeper) Step(ctx context.Context) {
+func (c *Controller) Step(ctx context.Context) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.deps.Clock.Now()
-	for _, s := range c.machines {
+	for _, s := range c.shards {
 		if s.machine.Tick(now) {
 			c.deps.Log.WithField("shard", s.shard).Warn("pause_noticed")
 		}
@@ -112,8 +112,8 @@
 
 // Authority returns the epoch of a shard, until when this process has authority over it, and
 // whether it has authority now. It takes no lock and is meant to be called right before each send.
-func (c *Keeper) Authority(shard cell.ShardID) (cell.Epoch, clock.Time, bool) {
-	s, ok := c.machines[shard]
+func (c *Controller) Authority(shard cell.ShardID) (cell.Epoch, clock.Time, bool) {
+	s, ok := c.shards[shard]
 	if !ok {
 		return 0, 0, false
 	}
@@ -122,21 +122,21 @@
 }
 
 // Records returns the newest known record of each shard of the hall.
-func (c *Keeper) Records() map[cell.ShardID]Record {
+func (c *Controller) Records() map[cell.ShardID]Record {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	records := make(map[cell.ShardID]Record, len(c.machines))
-	for shard, s := range c.machines {
+	records := make(map[cell.ShardID]Record, len(c.shards))
+	for shard, s := range c.shards {
 		records[shard], _ = s.machine.Record()
 	}
 	return records
 }
 
 // Record returns the newest known record of one shard.
-func (c *Keeper) Record(shard cell.ShardID) Record {
+func (c *Controller) Record(shard cell.ShardID) Record {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s, ok := c.machines[shard]
+	s, ok := c.shards[shard]
 	if !ok {
 		return Record{}
 	}
@@ -146,12 +146,12 @@
 
 // Owned returns the shards that this process owns, with their epochs, including those over which it
 // has no authority at the moment.
-func (c *Keeper) Owned() map[cell.ShardID]cell.Epoch {
+func (c *Controller) Owned() map[cell.ShardID]cell.Epoch {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	owned := map[cell.ShardID]cell.Epoch{}
-	for shard, s := range c.machines {
-		if s.machine.Role() == Owner {
+	for shard, s := range c.shards {
+		if s.machine.Role() == RoleOwner {
 			owned[shard] = s.machine.Epoch()
 		}
 	}
@@ -159,35 +159,35 @@
 }
 
 // Observe processes a record that was read from the store.
-func (c *Keeper) Observe(shard cell.ShardID, record Record, revision int64) {
+func (c *Controller) Observe(shard cell.ShardID, record Record, revision int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s, ok := c.machines[shard]
+	s, ok := c.shards[shard]
 	if !ok {
 		return
 	}
-	s.seen = true
+	s.storeRead = true
 	s.machine.Observe(record, revision, c.deps.Clock.Now())
 	c.publish(s)
 }
 
 // MarkStoreRead tells the controller that all records in the store were read, so that a shard whose
 // record is not known has none.
-func (c *Keeper) StoreSeen() {
+func (c *Controller) MarkStoreRead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, s := range c.machines {
-		s.seen = true
+	for _, s := range c.shards {
+		s.storeRead = true
 	}
 }
 
 // Grant handles a grant request of an owner.
-func (c *Keeper) Grant(shard cell.ShardID, request Ask) Reply {
+func (c *Controller) Grant(shard cell.ShardID, request GrantRequest) GrantReply {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s, ok := c.machines[shard]
+	s, ok := c.shards[shard]
 	if !ok || c.leaving {
-		return Reply{}
+		return GrantReply{}
 	}
 	reply := s.machine.Grant(request, c.deps.Clock.Now())
 	c.publish(s)
@@ -195,7 +195,7 @@
 }
 
 // publish makes the current authority visible to Authority and logs a change of role or epoch.
-func (c *Keeper) publish(s *shardKeeper) {
+func (c *Controller) publish(s *shardState) {
 	m := s.machine
 	s.authority.Store(&Authority{Epoch: m.Epoch(), Until: m.AuthorityUntil()})
 	if m.Role() == s.lastRole && m.Epoch() == s.lastEpoch {
--- a/pkg/ownership/controller_test.go
+++ b/pkg/ownership/controller_test.go
@@ -19,12 +19,12 @@
 
 // fakeHall replaces the store and the other processes of a hall.
 type fakeHall struct {
-	mu      sync.Mutex
-	now     clock.Time
-	written []Record
-	peers   []Peer
-	ended   map[string]bool
-	probes  int
+	mu     sync.Mutex
+	now    clock.Time
+	writes []Record
+	peers  []Peer
+	ended  map[string]bool
+	probes int
 }
 
 func (f *fakeHall) deps() Deps {
@@ -36,12 +36,14 @@
 			record, err := ParseRecord(text)
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			f.written = append(f.written, record)
+			f.writes = append(f.writes, record)
 			return expect + 1, err
 		},
 		Read: func(context.Context, cell.ShardID) (Record, int64, error) { return Record{}, 0, nil },
-		Ask:  func(context.Context, Holder, cell.ShardID, Ask) (Reply, error) { return Reply{}, nil },
-		Ended: func(_ context.Context, h Holder) bool {
+		RequestGrant: func(context.Context, Holder, cell.ShardID, GrantRequest) (GrantReply, error) {
+			return GrantReply{}, nil
+		},
+		HasEnded: func(_ context.Context, h Holder) bool {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			f.probes++
@@ -63,7 +65,7 @@
 	f.now = f.now.Add(d)
 }
 
-func (f *fakeHall) change(apply func()) {
+func (f *fakeHall) update(apply func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	apply()
@@ -72,56 +74,56 @@
 func (f *fakeHall) lastWritten() Record {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.written) == 0 {
+	if len(f.writes) == 0 {
 		return Record{}
 	}
-	return f.written[len(f.written)-1]
+	return f.writes[len(f.writes)-1]
 }
 
 // A new owner must not name the owner that it replaced as its successor, even while heartbeats
 // still count that process as alive. Otherwise it has no authority until that successor has been
 // silent for long enough: 3.4 s after a kill instead of 0.4 s.
-func TestFollowerDoesNotNameTheOwnerItFollowed(t *testing.T) {
+func TestNewOwnerDoesNotNameThePreviousOwnerAsSuccessor(t *testing.T) {
 	g := NewWithT(t)
-	f := &fakeHall{peers: []Peer{{Holder: alpha, Heard: 1}}, ended: map[string]bool{}}
-	c := NewKeeper(beta, []cell.ShardID{testShard}, DefaultTerms, f.deps())
+	f := &fakeHall{peers: []Peer{{Holder: alpha, LastHeard: 1}}, ended: map[string]bool{}}
+	c := NewController(beta, []cell.ShardID{testShard}, DefaultTiming, f.deps())
 	c.Observe(testShard, Record{Epoch: 1, Owner: alpha, Successor: beta, WriteID: "1"}, 1)
-	f.advance(DefaultTerms.Grant + DefaultTerms.Margin + time.Second)
+	f.advance(DefaultTiming.GrantDuration + DefaultTiming.ClockMargin + time.Second)
 	c.Step(context.Background())
 	g.Eventually(f.lastWritten, "10s").Should(HaveField("Epoch", BeEquivalentTo(2)))
 	g.Expect(f.lastWritten().Owner).To(Equal(beta))
 	g.Expect(f.lastWritten().Successor.IsNone()).To(BeTrue())
 
-	f.change(func() { f.peers[0].Heard = f.now.Add(time.Second) }) // it is heard from again
+	f.update(func() { f.peers[0].LastHeard = f.now.Add(time.Second) }) // it is heard from again
 	g.Eventually(func() string {
 		c.Step(context.Background())
 		return f.lastWritten().Successor.ID
 	}, "10s").Should(Equal(alpha.ID))
 }
 
-func TestOwnerProvenDeadIsFollowedAtOnce(t *testing.T) {
+func TestSuccessorTakesOverAtOnceFromAnEndedOwner(t *testing.T) {
 	g := NewWithT(t)
 	f := &fakeHall{ended: map[string]bool{alpha.Incarnation: true}}
-	c := NewKeeper(beta, []cell.ShardID{testShard}, DefaultTerms, f.deps())
+	c := NewController(beta, []cell.ShardID{testShard}, DefaultTiming, f.deps())
 	c.Observe(testShard, Record{Epoch: 1, Owner: alpha, Successor: beta, WriteID: "1"}, 1)
-	f.advance(DefaultTerms.AskEvery + DefaultTerms.Margin + 10*time.Millisecond)
+	f.advance(DefaultTiming.RequestInterval + DefaultTiming.ClockMargin + 10*time.Millisecond)
 	g.Eventually(func() cell.Epoch {
 		c.Step(context.Background())
 		return f.lastWritten().Epoch
 	}, "10s").Should(BeEquivalentTo(2))
 }
 
-func TestShardWithoutProofOfItsHoldersEndIsNotClaimed(t *testing.T) {
+func TestShardIsClaimedOnlyAfterProofThatBothHoldersEnded(t *testing.T) {
 	g := NewWithT(t)
 	f := &fakeHall{ended: map[string]bool{alpha.Incarnation: true}}
-	c := NewKeeper(gamma, []cell.ShardID{testShard}, DefaultTerms, f.deps())
+	c := NewController(gamma, []cell.ShardID{testShard}, DefaultTiming, f.deps())
 	c.Observe(testShard, Record{Epoch: 1, Owner: alpha, Successor: beta, WriteID: "1"}, 1)
 	for range 20 {
 		f.advance(time.Second)
 		c.Step(context.Background())
 	}
 	g.Expect(f.lastWritten()).To(Equal(Record{}))
-	f.change(func() { f.ended[beta.Incarnation] = true })
+	f.update(func() { f.ended[beta.Incarnation] = true })
 	g.Eventually(func() cell.Epoch {
 		f.advance(time.Second)
 		c.Step(context.Background())
@@ -132,21 +134,21 @@
 // A process that found a shard free waits for its turn before it claims the shard. If another
 // process becomes the owner in the meantime, the claim would take the shard from a live owner
 // without any proof, as the e2e spec of `foldarch release` showed.
-func TestShardThatWasTakenMeanwhileIsNotClaimed(t *testing.T) {
+func TestShardTakenWhileWaitingToClaimIsNotClaimed(t *testing.T) {
 	g := NewWithT(t)
 	var others []Peer
 	for i := range 30 {
 		id := fmt.Sprintf("peer-%d", i)
-		others = append(others, Peer{Holder: Holder{ID: id, Incarnation: id}, Heard: 1})
+		others = append(others, Peer{Holder: Holder{ID: id, Incarnation: id}, LastHeard: 1})
 	}
 	f := &fakeHall{peers: others, ended: map[string]bool{}}
-	c := NewKeeper(gamma, []cell.ShardID{testShard}, DefaultTerms, f.deps())
-	g.Expect(c.rank(testShard)).To(BeNumerically(">", 0))
-	c.StoreSeen()
+	c := NewController(gamma, []cell.ShardID{testShard}, DefaultTiming, f.deps())
+	g.Expect(c.claimRank(testShard)).To(BeNumerically(">", 0))
+	c.MarkStoreRead()
 	claimable := func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return c.machines[testShard].claimable != 0
+		return c.shards[testShard].freeSince != 0
 	}
 	f.advance(time.Second)
 	g.Eventually(func() bool { c.Step(context.Background()); return claimable() }, "10s").Should(BeTrue())
@@ -154,26 +156,26 @@
 	for range 50 {
 		f.advance(claimStagger)
 		c.Step(context.Background())
-		c.duties.Wait()
+		c.background.Wait()
 	}
 	g.Expect(f.lastWritten()).To(Equal(Record{}))
 }
 
 // If every bystander kept checking whether a live owner has ended, the checks would cost 1.6 KB/s
 // and 0.4% of a core for each host of a hall.
-func TestOwnerThatIsHeardOfIsNotProbed(t *testing.T) {
+func TestAliveOwnerIsNotProbed(t *testing.T) {
 	g := NewWithT(t)
-	f := &fakeHall{peers: []Peer{{Holder: alpha, Heard: 1}, {Holder: beta, Heard: 1}}, ended: map[string]bool{}}
-	c := NewKeeper(gamma, []cell.ShardID{testShard}, DefaultTerms, f.deps())
+	f := &fakeHall{peers: []Peer{{Holder: alpha, LastHeard: 1}, {Holder: beta, LastHeard: 1}}, ended: map[string]bool{}}
+	c := NewController(gamma, []cell.ShardID{testShard}, DefaultTiming, f.deps())
 	c.Observe(testShard, Record{Epoch: 1, Owner: alpha, Successor: beta, WriteID: "1"}, 1)
 	for range 20 {
 		f.advance(time.Second)
 		c.Step(context.Background())
-		c.duties.Wait()
+		c.background.Wait()
 	}
 	g.Expect(f.probes).To(BeZero())
-	f.change(func() { f.peers = nil })
+	f.update(func() { f.peers = nil })
 	c.Step(context.Background())
-	c.duties.Wait()
+	c.background.Wait()
 	g.Expect(f.probes).To(Equal(1))
 }
--- a/pkg/ownership/record.go
+++ b/pkg/ownership/record.go
@@ -34,12 +34,12 @@
 }
 
 // RecordKey returns the key of a shard's record.
-func KeyOf(shard cell.ShardID) string {
+func RecordKey(shard cell.ShardID) string {
 	return RecordPrefix + shard.String()
 }
 
 // ParseRecordKey returns the shard whose record has the given key.
-func ShardOfKey(key string) (cell.ShardID, error) {
+func ParseRecordKey(key string) (cell.ShardID, error) {
 	return cell.ParseShardID(strings.TrimPrefix(key, RecordPrefix))
 }
 
--- a/pkg/ownership/simulation_test.go
+++ b/pkg/ownership/simulation_test.go
@@ -9,41 +9,41 @@
 )
 
 // simulation is a hall of state machines with a store, with simulated faults and time.
-type world struct {
-	now      clock.Time
-	machines []*Machine
-	holders  []Holder
-	dead     []bool
-	record   Record
-	revision int64
-	writes   []write
-	asks     []ask
-	writeIDs int
+type simulation struct {
+	now         clock.Time
+	machines    []*StateMachine
+	holders     []Holder
+	dead        []bool
+	record      Record
+	revision    int64
+	writes      []inFlightWrite
+	requests    []inFlightRequest
+	lastWriteID int
 }
 
 // inFlightWrite is a write that its writer has not finished.
-type write struct {
-	by      int
-	record  Record
-	expect  int64
-	applied int64 // in the store, 0 before the store has carried it out
-	refused bool
+type inFlightWrite struct {
+	writer          int
+	record          Record
+	expect          int64
+	appliedRevision int64 // in the store, 0 before the store has carried it out
+	rejected        bool
 }
 
 // inFlightRequest is a grant request, or its reply, on the way.
-type ask struct {
-	by       int
-	ask      Ask
-	reply    Reply
+type inFlightRequest struct {
+	owner    int
+	request  GrantRequest
+	reply    GrantReply
 	answered bool
 }
 
-func newWorld(n int) *world {
-	sim := &world{}
+func newSimulation(n int) *simulation {
+	sim := &simulation{}
 	for i := range n {
 		h := Holder{ID: string(rune('a' + i)), Incarnation: string(rune('a' + i))}
 		sim.holders = append(sim.holders, h)
-		sim.machines = append(sim.machines, NewMachine(h, DefaultTerms))
+		sim.machines = append(sim.machines, NewStateMachine(h, DefaultTiming))
 		sim.dead = append(sim.dead, false)
 	}
 	sim.record = Record{Epoch: 1, Owner: sim.holders[0], Successor: sim.holders[1], WriteID: "0"}
@@ -51,7 +51,7 @@
 	return sim
 }
 
-func (sim *world) isDead(h Holder) bool {
+func (sim *simulation) isDead(h Holder) bool {
 	for i, known := range sim.holders {
 		if known == h {
 			return sim.dead[i]
@@ -61,7 +61,7 @@
 }
 
 // checkOneAuthority fails the test if two processes have authority.
-func (sim *world) check(t *rapid.T) {
+func (sim *simulation) checkOneAuthority(t *rapid.T) {
 	holder := -1
 	for i, m := range sim.machines {
 		if sim.dead[i] || sim.now >= m.AuthorityUntil() {
@@ -76,13 +76,13 @@
 }
 
 // stepProcess lets one process perform one action that is due.
-func (sim *world) step(t *rapid.T, i int) {
+func (sim *simulation) stepProcess(t *rapid.T, i int) {
 	m := sim.machines[i]
 	if sim.dead[i] {
 		return
 	}
 	m.Tick(sim.now)
-	if m.Doubtful() {
+	if m.NeedsConfirmation() {
 		m.Confirm(sim.record, sim.revision, sim.now)
 	}
 	record, _ := m.Record()
@@ -91,105 +91,105 @@
 		next = sim.holders[n]
 	}
 	switch m.Role() {
-	case Owner:
-		if r, due := m.NextAsk(sim.now); due && !sim.asking(i) {
-			sim.asks = append(sim.asks, ask{by: i, ask: r})
+	case RoleOwner:
+		if r, due := m.NextGrantRequest(sim.now); due && !sim.hasRequest(i) {
+			sim.requests = append(sim.requests, inFlightRequest{owner: i, request: r})
 		}
 		if sim.isDead(record.Successor) {
-			m.SuccessorDead(sim.now)
+			m.ReportSuccessorEnded(sim.now)
 		}
-		if m.Unrecorded() && !m.Pending() {
-			sim.begin(i, WriteRecord, next)
-		} else if m.WantsSuccessor(sim.now) {
-			sim.begin(i, WriteSuccessor, next)
+		if m.Unrecorded() && !m.WritePending() {
+			sim.beginWrite(i, WriteUnrecordedEpoch, next)
+		} else if m.NeedsSuccessor(sim.now) {
+			sim.beginWrite(i, WriteSuccessor, next)
 		}
-	case Successor:
+	case RoleSuccessor:
 		dead := sim.isDead(record.Owner)
 		switch {
-		case m.Pending():
-		case dead && m.OwnerProvenHeld(sim.now) && rapid.Bool().Draw(t, "without the store"):
-			sim.writeIDs++
-			m.FollowUnrecorded(string(rune(sim.writeIDs)), sim.now)
-		case dead || m.GrantLapsed(sim.now):
-			sim.begin(i, WriteClaim, next)
-		}
-	case Bystander:
+		case m.WritePending():
+		case dead && m.OwnerGrantProven(sim.now) && rapid.Bool().Draw(t, "without the store"):
+			sim.lastWriteID++
+			m.TakeOverUnrecorded(string(rune(sim.lastWriteID)), sim.now)
+		case dead || m.GrantExpired(sim.now):
+			sim.beginWrite(i, WriteClaim, next)
+		}
+	case RoleBystander:
 		free := sim.isDead(record.Owner) && (record.Successor.IsNone() || sim.isDead(record.Successor))
-		if record.WriteID != "" && free && !m.Pending() {
-			sim.begin(i, WriteClaim, next)
+		if record.WriteID != "" && free && !m.WritePending() {
+			sim.beginWrite(i, WriteClaim, next)
 		}
 	}
 }
 
-func (sim *world) asking(i int) bool {
-	for _, r := range sim.asks {
-		if r.by == i {
+func (sim *simulation) hasRequest(i int) bool {
+	for _, r := range sim.requests {
+		if r.owner == i {
 			return true
 		}
 	}
 	return false
 }
 
-func (sim *world) begin(i int, kind Write, next Holder) {
-	sim.writeIDs++
-	record, expect := sim.machines[i].BeginWrite(kind, next, string(rune(sim.writeIDs)), sim.now)
-	sim.writes = append(sim.writes, write{by: i, record: record, expect: expect})
+func (sim *simulation) beginWrite(i int, kind WriteKind, next Holder) {
+	sim.lastWriteID++
+	record, expect := sim.machines[i].BeginWrite(kind, next, string(rune(sim.lastWriteID)), sim.now)
+	sim.writes = append(sim.writes, inFlightWrite{writer: i, record: record, expect: expect})
 }
 
 // deliverRequest delivers or drops one grant request or reply.
-func (sim *world) deliver(t *rapid.T) {
-	if len(sim.asks) == 0 {
+func (sim *simulation) deliverRequest(t *rapid.T) {
+	if len(sim.requests) == 0 {
 		return
 	}
-	n := rapid.IntRange(0, len(sim.asks)-1).Draw(t, "request")
-	r := &sim.asks[n]
+	n := rapid.IntRange(0, len(sim.requests)-1).Draw(t, "request")
+	r := &sim.requests[n]
 	lost := rapid.IntRange(0, 9).Draw(t, "lost") == 0
 	if !r.answered && !lost {
 		for i, h := range sim.holders {
-			if h == r.ask.Record.Successor && !sim.dead[i] {
-				r.reply, r.answered = sim.machines[i].Grant(r.ask, sim.now), true
+			if h == r.request.Record.Successor && !sim.dead[i] {
+				r.reply, r.answered = sim.machines[i].Grant(r.request, sim.now), true
 				return
 			}
 		}
 	}
-	if r.answered && !lost && !sim.dead[r.by] {
-		sim.machines[r.by].Answered(r.ask, r.reply)
+	if r.answered && !lost && !sim.dead[r.owner] {
+		sim.machines[r.owner].HandleGrantReply(r.request, r.reply)
 	}
-	sim.asks = append(sim.asks[:n], sim.asks[n+1:]...)
+	sim.requests = append(sim.requests[:n], sim.requests[n+1:]...)
 }
 
 // advanceWrite lets the store carry out or reject one write, or tells its writer the outcome.
-func (sim *world) apply(t *rapid.T) {
+func (sim *simulation) advanceWrite(t *rapid.T) {
 	if len(sim.writes) == 0 {
 		return
 	}
 	n := rapid.IntRange(0, len(sim.writes)-1).Draw(t, "write")
 	w := &sim.writes[n]
-	if w.applied == 0 && !w.refused {
+	if w.appliedRevision == 0 && !w.rejected {
 		if sim.revision == w.expect {
 			sim.revision++
-			sim.record, w.applied = w.record, sim.revision
+			sim.record, w.appliedRevision = w.record, sim.revision
 		} else {
-			w.refused = true
+			w.rejected = true
 		}
 		return
 	}
-	if m := sim.machines[w.by]; !sim.dead[w.by] {
-		if w.applied == sim.revision {
-			m.Settle(TookEffect, w.record, w.applied, sim.now)
+	if m := sim.machines[w.writer]; !sim.dead[w.writer] {
+		if w.appliedRevision == sim.revision {
+			m.FinishWrite(WriteApplied, w.record, w.appliedRevision, sim.now)
 		} else {
-			m.Settle(Overtaken, Record{}, 0, sim.now)
+			m.FinishWrite(WriteConflict, Record{}, 0, sim.now)
 		}
 	}
 	sim.writes = append(sim.writes[:n], sim.writes[n+1:]...)
 }
 
 // dropWrite makes one write fail for certain: it was not sent.
-func (sim *world) drop(t *rapid.T) {
+func (sim *simulation) dropWrite(t *rapid.T) {
 	for n, w := range sim.writes {
-		if w.applied == 0 && !w.refused && rapid.Bool().Draw(t, "drop") {
-			if !sim.dead[w.by] {
-				sim.machines[w.by].Settle(NoEffect, Record{}, 0, sim.now)
+		if w.appliedRevision == 0 && !w.rejected && rapid.Bool().Draw(t, "drop") {
+			if !sim.dead[w.writer] {
+				sim.machines[w.writer].FinishWrite(WriteNotApplied, Record{}, 0, sim.now)
 			}
 			sim.writes = append(sim.writes[:n], sim.writes[n+1:]...)
 			return
@@ -199,9 +199,9 @@
 
 // TestAtMostOneProcessHasAuthority drives three state machines through random sequences of pauses,
 // lost and late messages, store outages, late writes and process deaths.
-func TestNeverTwoAuthorities(t *testing.T) {
+func TestAtMostOneProcessHasAuthority(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		sim := newWorld(3)
+		sim := newSimulation(3)
 		if rapid.Bool().Draw(rt, "sole at first") {
 			sim.record.Successor = Holder{}
 		}
@@ -213,15 +213,15 @@
 			i := rapid.IntRange(0, len(sim.machines)-1).Draw(rt, "process")
 			switch rapid.IntRange(0, 12).Draw(rt, "event") {
 			case 0, 1, 2, 3:
-				sim.step(rt, i)
+				sim.stepProcess(rt, i)
 			case 4, 5, 6:
-				sim.deliver(rt)
+				sim.deliverRequest(rt)
 			case 7, 8:
-				sim.apply(rt)
+				sim.advanceWrite(rt)
 			case 9:
-				sim.drop(rt)
+				sim.dropWrite(rt)
 			case 10:
-				if !sim.dead[i] && !sim.machines[i].Pending() {
+				if !sim.dead[i] && !sim.machines[i].WritePending() {
 					sim.machines[i].Observe(sim.record, sim.revision, sim.now)
 				}
 			case 11:
@@ -229,7 +229,7 @@
 			case 12:
 				sim.dead[i] = sim.dead[i] || rapid.IntRange(0, 15).Draw(rt, "dies") == 0
 			}
-			sim.check(rt)
+			sim.checkOneAuthority(rt)
 		}
 	})
 }
--- a/pkg/pace/pace_test.go
+++ b/pkg/pace/pace_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestFillersGoFasterWhenTailsHaveBeenLow(t *testing.T) {
+func TestFillersSpeedUpWhenTailsHaveBeenLow(t *testing.T) {
 	g := NewWithT(t)
 	now := clock.Time(1000)
 	var c Control
--- a/pkg/peer/client.go
+++ b/pkg/peer/client.go
@@ -41,7 +41,7 @@
 
 // rpcClient returns a client of the peer at an address. Its calls take their connection from
 // the pool or open a new one.
-func (c *Client) peer(ctx context.Context, address netip.AddrPort) peerpb.DRPCPeerClient {
+func (c *Client) rpcClient(ctx context.Context, address netip.AddrPort) peerpb.DRPCPeerClient {
 	return peerpb.NewDRPCPeerClient(c.pool.Get(ctx, address,
 		func(ctx context.Context, address netip.AddrPort) (drpcpool.Conn, error) {
 			conn, err := c.dialer.Dial(ctx, address)
@@ -53,17 +53,17 @@
 }
 
 // Heartbeat sends this process's description of itself to a peer and returns the peer's.
-func (c *Client) Beat(ctx context.Context, address netip.AddrPort, self members.Member) (members.Member, error) {
-	got, err := c.peer(ctx, address).Beat(ctx, wireMember(self))
+func (c *Client) Heartbeat(ctx context.Context, address netip.AddrPort, self members.Member) (members.Member, error) {
+	got, err := c.rpcClient(ctx, address).Beat(ctx, encodeMember(self))
 	if err != nil {
 		return members.Member{}, errors.Wrapf(err, "heartbeat to %s", address)
 	}
-	return memberOf(got)
+	return decodeMember(got)
 }
 
 // RequestGrant asks the successor of a shard for a grant. The record is sent only until the
 // successor has answered once, which a non-zero Echo shows.
-func (c *Client) Ask(ctx context.Context, address netip.AddrPort, shard cell.ShardID, request ownership.Ask) (ownership.Reply, error) {
+func (c *Client) RequestGrant(ctx context.Context, address netip.AddrPort, shard cell.ShardID, request ownership.GrantRequest) (ownership.GrantReply, error) {
 	message := &peerpb.GrantRequest{
 		Shard: shard.String(), Epoch: int64(request.Epoch), OwnerIncarnation: request.Owner.Incarnation,
 		Revision: request.Revision, Echo: request.Echo,
@@ -71,25 +71,25 @@
 	if request.Echo == 0 {
 		message.Record = request.Record.String()
 	}
-	got, err := c.peer(ctx, address).Grant(ctx, message)
+	got, err := c.rpcClient(ctx, address).Grant(ctx, message)
 	if err != nil {
-		return ownership.Reply{}, errors.Wrapf(err, "request a grant from %s", address)
+		return ownership.GrantReply{}, errors.Wrapf(err, "request a grant from %s", address)
 	}
-	return ownership.Reply{Granted: got.Granted, Clock: got.Clock}, nil
+	return ownership.GrantReply{Granted: got.Granted, Clock: got.Clock}, nil
 }
 
 // Forward sends a request to the process that owns its shard and returns that process's answer.
 func (c *Client) Forward(ctx context.Context, address netip.AddrPort, r Request) (Answer, error) {
-	got, err := c.peer(ctx, address).Forward(ctx, wireRequest(r))
+	got, err := c.rpcClient(ctx, address).Forward(ctx, encodeRequest(r))
 	if err != nil {
 		return Answer{}, errors.Wrapf(err, "forward to %s", address)
 	}
-	return answerOf(got), nil
+	return decodeAnswer(got), nil
 }
 
 // Settings fetches the settings that are in force at a peer.
 func (c *Client) Settings(ctx context.Context, address netip.AddrPort) (revision int64, docs map[string]string, err error) {
-	got, err := c.peer(ctx, address).Settings(ctx, &peerpb.SettingsRequest{})
+	got, err := c.rpcClient(ctx, address).Settings(ctx, &peerpb.SettingsRequest{})
 	if err != nil {
 		return 0, nil, errors.Wrapf(err, "settings of %s", address)
 	}
--- a/pkg/peer/messages.go
+++ b/pkg/peer/messages.go
@@ -15,20 +15,20 @@
 )
 
 // RequestKind says what a request asks for.
-type Kind int32
+type RequestKind int32
 
 // The kinds of request.
 const (
-	Call        = Kind(peerpb.RequestKind_CALL)
-	BatchSubmit = Kind(peerpb.RequestKind_BATCH_SUBMIT)
-	BatchRead   = Kind(peerpb.RequestKind_BATCH_READ)
-	Drain       = Kind(peerpb.RequestKind_DRAIN)
-	Explain     = Kind(peerpb.RequestKind_EXPLAIN)
+	Call        = RequestKind(peerpb.RequestKind_CALL)
+	BatchSubmit = RequestKind(peerpb.RequestKind_BATCH_SUBMIT)
+	BatchRead   = RequestKind(peerpb.RequestKind_BATCH_READ)
+	Drain       = RequestKind(peerpb.RequestKind_DRAIN)
+	Explain     = RequestKind(peerpb.RequestKind_EXPLAIN)
 )
 
 // Request is a request to the owner of a shard. Which fields are set depends on its kind.
 type Request struct {
-	Kind          Kind
+	Kind          RequestKind
 	Shard         cell.ShardID
 	Service       string // or batch workload
 	Caller        string
@@ -61,7 +61,7 @@
 	Worker     string
 }
 
-func wireRequest(r Request) *peerpb.Request {
+func encodeRequest(r Request) *peerpb.Request {
 	w := &peerpb.Request{
 		Shard: r.Shard.String(), Service: r.Service, Caller: r.Caller, Key: r.Key,
 		TimeLeftMs: millis(r.TimeLeft), Class: int32(r.Class), NotRepeatable: r.NotRepeatable,
@@ -73,13 +73,13 @@
 	return w
 }
 
-func requestOf(w *peerpb.Request) (Request, error) {
+func decodeRequest(w *peerpb.Request) (Request, error) {
 	shard, err := cell.ParseShardID(w.Shard)
 	if err != nil {
 		return Request{}, err
 	}
 	r := Request{
-		Kind: Kind(w.Kind), Shard: shard, Service: w.Service, Caller: w.Caller, Key: w.Key, ID: w.Id,
+		Kind: RequestKind(w.Kind), Shard: shard, Service: w.Service, Caller: w.Caller, Key: w.Key, ID: w.Id,
 		TimeLeft: time.Duration(w.TimeLeftMs) * time.Millisecond, Class: routing.Class(w.Class),
 		NotRepeatable: w.NotRepeatable, Delegated: w.Delegated, Body: w.Body,
 	}
@@ -89,21 +89,21 @@
 	return r, nil
 }
 
-func wireAnswer(a Answer) *peerpb.Answer {
+func encodeAnswer(a Answer) *peerpb.Answer {
 	return &peerpb.Answer{
 		Code: int32(a.Code), Message: a.Message, RetryAfterMs: millis(a.RetryAfter), Body: a.Body,
 		Endpoint: a.Endpoint, Id: a.ID, State: a.State, Worker: a.Worker,
 	}
 }
 
-func answerOf(w *peerpb.Answer) Answer {
+func decodeAnswer(w *peerpb.Answer) Answer {
 	return Answer{
 		Code: result.Code(w.Code), Message: w.Message, RetryAfter: time.Duration(w.RetryAfterMs) * time.Millisecond,
 		Body: w.Body, Endpoint: w.Endpoint, ID: w.Id, State: w.State, Worker: w.Worker,
 	}
 }
 
-func wireMember(m members.Member) *peerpb.Member {
+func encodeMember(m members.Member) *peerpb.Member {
 	w := &peerpb.Member{
 		Id: m.ID, Incarnation: m.Incarnation, Hall: string(m.Hall), Address: m.Address.String(),
 		CallersAddress: m.CallersAddress.String(), SettingsRevision: m.Revision, Draining: m.Draining,
@@ -121,7 +121,7 @@
 	return w
 }
 
-func memberOf(w *peerpb.Member) (members.Member, error) {
+func decodeMember(w *peerpb.Member) (members.Member, error) {
 	address, err := netip.ParseAddrPort(w.Address)
 	if err != nil {
 		return members.Member{}, errors.Wrapf(err, "address of member %s", w.Id)
@@ -139,7 +139,7 @@
 		if err != nil {
 			return members.Member{}, err
 		}
-		owned := members.Owned{Shard: shard, Epoch: cell.Epoch(o.Epoch), Loads: map[string]routing.Load{}}
+		owned := members.OwnedShard{Shard: shard, Epoch: cell.Epoch(o.Epoch), Loads: map[string]routing.Load{}}
 		for _, s := range o.Services {
 			owned.Loads[s.Service] = routing.Load{Slots: int(s.Slots), InUse: int(s.InUse), Queued: int(s.Queued)}
 		}
--- a/pkg/peer/server.go
+++ b/pkg/peer/server.go
@@ -15,10 +15,10 @@
 
 // Handlers are the functions that answer the calls of peers, one for each call of Client.
 type Handlers struct {
-	Beat     func(members.Member) members.Member
-	Grant    func(cell.ShardID, ownership.Ask) ownership.Reply
-	Forward  func(context.Context, Request) Answer
-	Settings func() (revision int64, docs map[string]string)
+	Heartbeat func(members.Member) members.Member
+	Grant     func(cell.ShardID, ownership.GrantRequest) ownership.GrantReply
+	Forward   func(context.Context, Request) Answer
+	Settings  func() (revision int64, docs map[string]string)
 }
 
 // Serve answers the calls that arrive at l until ctx ends.
@@ -37,11 +37,11 @@
 
 // Beat answers a heartbeat with this process's description of itself.
 func (s *server) Beat(_ context.Context, w *peerpb.Member) (*peerpb.Member, error) {
-	m, err := memberOf(w)
+	m, err := decodeMember(w)
 	if err != nil {
 		return nil, err
 	}
-	return wireMember(s.handlers.Beat(m)), nil
+	return encodeMember(s.handlers.Heartbeat(m)), nil
 }
 
 // Grant answers an owner's request for a grant.
@@ -50,7 +50,7 @@
 	if err != nil {
 		return nil, err
 	}
-	request := ownership.Ask{
+	request := ownership.GrantRequest{
 		Epoch: cell.Epoch(w.Epoch), Owner: ownership.Holder{Incarnation: w.OwnerIncarnation},
 		Revision: w.Revision, Echo: w.Echo,
 	}
@@ -65,11 +65,11 @@
 
 // Forward answers a request to the owner of a shard.
 func (s *server) Forward(ctx context.Context, w *peerpb.Request) (*peerpb.Answer, error) {
-	r, err := requestOf(w)
+	r, err := decodeRequest(w)
 	if err != nil {
 		return nil, err
 	}
-	return wireAnswer(s.handlers.Forward(ctx, r)), nil
+	return encodeAnswer(s.handlers.Forward(ctx, r)), nil
 }
 
 // Settings returns the settings in force.
--- a/pkg/placement/choose.go
+++ b/pkg/placement/choose.go
@@ -6,11 +6,11 @@
 )
 
 // maxPackCandidates is how many suitable workers policy pack compares before it takes the best.
-const enoughCandidates = 24
+const maxPackCandidates = 24
 
 // maxSpreadCandidates is the same for policy spread; it is higher because several racks
 // must be among the candidates.
-const enoughSpread = 64
+const maxSpreadCandidates = 64
 
 // acceleratorPenalty is added to the pack score of a worker with free accelerators when
 // the task needs none, so that such a worker is chosen last: other scores are 2 at most.
@@ -18,7 +18,7 @@
 
 // chooseWorker returns the best worker for a task, or nil when none is suitable, and how
 // many workers were examined.
-func (p *Placer) choose(t *Task) (*worker, int) {
+func (p *Placer) chooseWorker(t *Task) (*worker, int) {
 	if t.Policy == settings.PolicySpread {
 		return p.chooseSpread(t)
 	}
@@ -39,7 +39,7 @@
 	var best *worker
 	var bestScore float64
 	examined, candidates := 0, 0
-	for b := bucketOf(t.Resources.CPUMillis); b < nBuckets && candidates < enoughCandidates; b++ {
+	for b := bucketOf(t.Resources.CPUMillis); b < bucketCount && candidates < maxPackCandidates; b++ {
 		for _, w := range p.index.buckets[b] {
 			examined++
 			if !w.fits(t) {
@@ -49,7 +49,7 @@
 			if score := packScore(w, t); best == nil || score < bestScore || (score == bestScore && w.ID < best.ID) {
 				best, bestScore = w, score
 			}
-			if candidates >= enoughCandidates {
+			if candidates >= maxPackCandidates {
 				break
 			}
 		}
@@ -63,8 +63,8 @@
 // without free processors, and the reverse.
 func packScore(w *worker, t *Task) float64 {
 	left := w.free().Sub(t.Resources)
-	cpu := part(left.CPUMillis, w.Capacity.CPUMillis)
-	memory := part(left.MemoryMB, w.Capacity.MemoryMB)
+	cpu := fraction(left.CPUMillis, w.Capacity.CPUMillis)
+	memory := fraction(left.MemoryMB, w.Capacity.MemoryMB)
 	imbalance := cpu - memory
 	score := cpu + memory + imbalance*imbalance
 	if left.Accelerators > 0 && t.Resources.Accelerators == 0 {
@@ -73,7 +73,7 @@
 	return score
 }
 
-func part(left, total int64) float64 {
+func fraction(left, total int64) float64 {
 	if total == 0 {
 		return 0
 	}
@@ -84,23 +84,23 @@
 // bucket each call starts at another worker, so that in a large shard all racks are
 // considered over time.
 func (p *Placer) chooseSpread(t *Task) (*worker, int) {
-	p.rotor += enoughSpread
-	spread := p.spreads[t.Workload]
+	p.spreadOffset += maxSpreadCandidates
+	spread := p.spreadByWorkload[t.Workload]
 	var best *worker
 	examined, candidates := 0, 0
-	for b := nBuckets - 1; b >= bucketOf(t.Resources.CPUMillis) && candidates < enoughSpread; b-- {
+	for b := bucketCount - 1; b >= bucketOf(t.Resources.CPUMillis) && candidates < maxSpreadCandidates; b-- {
 		bucket := p.index.buckets[b]
 		for i := range bucket {
-			w := bucket[(i+p.rotor)%len(bucket)]
+			w := bucket[(i+p.spreadOffset)%len(bucket)]
 			examined++
 			if !w.fits(t) {
 				continue
 			}
 			candidates++
-			if best == nil || spread.better(w, best) {
+			if best == nil || spread.prefers(w, best) {
 				best = w
 			}
-			if candidates >= enoughSpread {
+			if candidates >= maxSpreadCandidates {
 				break
 			}
 		}
@@ -116,7 +116,7 @@
 
 // prefers says whether a is a better choice than b under policy spread: fewer tasks of the
 // workload on its rack, then on the worker itself, then the lower utilization.
-func (s *spreadCount) better(a, b *worker) bool {
+func (s *spreadCount) prefers(a, b *worker) bool {
 	if s != nil {
 		if x, y := s.racks[a.Site.Rack], s.racks[b.Site.Rack]; x != y {
 			return x < y
@@ -133,11 +133,11 @@
 }
 
 // updateSpread adds delta to the number of tasks of t's workload on w and on w's rack.
-func (p *Placer) countSpread(t *Task, w *worker, delta int) {
-	s, ok := p.spreads[t.Workload]
+func (p *Placer) updateSpread(t *Task, w *worker, delta int) {
+	s, ok := p.spreadByWorkload[t.Workload]
 	if !ok {
 		s = &spreadCount{racks: map[string]int{}, workers: map[string]int{}}
-		p.spreads[t.Workload] = s
+		p.spreadByWorkload[t.Workload] = s
 	}
 	s.racks[w.Site.Rack] += delta
 	s.workers[w.ID] += delta
@@ -147,7 +147,7 @@
 }
 
 // adjustTotal adds r, multiplied by sign, to the total capacity of the shard's workers.
-func (p *Placer) addTotal(r cell.Resources, sign int64) {
+func (p *Placer) adjustTotal(r cell.Resources, sign int64) {
 	p.total = p.total.Add(cell.Resources{
 		CPUMillis: r.CPUMillis * sign, MemoryMB: r.MemoryMB * sign, Accelerators: r.Accelerators * sign,
 	})
--- a/pkg/placement/model.go
+++ b/pkg/placement/model.go
@@ -69,7 +69,7 @@
 	closed   bool   // takes no new tasks
 	reserved string // the task for which the worker is reserved, or empty
 	bucket   int    // its bucket in the index
-	at       int    // its position in the bucket
+	position int    // its position in the bucket
 }
 
 // placed is a task that is placed on a worker.
--- a/pkg/placement/placer.go
+++ b/pkg/placement/placer.go
@@ -12,31 +12,31 @@
 )
 
 // agingInterval is how often the waiting tasks are checked for promotion to a higher class.
-const ageEvery = time.Second
+const agingInterval = time.Second
 
 // Placer assigns tasks to the workers of one shard.
 type Placer struct {
-	cfg     Config
-	workers map[string]*worker
-	index   index
-	total   cell.Resources
-	waiting *waiting
-	placed  map[string]*placed
-	spreads map[string]*spreadCount
-	usage   map[string]cell.Resources // by team
-	quotas  map[string]cell.Resources // by team, this shard's part
-	aged    clock.Time                // when waiting tasks were last checked for promotion
+	cfg              Config
+	workers          map[string]*worker
+	index            index
+	total            cell.Resources
+	waitQueue        *waitQueue
+	placed           map[string]*placed
+	spreadByWorkload map[string]*spreadCount
+	usage            map[string]cell.Resources // by team
+	quotas           map[string]cell.Resources // by team, this shard's part
+	lastAging        clock.Time                // when waiting tasks were last checked for promotion
 	// reserved holds the reserved workers, by the id of the task that they are reserved for.
 	reserved map[string]*worker
 	// spreadOffset is where policy spread begins its search in each bucket.
-	rotor int
+	spreadOffset int
 }
 
 // New returns a placer without workers.
 func New(cfg Config) *Placer {
 	return &Placer{
-		cfg: cfg, workers: map[string]*worker{}, waiting: newWaiting(), placed: map[string]*placed{},
-		spreads: map[string]*spreadCount{}, usage: map[string]cell.Resources{}, quotas: map[string]cell.Resources{},
+		cfg: cfg, workers: map[string]*worker{}, waitQueue: newWaitQueue(), placed: map[string]*placed{},
+		spreadByWorkload: map[string]*spreadCount{}, usage: map[string]cell.Resources{}, quotas: map[string]cell.Resources{},
 		reserved: map[string]*worker{},
 	}
 }
@@ -49,15 +49,15 @@
 // PutWorker adds a worker or updates its site and capacity.
 func (p *Placer) PutWorker(w Worker) {
 	if known, ok := p.workers[w.ID]; ok {
-		p.addTotal(known.Capacity, -1)
+		p.adjustTotal(known.Capacity, -1)
 		known.Worker = w
-		p.addTotal(w.Capacity, 1)
+		p.adjustTotal(w.Capacity, 1)
 		p.index.update(known)
 		return
 	}
 	added := &worker{Worker: w, tasks: map[string]*placed{}}
 	p.workers[w.ID] = added
-	p.addTotal(w.Capacity, 1)
+	p.adjustTotal(w.Capacity, 1)
 	p.index.add(added)
 }
 
@@ -81,7 +81,7 @@
 	}
 	p.unreserve(w.reserved)
 	p.index.remove(w)
-	p.addTotal(w.Capacity, -1)
+	p.adjustTotal(w.Capacity, -1)
 	delete(p.workers, id)
 	return lost
 }
@@ -94,12 +94,12 @@
 	if t.Since == 0 {
 		t.Since = now
 	}
-	p.waiting.add(&t)
+	p.waitQueue.add(&t)
 }
 
 // Withdraw removes a task from the queue and says whether it was waiting there.
 func (p *Placer) Withdraw(id string) bool {
-	_, ok := p.waiting.remove(id)
+	_, ok := p.waitQueue.remove(id)
 	if ok {
 		p.unreserve(id)
 	}
@@ -109,13 +109,13 @@
 // AddRunning records a task that a worker was found to run, as a new owner learns it from
 // the worker's report. The task leaves the queue, and its resources count as used even
 // when they exceed the worker's capacity.
-func (p *Placer) Found(t Task, workerID string) {
+func (p *Placer) AddRunning(t Task, workerID string) {
 	w, ok := p.workers[workerID]
 	if _, known := p.placed[t.ID]; known || !ok {
 		return
 	}
-	p.waiting.remove(t.ID)
-	p.put(t, w)
+	p.waitQueue.remove(t.ID)
+	p.assign(t, w)
 }
 
 // End removes a placed task that has ended, or that certainly did not start.
@@ -130,93 +130,93 @@
 	w.used = w.used.Sub(t.Resources)
 	p.index.update(w)
 	p.usage[t.Team] = p.usage[t.Team].Sub(t.Resources)
-	p.countSpread(&t.Task, w, -1)
+	p.updateSpread(&t.Task, w, -1)
 }
 
-func (p *Placer) put(t Task, w *worker) {
+func (p *Placer) assign(t Task, w *worker) {
 	assigned := &placed{Task: t, worker: w}
 	p.placed[t.ID] = assigned
 	w.tasks[t.ID] = assigned
 	w.used = w.used.Add(t.Resources)
 	p.index.update(w)
 	p.usage[t.Team] = p.usage[t.Team].Add(t.Resources)
-	p.countSpread(&t, w, 1)
+	p.updateSpread(&t, w, 1)
 }
 
 // Next returns decisions that can be carried out now. It examines no further tasks once
 // it has limit decisions; the last task may add several preemptions beyond the limit.
 func (p *Placer) Next(now clock.Time, limit int) []Decision {
-	if now.Sub(p.aged) >= ageEvery {
-		p.waiting.age(now, p.cfg)
-		p.aged = now
+	if now.Sub(p.lastAging) >= agingInterval {
+		p.waitQueue.promote(now, p.cfg)
+		p.lastAging = now
 	}
 	var out []Decision
-	for rank := range nRanks {
-		out = p.nextOfRank(rank, now, limit, out)
+	for rank := range rankCount {
+		out = p.placeRank(rank, now, limit, out)
 	}
 	return out
 }
 
 // teamCursor is the position in one team's waiting tasks of a class.
-type turn struct {
-	team  string
-	share float64 // dominant share of the team's placed tasks
-	next  int     // index of its next task
+type teamCursor struct {
+	team          string
+	dominantShare float64 // dominant share of the team's placed tasks
+	next          int     // index of its next task
 }
 
 // placeRank places the waiting tasks of one class. Each step takes the next task of the
 // team with the lowest dominant share.
-func (p *Placer) nextOfRank(rank int, now clock.Time, limit int, out []Decision) []Decision {
-	teams := p.waiting.ranks[rank]
-	cursors := make([]*turn, 0, len(teams))
+func (p *Placer) placeRank(rank int, now clock.Time, limit int, out []Decision) []Decision {
+	teams := p.waitQueue.ranks[rank]
+	cursors := make([]*teamCursor, 0, len(teams))
 	for team := range teams {
-		cursors = append(cursors, &turn{team: team, share: p.share(team)})
+		cursors = append(cursors, &teamCursor{team: team, dominantShare: p.dominantShare(team)})
 	}
-	failedSearches := newMisses()
+	failedSearches := newFailedSearches()
 	for len(out) < limit && len(cursors) > 0 {
-		c := slices.MinFunc(cursors, func(a, b *turn) int {
-			return cmp.Or(cmp.Compare(a.share, b.share), cmp.Compare(a.team, b.team))
+		c := slices.MinFunc(cursors, func(a, b *teamCursor) int {
+			return cmp.Or(cmp.Compare(a.dominantShare, b.dominantShare), cmp.Compare(a.team, b.team))
 		})
 		list := teams[c.team]
 		if c.next >= len(list) {
-			cursors = slices.DeleteFunc(cursors, func(x *turn) bool { return x == c })
+			cursors = slices.DeleteFunc(cursors, func(x *teamCursor) bool { return x == c })
 			continue
 		}
 		task := list[c.next]
-		decisions := p.try(task, rank, now, failedSearches, len(cursors) > 1)
+		decisions := p.tryPlace(task, rank, now, failedSearches, len(cursors) > 1)
 		started := len(decisions) > 0 && decisions[0].Kind == Start
 		if !started {
 			c.next++
 		}
-		c.share = p.share(c.team)
+		c.dominantShare = p.dominantShare(c.team)
 		out = append(out, decisions...)
 	}
 	return out
 }
 
 // dominantShare returns the dominant share of a team's placed tasks in the shard's capacity.
-func (p *Placer) share(team string) float64 {
+func (p *Placer) dominantShare(team string) float64 {
 	return p.usage[team].DominantShare(p.total)
 }
 
 // tryPlace places one task if a worker is suitable. othersWait says that tasks of other
 // teams in the same class wait too; only then does the quota apply.
-func (p *Placer) try(t *Task, rank int, now clock.Time, failedSearches misses, othersWait bool) []Decision {
+func (p *Placer) tryPlace(t *Task, rank int, now clock.Time, failedSearches failedSearches, othersWait bool) []Decision {
 	if rank != settings.ClassUrgent.Rank() && othersWait && p.overQuota(t) {
 		return nil
 	}
 	if t.Class != settings.ClassUrgent && failedSearches.covers(t) {
 		return nil
 	}
-	w, examined := p.choose(t)
+	w, examined := p.chooseWorker(t)
 	if w == nil {
 		failedSearches.add(t)
-		return p.missed(t, now)
+		return p.handleUnplaced(t, now)
 	}
 	task := *t
-	p.waiting.remove(task.ID)
+	p.waitQueue.remove(task.ID)
 	p.unreserve(task.ID)
-	p.put(task, w)
+	p.assign(task, w)
 	return []Decision{{Kind: Start, Task: task, Worker: w.ID, Examined: examined}}
 }
 
@@ -227,7 +227,7 @@
 
 // handleUnplaced preempts other tasks for an urgent task that does not fit anywhere now,
 // and reserves a worker for any other that has waited long enough.
-func (p *Placer) missed(t *Task, now clock.Time) []Decision {
+func (p *Placer) handleUnplaced(t *Task, now clock.Time) []Decision {
 	if t.Class == settings.ClassUrgent {
 		return p.preempt(t)
 	}
@@ -239,20 +239,20 @@
 
 // failedSearches holds the resources for which a search found no worker, so that a thousand
 // equal tasks of a workload cost one search. It is valid only within one call of placeRank.
-type misses map[missKey][]cell.Resources
+type failedSearches map[searchKey][]cell.Resources
 
-type missKey struct {
+type searchKey struct {
 	workload string
 	policy   settings.Policy
 }
 
-func newMisses() misses {
-	return misses{}
+func newFailedSearches() failedSearches {
+	return failedSearches{}
 }
 
 // covers says whether a search failed that needed no more than t does.
-func (f misses) covers(t *Task) bool {
-	for _, r := range f[missKey{t.Workload, t.Policy}] {
+func (f failedSearches) covers(t *Task) bool {
+	for _, r := range f[searchKey{t.Workload, t.Policy}] {
 		if r.Fits(t.Resources) {
 			return true
 		}
@@ -260,7 +260,7 @@
 	return false
 }
 
-func (f misses) add(t *Task) {
-	k := missKey{t.Workload, t.Policy}
+func (f failedSearches) add(t *Task) {
+	k := searchKey{t.Workload, t.Policy}
 	f[k] = append(f[k], t.Resources)
 }
