--- a/pkg/placement/preempt.go
+++ b/pkg/placement/preempt.go
@@ -28,11 +28,11 @@
 		}
 	}
 	if best != nil {
-		p.keepFree(best, t.ID)
+		p.reserveWorker(best, t.ID)
 	}
 }
 
-func (p *Placer) keepFree(w *worker, taskID string) {
+func (p *Placer) reserveWorker(w *worker, taskID string) {
 	w.reserved = taskID
 	p.reserved[taskID] = w
 }
@@ -62,14 +62,14 @@
 			continue
 		}
 		victims, enough := w.victimsFor(t)
-		if enough && (best == nil || cheaper(victims, bestVictims)) {
+		if enough && (best == nil || lessCostly(victims, bestVictims)) {
 			best, bestVictims = w, victims
 		}
 	}
 	if best == nil {
 		return nil
 	}
-	p.keepFree(best, t.ID)
+	p.reserveWorker(best, t.ID)
 	var out []Decision
 	for _, v := range bestVictims {
 		v.preempted = true
@@ -104,12 +104,12 @@
 	if !t.Resources.Fits(free) {
 		return nil, false
 	}
-	return withoutNeedless(victims, t, free), true
+	return dropUnneeded(victims, t, free), true
 }
 
 // dropUnneeded returns the victims without those that t does not need stopped; free is
 // what would be free with all of them stopped.
-func withoutNeedless(victims []*placed, t *Task, free cell.Resources) []*placed {
+func dropUnneeded(victims []*placed, t *Task, free cell.Resources) []*placed {
 	var needed []*placed
 	for _, v := range victims {
 		if remaining := free.Sub(v.Resources); t.Resources.Fits(remaining) {
@@ -121,14 +121,14 @@
 	return needed
 }
 
-func cheaper(a, b []*placed) bool {
+func lessCostly(a, b []*placed) bool {
 	if len(a) != len(b) {
 		return len(a) < len(b)
 	}
-	return lost(a) < lost(b)
+	return totalCPUMillis(a) < totalCPUMillis(b)
 }
 
-func lost(victims []*placed) int64 {
+func totalCPUMillis(victims []*placed) int64 {
 	var sum int64
 	for _, v := range victims {
 		sum += v.Resources.CPUMillis
--- a/pkg/placement/queries.go
+++ b/pkg/placement/queries.go
@@ -19,7 +19,7 @@
 
 // Usage returns the capacity and the load, summed over all workers.
 func (p *Placer) Usage() Usage {
-	u := Usage{Workers: len(p.workers), Placed: len(p.placed), Waiting: len(p.waiting.tasks), Total: p.total}
+	u := Usage{Workers: len(p.workers), Placed: len(p.placed), Waiting: len(p.waitQueue.tasks), Total: p.total}
 	for _, w := range p.workers {
 		u.Used = u.Used.Add(w.used)
 	}
@@ -46,7 +46,7 @@
 
 // IsWaiting says whether a task is in the queue.
 func (p *Placer) IsWaiting(taskID string) bool {
-	_, ok := p.waiting.tasks[taskID]
+	_, ok := p.waitQueue.tasks[taskID]
 	return ok
 }
 
@@ -56,13 +56,13 @@
 	if w, ok := p.WorkerOf(taskID); ok {
 		return "placed on " + w
 	}
-	t, ok := p.waiting.tasks[taskID]
+	t, ok := p.waitQueue.tasks[taskID]
 	if !ok {
 		return "not known"
 	}
 	reasons := map[string]int{}
 	for _, w := range p.workers {
-		reasons[w.refusal(t)]++
+		reasons[w.rejectReason(t)]++
 	}
 	text := "waits"
 	for _, reason := range slices.Sorted(maps.Keys(reasons)) {
@@ -72,7 +72,7 @@
 }
 
 // rejectReason returns why the worker can't take the task now, or "would do" when it can.
-func (w *worker) refusal(t *Task) string {
+func (w *worker) rejectReason(t *Task) string {
 	allowed, reason := t.Place.Allows(w.Site)
 	free := w.free()
 	switch {
--- a/pkg/placement/queue.go
+++ b/pkg/placement/queue.go
@@ -8,17 +8,17 @@
 	"foldarch.dev/foldarch/pkg/settings"
 )
 
-// nRanks is the number of classes.
-const nRanks = 4
+// rankCount is the number of classes.
+const rankCount = 4
 
 // waitQueue holds the waiting tasks by class and team.
-type waiting struct {
+type waitQueue struct {
 	tasks map[string]*Task
-	ranks [nRanks]map[string][]*Task // by class and team, in the order of compareTasks
+	ranks [rankCount]map[string][]*Task // by class and team, in the order of compareTasks
 }
 
-func newWaiting() *waiting {
-	w := &waiting{tasks: map[string]*Task{}}
+func newWaitQueue() *waitQueue {
+	w := &waitQueue{tasks: map[string]*Task{}}
 	for i := range w.ranks {
 		w.ranks[i] = map[string][]*Task{}
 	}
@@ -27,7 +27,7 @@
 
 // compareTasks orders the tasks of one team in one class: the earliest deadline first,
 // tasks without a deadline last; among equals the task that has waited longest first.
-func before(a, b *Task) int {
+func compareTasks(a, b *Task) int {
 	if a.Deadline != b.Deadline {
 		if a.Deadline == 0 || b.Deadline == 0 {
 			return cmp.Compare(b.Deadline, a.Deadline)
@@ -37,7 +37,7 @@
 	return cmp.Or(cmp.Compare(a.Since, b.Since), cmp.Compare(a.ID, b.ID))
 }
 
-func (w *waiting) add(t *Task) {
+func (w *waitQueue) add(t *Task) {
 	if _, ok := w.tasks[t.ID]; ok {
 		return
 	}
@@ -46,16 +46,16 @@
 }
 
 func rankOf(t *Task) int {
-	return min(t.Class.Rank(), nRanks-1)
+	return min(t.Class.Rank(), rankCount-1)
 }
 
-func (w *waiting) insert(rank int, t *Task) {
+func (w *waitQueue) insert(rank int, t *Task) {
 	list := w.ranks[rank][t.Team]
-	at, _ := slices.BinarySearchFunc(list, t, before)
+	at, _ := slices.BinarySearchFunc(list, t, compareTasks)
 	w.ranks[rank][t.Team] = slices.Insert(list, at, t)
 }
 
-func (w *waiting) remove(id string) (*Task, bool) {
+func (w *waitQueue) remove(id string) (*Task, bool) {
 	t, ok := w.tasks[id]
 	if !ok {
 		return nil, false
@@ -63,16 +63,16 @@
 	delete(w.tasks, id)
 	for rank := range w.ranks {
 		list := w.ranks[rank][t.Team]
-		if at, found := slices.BinarySearchFunc(list, t, before); found {
+		if at, found := slices.BinarySearchFunc(list, t, compareTasks); found {
 			list = slices.Delete(list, at, at+1)
-			w.set(rank, t.Team, list)
+			w.setList(rank, t.Team, list)
 			break
 		}
 	}
 	return t, true
 }
 
-func (w *waiting) set(rank int, team string, list []*Task) {
+func (w *waitQueue) setList(rank int, team string, list []*Task) {
 	if len(list) == 0 {
 		delete(w.ranks[rank], team)
 		return
@@ -82,8 +82,8 @@
 
 // promote moves each task up by one class for every AgeStep that it has waited, but never
 // to urgent.
-func (w *waiting) age(now clock.Time, cfg Config) {
-	for rank := settings.ClassService.Rank() + 1; rank < nRanks; rank++ {
+func (w *waitQueue) promote(now clock.Time, cfg Config) {
+	for rank := settings.ClassService.Rank() + 1; rank < rankCount; rank++ {
 		for team, list := range w.ranks[rank] {
 			var kept []*Task
 			for _, t := range list {
@@ -94,7 +94,7 @@
 				}
 				kept = append(kept, t)
 			}
-			w.set(rank, team, kept)
+			w.setList(rank, team, kept)
 		}
 	}
 }
--- a/pkg/poolowner/call_limiter.go
+++ b/pkg/poolowner/call_limiter.go
@@ -10,22 +10,22 @@
 
 const (
 	// maxConcurrentCalls is the number of slots for calls to workers.
-	callsAtOnce = 64
+	maxConcurrentCalls = 64
 	// maxSlotTime is how long a call occupies a slot at most. A call to a worker that does not answer
 	// must not block other calls until its time limit.
-	callCounts = 50 * time.Millisecond
+	maxSlotTime = 50 * time.Millisecond
 	// maxWaitingSlotTime is the same for a poll, which the worker may hold open until a run ends.
-	waitCounts = 10 * time.Millisecond
+	maxWaitingSlotTime = 10 * time.Millisecond
 )
 
 // unboundedCalls is more calls than an owner ever makes at the same time.
 const unboundedCalls = 1 << 20
 
-func callsAtOnceOf(deps Deps) int {
-	if deps.Without.Contains(dispatch.CallLimit) {
+func concurrentCallLimit(deps Deps) int {
+	if deps.Disabled.Contains(dispatch.CallLimit) {
 		return unboundedCalls
 	}
-	return callsAtOnce
+	return maxConcurrentCalls
 }
 
 // callClass is the urgency of a call.
@@ -33,35 +33,35 @@
 
 // The classes of calls, most urgent first.
 const (
-	callOrder  callClass = iota // starts, stops, pace changes, and polls that fence a worker
-	callHold                    // polls that extend leases
-	callFirst                   // the first poll of a worker
-	callSilent                  // polls of workers that did not answer the last one
-	callClasses
+	classOrder          callClass = iota // starts, stops, pace changes, and polls that fence a worker
+	classPoll                            // polls that extend leases
+	classFirstPoll                       // the first poll of a worker
+	classUnansweredPoll                  // polls of workers that did not answer the last one
+	callClassCount
 )
 
 // classTurns is the class that gets the freed slot, release by release. A flood of orders must not keep
 // leases from being extended or new workers from being polled. A class in which no call waits leaves its
 // turn to the most urgent one that has some.
-var turns = [...]callClass{callOrder, callHold, callOrder, callHold, callOrder, callFirst, callOrder, callSilent}
+var classTurns = [...]callClass{classOrder, classPoll, classOrder, classPoll, classOrder, classFirstPoll, classOrder, classUnansweredPoll}
 
 // callLimiter limits the concurrent calls of this process to workers. The time limit of a call also runs
 // while the call waits for the processor: when too many are started at once, all of them time out and
 // are repeated over new connections, which costs even more. Since a call waits for its slot before its
 // time limit starts, an overloaded process keeps to the rate that it can sustain. This is admission
 // control by concurrency; see "Little's law".
-type callGate struct {
+type callLimiter struct {
 	// afterFunc calls f after d; the function that it returns cancels this.
-	after func(d time.Duration, f func()) (cancel func())
+	afterFunc func(d time.Duration, f func()) (cancel func())
 
-	mu      sync.Mutex
-	free    int
-	turn    int // in classTurns
-	waiting [callClasses][]chan struct{}
+	mu        sync.Mutex
+	freeSlots int
+	turnIndex int // in classTurns
+	waiting   [callClassCount][]chan struct{}
 }
 
-func newCallGate(calls int) *callGate {
-	return &callGate{free: calls, after: func(d time.Duration, f func()) func() {
+func newCallLimiter(calls int) *callLimiter {
+	return &callLimiter{freeSlots: calls, afterFunc: func(d time.Duration, f func()) func() {
 		t := time.AfterFunc(d, f)
 		return func() { t.Stop() }
 	}}
@@ -69,13 +69,13 @@
 
 // acquire waits for a slot for a call. The call occupies the slot until done is called, but no longer
 // than slotTime. ok is false when ctx has ended; done is nil then.
-func (l *callGate) enter(ctx context.Context, class callClass, slotTime time.Duration) (done func(), ok bool) {
-	if !l.pass(ctx, class) {
+func (l *callLimiter) acquire(ctx context.Context, class callClass, slotTime time.Duration) (done func(), ok bool) {
+	if !l.takeSlot(ctx, class) {
 		return nil, false
 	}
 	var once sync.Once
 	releaseOnce := func() { once.Do(l.release) }
-	cancel := l.after(slotTime, releaseOnce)
+	cancel := l.afterFunc(slotTime, releaseOnce)
 	return func() {
 		cancel()
 		releaseOnce()
@@ -83,10 +83,10 @@
 }
 
 // takeSlot takes a free slot, or waits for one. It returns false when ctx has ended.
-func (l *callGate) pass(ctx context.Context, class callClass) bool {
+func (l *callLimiter) takeSlot(ctx context.Context, class callClass) bool {
 	l.mu.Lock()
-	if l.free > 0 {
-		l.free--
+	if l.freeSlots > 0 {
+		l.freeSlots--
 		l.mu.Unlock()
 		return true
 	}
@@ -98,14 +98,14 @@
 		return true
 	case <-ctx.Done():
 	}
-	if !l.withdraw(class, turn) {
+	if !l.removeWaiter(class, turn) {
 		l.release() // the slot was given at the same moment
 	}
 	return false
 }
 
 // removeWaiter removes a waiting call; it returns false when the call has been admitted already.
-func (l *callGate) withdraw(class callClass, turn chan struct{}) bool {
+func (l *callLimiter) removeWaiter(class callClass, turn chan struct{}) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for i, t := range l.waiting[class] {
@@ -118,7 +118,7 @@
 }
 
 // waitingCount returns the number of waiting calls.
-func (l *callGate) queued() int {
+func (l *callLimiter) waitingCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
@@ -129,24 +129,24 @@
 }
 
 // release gives the slot of a call to a waiting one, or frees it.
-func (l *callGate) release() {
+func (l *callLimiter) release() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.turn = (l.turn + 1) % len(turns)
-	if l.admit(turns[l.turn]) {
+	l.turnIndex = (l.turnIndex + 1) % len(classTurns)
+	if l.admit(classTurns[l.turnIndex]) {
 		return
 	}
-	for class := range callClasses {
+	for class := range callClassCount {
 		if l.admit(class) {
 			return
 		}
 	}
-	l.free++
+	l.freeSlots++
 }
 
 // admit admits the first waiting call of a class; it returns whether there was one. The caller holds
 // l.mu.
-func (l *callGate) admit(class callClass) bool {
+func (l *callLimiter) admit(class callClass) bool {
 	waiting := l.waiting[class]
 	if len(waiting) == 0 {
 		return false
--- a/pkg/poolowner/call_limiter_test.go
+++ b/pkg/poolowner/call_limiter_test.go
@@ -9,124 +9,124 @@
 )
 
 // fakeTimers records the functions that a limiter schedules, without calling them.
-type heldTimers struct {
+type fakeTimers struct {
 	calls     []func()
 	durations []time.Duration
 }
 
-func (h *heldTimers) after(d time.Duration, f func()) func() {
+func (h *fakeTimers) afterFunc(d time.Duration, f func()) func() {
 	h.calls = append(h.calls, f)
 	h.durations = append(h.durations, d)
 	return func() {}
 }
 
-func gateForTest(calls int) (*callGate, *heldTimers) {
-	h := &heldTimers{}
-	l := newCallGate(calls)
-	l.after = h.after
+func newTestLimiter(calls int) (*callLimiter, *fakeTimers) {
+	h := &fakeTimers{}
+	l := newCallLimiter(calls)
+	l.afterFunc = h.afterFunc
 	return l, h
 }
 
 // acquireInBackground acquires a slot in a goroutine, which sends the class to passed when it has it. It
 // returns when the call waits.
-func enterLater(l *callGate, class callClass, admitted chan<- callClass) {
-	waiting := l.waitingCalls(class)
+func acquireInBackground(l *callLimiter, class callClass, admitted chan<- callClass) {
+	waiting := l.waitingInClass(class)
 	go func() {
-		if _, ok := l.enter(context.Background(), class, time.Second); ok {
+		if _, ok := l.acquire(context.Background(), class, time.Second); ok {
 			admitted <- class
 		}
 	}()
-	Eventually(func() int { return l.waitingCalls(class) }).Should(Equal(waiting + 1))
+	Eventually(func() int { return l.waitingInClass(class) }).Should(Equal(waiting + 1))
 }
 
 // waitingInClass returns the number of waiting calls of a class.
-func (l *callGate) waitingCalls(class callClass) int {
+func (l *callLimiter) waitingInClass(class callClass) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.waiting[class])
 }
 
-func TestGateLetsThroughNoMoreCallsThanItHolds(t *testing.T) {
+func TestLimiterAdmitsNoMoreCallsThanItHasSlots(t *testing.T) {
 	RegisterTestingT(t)
-	l, _ := gateForTest(2)
-	done, ok := l.enter(context.Background(), callHold, time.Second)
+	l, _ := newTestLimiter(2)
+	done, ok := l.acquire(context.Background(), classPoll, time.Second)
 	Expect(ok).To(BeTrue())
-	_, ok = l.enter(context.Background(), callHold, time.Second)
+	_, ok = l.acquire(context.Background(), classPoll, time.Second)
 	Expect(ok).To(BeTrue())
 	admitted := make(chan callClass, 1)
-	enterLater(l, callHold, admitted)
+	acquireInBackground(l, classPoll, admitted)
 	Consistently(admitted, 30*time.Millisecond).ShouldNot(Receive())
 	done()
 	done() // a call releases its slot only once
 	Eventually(admitted).Should(Receive())
-	Expect(l.free).To(Equal(0))
+	Expect(l.freeSlots).To(Equal(0))
 }
 
-func TestGateLetsOrdersThroughBeforeHoldsOfSilentWorkers(t *testing.T) {
+func TestLimiterAdmitsOrdersBeforePolls(t *testing.T) {
 	RegisterTestingT(t)
-	l, _ := gateForTest(1)
-	done, _ := l.enter(context.Background(), callHold, time.Second)
+	l, _ := newTestLimiter(1)
+	done, _ := l.acquire(context.Background(), classPoll, time.Second)
 	admitted := make(chan callClass, 3)
-	enterLater(l, callSilent, admitted)
-	enterLater(l, callHold, admitted)
-	enterLater(l, callOrder, admitted)
-	l.turn = len(turns) - 1 // so that the turn is that of orders
+	acquireInBackground(l, classUnansweredPoll, admitted)
+	acquireInBackground(l, classPoll, admitted)
+	acquireInBackground(l, classOrder, admitted)
+	l.turnIndex = len(classTurns) - 1 // so that the turn is that of orders
 	done()
-	Eventually(admitted).Should(Receive(Equal(callOrder)))
+	Eventually(admitted).Should(Receive(Equal(classOrder)))
 	l.release()
-	Eventually(admitted).Should(Receive(Equal(callHold)))
+	Eventually(admitted).Should(Receive(Equal(classPoll)))
 	l.release()
-	Eventually(admitted).Should(Receive(Equal(callSilent)))
+	Eventually(admitted).Should(Receive(Equal(classUnansweredPoll)))
 }
 
-func TestFloodOfOrdersLeavesTurnsToHolds(t *testing.T) {
+func TestFloodOfOrdersLeavesTurnsToPolls(t *testing.T) {
 	RegisterTestingT(t)
-	l, _ := gateForTest(1)
-	_, _ = l.enter(context.Background(), callOrder, time.Second)
+	l, _ := newTestLimiter(1)
+	_, _ = l.acquire(context.Background(), classOrder, time.Second)
 	admitted := make(chan callClass, 40)
 	for range 12 {
-		enterLater(l, callOrder, admitted)
+		acquireInBackground(l, classOrder, admitted)
 	}
-	for class := callHold; class < callClasses; class++ {
-		enterLater(l, class, admitted)
+	for class := classPoll; class < callClassCount; class++ {
+		acquireInBackground(l, class, admitted)
 	}
 	counts := map[callClass]int{}
-	for range len(turns) {
+	for range len(classTurns) {
 		l.release()
 		var class callClass
 		Eventually(admitted).Should(Receive(&class))
 		counts[class]++
 	}
-	Expect(counts[callHold]).To(Equal(1))
-	Expect(counts[callFirst]).To(Equal(1))
-	Expect(counts[callSilent]).To(Equal(1))
-	Expect(counts[callOrder]).To(Equal(len(turns) - 3))
+	Expect(counts[classPoll]).To(Equal(1))
+	Expect(counts[classFirstPoll]).To(Equal(1))
+	Expect(counts[classUnansweredPoll]).To(Equal(1))
+	Expect(counts[classOrder]).To(Equal(len(classTurns) - 3))
 }
 
-func TestCallToASilentWorkerCountsForAWhileOnly(t *testing.T) {
+func TestUnansweredCallReleasesItsSlotAfterTheSlotTime(t *testing.T) {
 	RegisterTestingT(t)
-	l, timers := gateForTest(1)
-	done, _ := l.enter(context.Background(), callOrder, callCounts)
-	Expect(timers.durations).To(Equal([]time.Duration{callCounts}))
+	l, timers := newTestLimiter(1)
+	done, _ := l.acquire(context.Background(), classOrder, maxSlotTime)
+	Expect(timers.durations).To(Equal([]time.Duration{maxSlotTime}))
 	timers.calls[0]()
-	Expect(l.free).To(Equal(1))
+	Expect(l.freeSlots).To(Equal(1))
 	done()
-	Expect(l.free).To(Equal(1))
+	Expect(l.freeSlots).To(Equal(1))
 }
 
-func TestCallThatIsGivenUpWhileItWaitsTakesNoPlace(t *testing.T) {
+func TestCallCancelledWhileWaitingTakesNoSlot(t *testing.T) {
 	RegisterTestingT(t)
-	l, _ := gateForTest(1)
-	done, _ := l.enter(context.Background(), callHold, time.Second)
+	l, _ := newTestLimiter(1)
+	done, _ := l.acquire(context.Background(), classPoll, time.Second)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancelled := make(chan bool, 1)
 	go func() {
-		_, ok := l.enter(ctx, callHold, time.Second)
+		_, ok := l.acquire(ctx, classPoll, time.Second)
 		cancelled <- !ok
 	}()
-	Eventually(func() int { return l.waitingCalls(callHold) }).Should(Equal(1))
+	Eventually(func() int { return l.waitingInClass(classPoll) }).Should(Equal(1))
 	cancel()
 	Eventually(cancelled).Should(Receive(BeTrue()))
 	done()
-	Expect(l.free).To(Equal(1))
+	Expect(l.freeSlots).To(Equal(1))
 }
--- a/pkg/poolowner/commits.go
+++ b/pkg/poolowner/commits.go
@@ -17,48 +17,48 @@
 
 const (
 	// commitInterval is the time between two commits.
-	commitEvery = 40 * time.Millisecond
+	commitInterval = 40 * time.Millisecond
 	// minCommitPause is the least time between two commits while starts wait until the store records
 	// their workers.
-	namesPause = 10 * time.Millisecond
+	minCommitPause = 10 * time.Millisecond
 	// outcomeRemovalInterval is the time between two removals of old outcomes.
-	dropEvery = 200 * time.Millisecond
+	outcomeRemovalInterval = 200 * time.Millisecond
 	// commitRetryDelay is the pause before a failed commit is repeated.
-	commitRetry = 50 * time.Millisecond
+	commitRetryDelay = 50 * time.Millisecond
 	// A write that got no answer is repeated with a longer time limit each time: the first repetition
 	// has firstExtraTimeout more than usual, later ones up to maxExtraWriteTimeout. Otherwise, while its
 	// bytes still wait on a slow link, copies of the same write would queue up behind it.
-	firstPatience     = 400 * time.Millisecond
-	mostWritePatience = 3200 * time.Millisecond
+	firstExtraTimeout    = 400 * time.Millisecond
+	maxExtraWriteTimeout = 3200 * time.Millisecond
 	// reservedEntries is the number of entries of a transaction that commit itself may need.
-	ownEntries = 2
+	reservedEntries = 2
 )
 
 // runCommits writes the decisions of the pool to the store.
 func (o *Owner) runCommits(ctx context.Context) {
 	lastRemoval := o.deps.Clock.Now()
-	t := time.NewTicker(commitEvery)
+	t := time.NewTicker(commitInterval)
 	defer t.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
-		case <-o.names:
+		case <-o.commitSignal:
 		}
-		if now := o.deps.Clock.Now(); now.Sub(lastRemoval) >= dropEvery {
+		if now := o.deps.Clock.Now(); now.Sub(lastRemoval) >= outcomeRemovalInterval {
 			lastRemoval = now
-			o.dropOutcomes(ctx)
+			o.removeOldOutcomes(ctx)
 		}
 		o.commitChanges(ctx)
-		clock.Sleep(ctx, namesPause)
+		clock.Sleep(ctx, minCommitPause)
 	}
 }
 
 // requestCommit requests a commit without waiting for the commit interval.
-func (o *Owner) commitSoon() {
+func (o *Owner) requestCommit() {
 	select {
-	case o.names <- struct{}{}:
+	case o.commitSignal <- struct{}{}:
 	default:
 	}
 }
@@ -80,15 +80,15 @@
 	o.committed = make(chan struct{})
 	o.mu.Unlock()
 	if c.HasStarts() {
-		o.wake()
+		o.requestPlan()
 	}
 }
 
 // removeOldOutcomes removes outcomes from the store whose retention time is over. It runs between
 // commits and uses the first commit lane.
-func (o *Owner) dropOutcomes(ctx context.Context) {
+func (o *Owner) removeOldOutcomes(ctx context.Context) {
 	o.mu.Lock()
-	ids := o.pool.ExpiredOutcomes(o.deps.Bounds.KeepOutcomes, platform.MaxTxnEntries-ownEntries, o.deps.Clock.Now())
+	ids := o.pool.ExpiredOutcomes(o.deps.Bounds.OutcomeRetention, platform.MaxTxnEntries-reservedEntries, o.deps.Clock.Now())
 	o.mu.Unlock()
 	if len(ids) == 0 {
 		return
@@ -113,7 +113,7 @@
 	number   int64 // of the last commit
 }
 
-func newLanes(claim Claim) (lanes [jobstore.CommitLanes]commitLane) {
+func newLanes(claim Claim) (lanes [jobstore.MaxParallelCommits]commitLane) {
 	for n := range lanes {
 		lanes[n] = commitLane{key: jobstore.CommitKey(n), revision: claim.Revision}
 	}
@@ -131,7 +131,7 @@
 	}
 	group, ctx := errgroup.WithContext(ctx)
 	lanes := len(o.lanes)
-	if o.deps.Without.Contains(dispatch.ParallelCommits) {
+	if o.deps.Disabled.Contains(dispatch.ParallelCommits) {
 		lanes = 1
 	}
 	for n := range min(lanes, len(txns)) {
@@ -149,39 +149,39 @@
 
 // packChanges packs changes into as few transactions as possible.
 func packChanges(changes []dispatch.JobChange) ([]platform.Txn, error) {
-	const maxEntries = platform.MaxTxnEntries - ownEntries
+	const maxEntries = platform.MaxTxnEntries - reservedEntries
 	var txns []platform.Txn
 	var current platform.Txn
 	for _, c := range changes {
-		entries, err := entriesOf(c)
+		entries, err := changeEntries(c)
 		if err != nil {
 			return nil, err
 		}
-		if size(current)+size(entries) > maxEntries {
+		if entryCount(current)+entryCount(entries) > maxEntries {
 			txns = append(txns, current)
 			current = platform.Txn{}
 		}
 		current.Put = append(current.Put, entries.Put...)
 		current.Remove = append(current.Remove, entries.Remove...)
 	}
-	if size(current) > 0 {
+	if entryCount(current) > 0 {
 		txns = append(txns, current)
 	}
 	return txns, nil
 }
 
-func size(t platform.Txn) int {
+func entryCount(t platform.Txn) int {
 	return len(t.Put) + len(t.Remove)
 }
 
 // changeEntries returns what one change writes and removes.
-func entriesOf(c dispatch.JobChange) (t platform.Txn, err error) {
+func changeEntries(c dispatch.JobChange) (t platform.Txn, err error) {
 	if c.Outcome == "" {
 		data, err := c.Progress.Encode()
 		t.Put = []platform.Put{{Key: jobstore.ProgressKey(c.Job), Value: data}}
 		return t, err
 	}
-	data, err := job.Record{Outcome: c.Outcome, Customer: customer.Customer{Name: c.Customer}, Unended: c.RemainingUse, LateStart: c.LastLateStart}.Encode()
+	data, err := job.Record{Outcome: c.Outcome, Customer: customer.Customer{Name: c.Customer}, RemainingUse: c.RemainingUse, LastLateStart: c.LastLateStart}.Encode()
 	t.Put = []platform.Put{{Key: jobstore.JobKey(c.Job), Value: data}}
 	if c.HasProgress {
 		t.Remove = append(t.Remove, jobstore.ProgressKey(c.Job))
@@ -194,11 +194,11 @@
 
 // nextExtraTimeout returns the extra time for the next attempt at a write, from that of the failed
 // attempt.
-func morePatience(p time.Duration, err error) time.Duration {
-	if !errors.Is(err, platform.ErrUnsettled) {
+func nextExtraTimeout(p time.Duration, err error) time.Duration {
+	if !errors.Is(err, platform.ErrOutcomeUnknown) {
 		return p // the write was refused or was not sent
 	}
-	return min(max(2*p, firstPatience), mostWritePatience)
+	return min(max(2*p, firstExtraTimeout), maxExtraWriteTimeout)
 }
 
 // commit writes one transaction exactly once, repeating it until the store answers. Each commit of a
@@ -212,7 +212,7 @@
 	for ctx.Err() == nil {
 		revision, found, err := o.deps.Store.Commit(ctx, t)
 		if err == nil {
-			o.commitFailures.succeeded()
+			o.commitFailures.recordSuccess()
 			lane.revision = revision
 			return nil
 		}
@@ -224,9 +224,9 @@
 			o.depose("commit")
 			return ErrDeposed
 		}
-		o.commitFailures.failed(err)
-		t.Patience = morePatience(t.Patience, err)
-		clock.Sleep(ctx, commitRetry)
+		o.commitFailures.recordFailure(err)
+		t.ExtraTimeout = nextExtraTimeout(t.ExtraTimeout, err)
+		clock.Sleep(ctx, commitRetryDelay)
 	}
 	return ctx.Err()
 }
--- a/pkg/poolowner/commits_test.go
+++ b/pkg/poolowner/commits_test.go
@@ -42,7 +42,7 @@
 		g.Expect(txns).To(HaveLen(c.want), "%+v", c)
 		jobs := 0
 		for _, t := range txns {
-			g.Expect(size(t) + ownEntries).To(BeNumerically("<=", platform.MaxTxnEntries))
+			g.Expect(entryCount(t) + reservedEntries).To(BeNumerically("<=", platform.MaxTxnEntries))
 			jobs += len(t.Put)
 		}
 		g.Expect(jobs).To(Equal(c.changes))
@@ -51,28 +51,28 @@
 
 // Guards against a later owner that acknowledges run ends of an ended job while a late start of the job
 // may still arrive: the owner learns from the outcome until when.
-func TestOutcomeTellsOfTheLastStartWithoutAnAnswer(t *testing.T) {
+func TestOutcomeRecordsTheLastUnansweredStart(t *testing.T) {
 	g := NewWithT(t)
 	at := time.Date(2020, 1, 2, 3, 4, 5, 6_000_000, time.UTC)
 	txns, err := packChanges([]dispatch.JobChange{{Job: "a", Outcome: job.Completed, LastLateStart: at}})
 	g.Expect(err).NotTo(HaveOccurred())
 	record, err := job.DecodeRecord(txns[0].Put[0].Value)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(record.LateStart).To(Equal(at))
+	g.Expect(record.LastLateStart).To(Equal(at))
 }
 
 // Guards against repeating a write at the usual interval while its bytes still wait on a slow link,
 // which would queue up copies of it.
-func TestWritesWithoutAnAnswerAreGivenMoreTime(t *testing.T) {
+func TestUnansweredWritesGetLongerTimeouts(t *testing.T) {
 	g := NewWithT(t)
 	var timeouts []time.Duration
 	extraTimeout := time.Duration(0)
 	for range 6 {
-		extraTimeout = morePatience(extraTimeout, platform.ErrUnsettled)
+		extraTimeout = nextExtraTimeout(extraTimeout, platform.ErrOutcomeUnknown)
 		timeouts = append(timeouts, extraTimeout)
 	}
 	g.Expect(timeouts).To(Equal([]time.Duration{
-		firstPatience, 2 * firstPatience, 4 * firstPatience, mostWritePatience, mostWritePatience, mostWritePatience,
+		firstExtraTimeout, 2 * firstExtraTimeout, 4 * firstExtraTimeout, maxExtraWriteTimeout, maxExtraWriteTimeout, maxExtraWriteTimeout,
 	}))
-	g.Expect(morePatience(firstPatience, platform.ErrRefused)).To(Equal(firstPatience), "no extra time for a write that was not sent")
+	g.Expect(nextExtraTimeout(firstExtraTimeout, platform.ErrRefused)).To(Equal(firstExtraTimeout), "no extra time for a write that was not sent")
 }
--- a/pkg/poolowner/customer_limits.go
+++ b/pkg/poolowner/customer_limits.go
@@ -12,40 +12,40 @@
 
 // customerLimits are the customers whose jobs are accepted only in part, as computed last and as sent to
 // the hosts.
-type limits struct {
-	at   clock.Time
-	list []admission.Limit
-	told []*poolpb.Limit
+type customerLimits struct {
+	computedAt clock.Time
+	list       []admission.Limit
+	messages   []*poolpb.Limit
 }
 
 // CustomerLimits returns the customers whose jobs are accepted only in part at present, for the job API
 // of this host.
-func (o *Owner) Limits() []*poolpb.Limit {
+func (o *Owner) CustomerLimits() []*poolpb.Limit {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.limitsNow()
+	return o.currentLimits()
 }
 
 // currentLimits returns the customers whose jobs are accepted only in part. They are computed at most
 // once per heartbeat interval, since this goes over all jobs. The caller holds o.mu.
-func (o *Owner) limitsNow() []*poolpb.Limit {
+func (o *Owner) currentLimits() []*poolpb.Limit {
 	now := o.deps.Clock.Now()
-	if o.limits.at != 0 && now.Sub(o.limits.at) < poolrpc.HeartbeatEvery {
-		return o.limits.told
+	if o.customerLimits.computedAt != 0 && now.Sub(o.customerLimits.computedAt) < poolrpc.HeartbeatInterval {
+		return o.customerLimits.messages
 	}
 	list := o.pool.CustomerLimits(now)
-	o.logLimits(o.limits.list, list)
-	o.limits = limits{at: now, list: list, told: messagesOf(list)}
-	return o.limits.told
+	o.logLimits(o.customerLimits.list, list)
+	o.customerLimits = customerLimits{computedAt: now, list: list, messages: limitMessages(list)}
+	return o.customerLimits.messages
 }
 
 // limitMessages returns the messages that tell hosts of limits.
-func messagesOf(list []admission.Limit) []*poolpb.Limit {
+func limitMessages(list []admission.Limit) []*poolpb.Limit {
 	var out []*poolpb.Limit
 	for _, l := range list {
 		message := &poolpb.Limit{Customer: l.Customer}
 		for _, q := range l.Queues {
-			queue := messageOf(q.Refusal)
+			queue := refusalMessage(q.Refusal)
 			queue.Share = q.Share
 			message.Queues = append(message.Queues, queue)
 		}
--- a/pkg/poolowner/loading.go
+++ b/pkg/poolowner/loading.go
@@ -18,20 +18,20 @@
 
 const (
 	// jobsWatchInterval is the time between two watches for jobs that no host has reported.
-	jobsEvery = 500 * time.Millisecond
+	jobsWatchInterval = 500 * time.Millisecond
 	// workersWatchWait is how long a watch on the workers' entries waits for changes.
-	workersWait = time.Second
+	workersWatchWait = time.Second
 	// workersWatchPause is the time between two watches. Entries change with each heartbeat, and a
 	// change of a worker's state may be seen a little late.
-	workersPause = 300 * time.Millisecond
+	workersWatchPause = 300 * time.Millisecond
 	// fullAnswerChanges is the number of changes in one answer from which more may be waiting already.
 	// An answer holds at most about 500, and thousands of workers write as many during a pause.
-	manyChanges = 250
-	storeRetry  = 100 * time.Millisecond
+	fullAnswerChanges = 250
+	storeRetryDelay   = 100 * time.Millisecond
 )
 
 // watchPosition is the revision up to which each prefix of the store has been read.
-type position struct {
+type watchPosition struct {
 	jobs    int64
 	workers int64
 }
@@ -39,38 +39,38 @@
 // load reads the workers and the jobs, and repeats this until the store answers.
 func (o *Owner) load(ctx context.Context) error {
 	for ctx.Err() == nil {
-		err := o.loadOnce(ctx)
+		err := o.tryLoad(ctx)
 		if err == nil {
 			return nil
 		}
 		o.deps.Log.WithField("error", err).Warn("owner_loading")
-		clock.Sleep(ctx, storeRetry)
+		clock.Sleep(ctx, storeRetryDelay)
 	}
 	return ctx.Err()
 }
 
 // tryLoad reads workers and jobs at the same time, since the store may be slow. The leases of running
 // tasks are extended as soon as the workers are known.
-func (o *Owner) loadOnce(ctx context.Context) error {
+func (o *Owner) tryLoad(ctx context.Context) error {
 	var group errgroup.Group
 	group.Go(func() error {
 		if err := o.loadWorkers(ctx); err != nil {
 			return err
 		}
-		o.openSessions(ctx)
+		o.startSessions(ctx)
 		return nil
 	})
 	group.Go(func() error { return o.listJobs(ctx) })
-	group.Go(func() error { return errors.Wrap(o.deps.ReadOperator(ctx), "read operator's keys") })
+	group.Go(func() error { return errors.Wrap(o.deps.ReadOperatorKeys(ctx), "read operator's keys") })
 	if err := group.Wait(); err != nil {
 		return err
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.pool.MarkJobsLoaded()
-	o.putConfigured()
+	o.applyConfiguredEntries()
 	o.loaded.Store(true)
-	close(o.jobsKnown)
+	close(o.jobsLoaded)
 	return nil
 }
 
@@ -80,13 +80,13 @@
 	var group errgroup.Group
 	group.Go(func() error { return o.listWorkers(ctx) })
 	group.Go(func() (err error) {
-		roster, err = o.listRoster(ctx)
+		roster, err = o.readRoster(ctx)
 		return err
 	})
 	if err := group.Wait(); err != nil {
 		return err
 	}
-	o.takeRoster(roster)
+	o.loadRoster(roster)
 	return nil
 }
 
@@ -110,8 +110,8 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.takeJobs(items, progress)
-	o.position.jobs = at
+	o.applyJobs(items, progress)
+	o.watchPosition.jobs = at
 	o.deps.Log.WithFields(logrus.Fields{
 		"items": len(items), "progress": len(progress), "took": o.deps.Clock.Now().Sub(started),
 	}).Info("jobs_listed")
@@ -131,7 +131,7 @@
 			// The progress of this job is unknown, so it must not run; other jobs do.
 			o.deps.Log.WithFields(logrus.Fields{"job": id, "error": err}).Error("progress_unreadable")
 			o.mu.Lock()
-			o.unreadable[id] = true
+			o.unreadableProgress[id] = true
 			o.mu.Unlock()
 			continue
 		}
@@ -141,17 +141,17 @@
 }
 
 // applyJobs applies items under JobsPrefix. The caller holds o.mu.
-func (o *Owner) takeJobs(items []platform.Item, progress map[job.ID]job.Progress) {
+func (o *Owner) applyJobs(items []platform.Item, progress map[job.ID]job.Progress) {
 	for _, i := range items {
 		id, cancel := jobstore.ParseJobKey(i.Key)
 		switch {
-		case i.Gone:
+		case i.Removed:
 		case o.pool.IsJobActive(id) && !cancel && !job.HasOutcome(i.Value):
 			// A host has reported it already; decoding all records again took 5% of an owner's processor
 			// time.
 		case cancel:
 			if !o.pool.Cancel(id) {
-				o.cancelled[id] = true
+				o.earlyCancellations[id] = true
 			}
 		default:
 			record, err := job.DecodeRecord(i.Value)
@@ -168,34 +168,34 @@
 // watchJobs watches the store for jobs that no host has reported to the owner.
 func (o *Owner) watchJobs(ctx context.Context) {
 	for ctx.Err() == nil {
-		clock.Sleep(ctx, jobsEvery)
-		if err := o.lookForJobs(ctx); err != nil && ctx.Err() == nil {
-			o.followsJobs.Lost(err)
+		clock.Sleep(ctx, jobsWatchInterval)
+		if err := o.watchJobsOnce(ctx); err != nil && ctx.Err() == nil {
+			o.jobsWatch.RecordFailure(err)
 		}
 	}
 }
 
 // watchJobsOnce applies the jobs that were written since the last watch.
-func (o *Owner) lookForJobs(ctx context.Context) error {
+func (o *Owner) watchJobsOnce(ctx context.Context) error {
 	askedAt := o.deps.Clock.Now()
-	items, at, err := o.deps.Store.Watch(ctx, jobstore.JobsPrefix, o.position.jobs, 0)
-	if errors.Is(err, platform.ErrHistoryIsGone) {
+	items, at, err := o.deps.Store.Watch(ctx, jobstore.JobsPrefix, o.watchPosition.jobs, 0)
+	if errors.Is(err, platform.ErrHistoryCompacted) {
 		err = o.listJobs(ctx)
-		at = o.position.jobs
-		o.wake()
+		at = o.watchPosition.jobs
+		o.requestPlan()
 	}
 	if err != nil {
 		return err
 	}
-	o.followsJobs.Known(askedAt)
-	o.position.jobs = at
+	o.jobsWatch.RecordCurrent(askedAt)
+	o.watchPosition.jobs = at
 	if len(items) == 0 {
 		return nil
 	}
 	o.mu.Lock()
-	o.takeJobs(items, nil)
+	o.applyJobs(items, nil)
 	o.mu.Unlock()
-	o.wake()
+	o.requestPlan()
 	return nil
 }
 
@@ -209,7 +209,7 @@
 	defer o.mu.Unlock()
 	listed := make(map[dispatch.WorkerID]bool, len(items))
 	for _, i := range items {
-		if id, ok := o.putEntry(i); ok {
+		if id, ok := o.applyEntry(i); ok {
 			listed[id] = true
 		}
 	}
@@ -218,77 +218,77 @@
 			o.pool.RemoveEntry(w.ID, false, o.deps.Clock.Now())
 		}
 	}
-	o.position.workers = at
+	o.watchPosition.workers = at
 	return nil
 }
 
 // watchWorkers follows the workers' entries.
 func (o *Owner) watchWorkers(ctx context.Context) {
 	for ctx.Err() == nil {
-		items, at, err := o.deps.Store.Watch(ctx, platform.WorkersPrefix, o.position.workers, workersWait)
-		if errors.Is(err, platform.ErrHistoryIsGone) {
+		items, at, err := o.deps.Store.Watch(ctx, platform.WorkersPrefix, o.watchPosition.workers, workersWatchWait)
+		if errors.Is(err, platform.ErrHistoryCompacted) {
 			err = o.listWorkers(ctx)
-			at = o.position.workers
+			at = o.watchPosition.workers
 		}
 		if err != nil {
-			o.loseWorkers(ctx, err)
+			o.handleWatchFailure(ctx, err)
 			continue
 		}
-		o.followsWorkers.Known(o.deps.Clock.Now())
-		o.takeWorkers(items)
-		o.openSessions(ctx)
-		o.position.workers = at
-		clock.Sleep(ctx, pauseAfter(len(items)))
+		o.workersWatch.RecordCurrent(o.deps.Clock.Now())
+		o.applyEntries(items)
+		o.startSessions(ctx)
+		o.watchPosition.workers = at
+		clock.Sleep(ctx, pauseAfterWatch(len(items)))
 	}
 }
 
 // handleWatchFailure records that the workers' entries could not be read, and waits before the next
 // attempt.
-func (o *Owner) loseWorkers(ctx context.Context, err error) {
-	o.beats.interrupted()
+func (o *Owner) handleWatchFailure(ctx context.Context, err error) {
+	o.entryWrites.watchFailed()
 	if ctx.Err() == nil {
-		o.followsWorkers.Lost(err)
+		o.workersWatch.RecordFailure(err)
 	}
-	clock.Sleep(ctx, storeRetry)
+	clock.Sleep(ctx, storeRetryDelay)
 }
 
 // pauseAfterWatch returns the pause after an answer with the given number of changes. There is none
 // until the owner has caught up.
-func pauseAfter(changes int) time.Duration {
-	if changes >= manyChanges {
+func pauseAfterWatch(changes int) time.Duration {
+	if changes >= fullAnswerChanges {
 		return 0
 	}
-	return workersPause
+	return workersWatchPause
 }
 
-func (o *Owner) takeWorkers(items []platform.Item) {
+func (o *Owner) applyEntries(items []platform.Item) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.deps.Clock.Now()
-	o.beats.answered(now)
-	metrics.GetOrRegisterCounter("pool.entries_read", o.deps.Figures).Inc(int64(len(items)))
-	if len(items) >= manyChanges {
-		metrics.GetOrRegisterCounter("pool.entries_full_answers", o.deps.Figures).Inc(1)
+	o.entryWrites.watchAnswered(now)
+	metrics.GetOrRegisterCounter("pool.entries_read", o.deps.Metrics).Inc(int64(len(items)))
+	if len(items) >= fullAnswerChanges {
+		metrics.GetOrRegisterCounter("pool.entries_full_answers", o.deps.Metrics).Inc(1)
 	}
 	for _, i := range items {
-		if i.Gone {
+		if i.Removed {
 			name := platform.WorkerName(i)
-			delete(o.unusable, name)
-			o.pool.RemoveEntryByName(name, o.beats.fresh(name, now), now)
+			delete(o.invalidEntries, name)
+			o.pool.RemoveEntryByName(name, o.entryWrites.takeRecentlyWritten(name, now), now)
 			continue
 		}
-		if id, ok := o.putEntry(i); ok {
-			o.beats.seen(id.Name())
+		if id, ok := o.applyEntry(i); ok {
+			o.entryWrites.recordWrite(id.Name())
 		}
 	}
 }
 
 // startSessions starts a session with each new worker.
-func (o *Owner) openSessions(ctx context.Context) {
+func (o *Owner) startSessions(ctx context.Context) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, w := range o.pool.Workers() {
-		o.openSession(ctx, w)
+		o.startSession(ctx, w)
 	}
 }
 
--- a/pkg/poolowner/loading_test.go
+++ b/pkg/poolowner/loading_test.go
@@ -18,7 +18,7 @@
 
 // newOwnerOnEmulator returns an owner that is recorded in the store of an emulated platform, and the
 // only worker of its pool.
-func ownerOfEmulated(t *testing.T) (*Owner, *emulator.Platform, dispatch.WorkerInfo) {
+func newOwnerOnEmulator(t *testing.T) (*Owner, *emulator.Platform, dispatch.WorkerInfo) {
 	g := NewWithT(t)
 	p, err := emulator.Start(emulator.Options{Workers: 1})
 	g.Expect(err).NotTo(HaveOccurred())
@@ -26,7 +26,7 @@
 	clk := clock.System()
 	store := platform.NewStore(platform.StoreSettings{Address: netip.MustParseAddrPort(p.StoreAddress())},
 		platform.StoreOptions{CallTimeout: time.Second, WritesPerSecond: 1000, ReadsPerSecond: 1000}, clk)
-	revision, _, err := store.Commit(t.Context(), platform.Txn{Put: []platform.Put{{Key: jobstore.HolderKey, Value: []byte("{}")}}})
+	revision, _, err := store.Commit(t.Context(), platform.Txn{Put: []platform.Put{{Key: jobstore.OwnerRecordKey, Value: []byte("{}")}}})
 	g.Expect(err).NotTo(HaveOccurred())
 	items, _, err := store.List(t.Context(), platform.WorkersPrefix)
 	g.Expect(err).NotTo(HaveOccurred())
@@ -34,9 +34,9 @@
 	info, err := platform.ParseWorker(items[0])
 	g.Expect(err).NotTo(HaveOccurred())
 	o := New(Deps{
-		Name: "host", Clock: clk, Store: store, Workers: platform.NewWorkers(time.Second, nil), Heartbeat: time.Second,
-		Bounds: platform.Bounds{MaxHold: 6 * time.Second, Drain: 2 * time.Second},
-		Leased: func(clock.Time) bool { return true }, Log: logrus.NewEntry(logrus.New()), Figures: metrics.NewRegistry(),
+		Name: "host", Clock: clk, Store: store, Workers: platform.NewWorkerClient(time.Second, nil), HeartbeatInterval: time.Second,
+		Bounds:   platform.Bounds{MaxHold: 6 * time.Second, Drain: 2 * time.Second},
+		HasLease: func(clock.Time) bool { return true }, Log: logrus.NewEntry(logrus.New()), Metrics: metrics.NewRegistry(),
 	}, Claim{Term: 1, Revision: revision, First: true})
 	o.deps.Log.Logger.SetLevel(logrus.ErrorLevel)
 	return o, p, info
@@ -45,9 +45,9 @@
 // Guards against a pause after each answer of the watch, also after full ones. With 3,000 workers, which
 // write 2,000 times a second, and 500 changes in an answer, the owner saw 5 s late that workers were
 // leaving.
-func TestOwnerHearsOfALeavingWorkerBehindThousandsOfHeartbeats(t *testing.T) {
+func TestOwnerSeesALeavingWorkerBehindThousandsOfHeartbeats(t *testing.T) {
 	g := NewWithT(t)
-	o, p, info := ownerOfEmulated(t)
+	o, p, info := newOwnerOnEmulator(t)
 	key := platform.WorkersPrefix + string(info.ID)
 	entry := p.Store.Value(key)
 	for range 8000 {
@@ -56,8 +56,8 @@
 	p.Workers[0].Drain(time.Minute)
 	readTime := timeToRead(t, o)
 	ctx, cancel := context.WithCancel(t.Context())
-	o.duties.Go(func() { o.watchWorkers(ctx) })
-	defer o.duties.Wait()
+	o.background.Go(func() { o.watchWorkers(ctx) })
+	defer o.background.Wait()
 	defer cancel()
 	draining := func() bool {
 		o.mu.Lock()
--- a/pkg/poolowner/members_test.go
+++ b/pkg/poolowner/members_test.go
@@ -17,13 +17,13 @@
 
 // newOwnerWithMembers returns an owner with members of the given strength, and its clock, which the test
 // sets.
-func ownerOf(t *testing.T, members int, strength int64) (*Owner, *clock.Time) {
+func newOwnerWithMembers(t *testing.T, members int, strength int64) (*Owner, *clock.Time) {
 	now := clock.Time(100_000)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	o := New(Deps{
 		Name: "self", Clock: clock.Clock{Now: func() clock.Time { return now }, Wall: time.Now}, Log: logrus.NewEntry(log),
-		StoreAge: func() time.Duration { return 0 }, Figures: metrics.NewRegistry(),
+		StoreAge: func() time.Duration { return 0 }, Metrics: metrics.NewRegistry(),
 	}, Claim{Term: 1, First: true})
 	for n := range members {
 		join(o, fmt.Sprintf("m%03d", n), &poolpb.MemberStatus{Strength: strength, Hall: "h"}, now)
@@ -35,113 +35,113 @@
 	s := poolrpc.NewSession(now)
 	s.Name = name
 	status.Name = name
-	s.PutStatus(status, now)
-	o.joined(s)
+	s.SetStatus(status, now)
+	o.memberJoined(s)
 	return s
 }
 
 // relayedWorkerCount is the number of workers from which relays are used.
-const manyWorkers = 400
+const relayedWorkerCount = 400
 
 func workerName(n int) dispatch.WorkerID {
 	return dispatch.WorkerID(fmt.Sprintf("w%d", n))
 }
 
-func putWorkers(o *Owner) {
-	for n := range manyWorkers {
-		o.relays.PutWorker(workerName(n), "h")
+func addWorkers(o *Owner) {
+	for n := range relayedWorkerCount {
+		o.relays.AddWorker(workerName(n), "h")
 	}
 }
 
 // countFastMembers returns the number of members that have the fast heartbeat.
-func usual(o *Owner) int {
+func countFastMembers(o *Owner) int {
 	n := 0
 	for _, m := range o.members {
-		if o.status(m.Session).HeartbeatMs == poolrpc.HeartbeatEvery.Milliseconds() {
+		if o.memberStatus(m.Session).HeartbeatMs == poolrpc.HeartbeatInterval.Milliseconds() {
 			n++
 		}
 	}
 	return n
 }
 
-func TestFewMembersHaveTheUsualHeartbeat(t *testing.T) {
+func TestFewMembersAllHaveTheFastHeartbeat(t *testing.T) {
 	g := NewWithT(t)
-	o, _ := ownerOf(t, fewMembers, 20)
-	g.Expect(usual(o)).To(Equal(fewMembers))
+	o, _ := newOwnerWithMembers(t, maxAllFastMembers, 20)
+	g.Expect(countFastMembers(o)).To(Equal(maxAllFastMembers))
 }
 
-func TestOfManyMembersSomeStrongOnesHaveTheUsualHeartbeat(t *testing.T) {
+func TestSomeStrongMembersOfManyHaveTheFastHeartbeat(t *testing.T) {
 	g := NewWithT(t)
-	weak, _ := ownerOf(t, fewMembers+1, 20)
-	g.Expect(usual(weak)).To(Equal(0))
-	strong, now := ownerOf(t, fewMembers+10, enough)
-	g.Expect(usual(strong)).To(Equal(nearMembers))
-	for name := range strong.near {
-		strong.left(strong.members[name].Session)
+	weak, _ := newOwnerWithMembers(t, maxAllFastMembers+1, 20)
+	g.Expect(countFastMembers(weak)).To(Equal(0))
+	strong, now := newOwnerWithMembers(t, maxAllFastMembers+10, sufficientStrength)
+	g.Expect(countFastMembers(strong)).To(Equal(fastMemberCount))
+	for name := range strong.fastMembers {
+		strong.memberLeft(strong.members[name].Session)
 		break
 	}
-	g.Expect(usual(strong)).To(Equal(nearMembers), "another member takes its place")
-	join(strong, "stops", &poolpb.MemberStatus{Strength: enough, Stopping: true}, *now)
-	g.Expect(strong.near).NotTo(HaveKey("stops"))
+	g.Expect(countFastMembers(strong)).To(Equal(fastMemberCount), "another member takes its place")
+	join(strong, "stops", &poolpb.MemberStatus{Strength: sufficientStrength, Stopping: true}, *now)
+	g.Expect(strong.fastMembers).NotTo(HaveKey("stops"))
 }
 
-func TestRelaysHaveTheUsualHeartbeat(t *testing.T) {
+func TestRelaysHaveTheFastHeartbeat(t *testing.T) {
 	g := NewWithT(t)
-	o, now := ownerOf(t, fewMembers+1, 20)
-	putWorkers(o)
-	for n := range manyWorkers {
+	o, now := newOwnerWithMembers(t, maxAllFastMembers+1, 20)
+	addWorkers(o)
+	for n := range relayedWorkerCount {
 		o.relays.Assign(workerName(n), *now)
 	}
-	g.Expect(o.Relayed()).To(Equal(manyWorkers))
-	g.Expect(usual(o)).To(Equal(5), "each relay serves 96 workers")
+	g.Expect(o.RelayedWorkers()).To(Equal(relayedWorkerCount))
+	g.Expect(countFastMembers(o)).To(Equal(5), "each relay serves 96 workers")
 }
 
-func TestStoreAgeOfAMemberCountsTheTimeSinceItSaidSo(t *testing.T) {
+func TestStoreAgeOfAMemberIncludesTheAgeOfItsStatus(t *testing.T) {
 	g := NewWithT(t)
-	o, now := ownerOf(t, 0, enough)
-	s := join(o, "a", &poolpb.MemberStatus{StoreAgeMs: 100, Strength: enough}, *now)
+	o, now := newOwnerWithMembers(t, 0, sufficientStrength)
+	s := join(o, "a", &poolpb.MemberStatus{StoreAgeMs: 100, Strength: sufficientStrength}, *now)
 	o.deps.StoreAge = func() time.Duration { return time.Second }
 	g.Expect(o.reachesStoreBetter(o.members["a"])).To(BeTrue())
 	*now = now.Add(500 * time.Millisecond)
 	g.Expect(o.reachesStoreBetter(o.members["a"])).To(BeFalse())
-	s.PutStatus(&poolpb.MemberStatus{Name: "a", StoreAgeMs: 100}, *now)
+	s.SetStatus(&poolpb.MemberStatus{Name: "a", StoreAgeMs: 100}, *now)
 	g.Expect(o.reachesStoreBetter(o.members["a"])).To(BeTrue())
 }
 
-func TestOrdersDoNotGoOverAMemberThatReachesTheStoreBetter(t *testing.T) {
+func TestOrdersAreNotRelayedByAMemberThatReachesTheStoreBetter(t *testing.T) {
 	g := NewWithT(t)
-	o, now := ownerOf(t, 1, enough)
-	putWorkers(o)
+	o, now := newOwnerWithMembers(t, 1, sufficientStrength)
+	addWorkers(o)
 	s := &workerSession{owner: o, id: "w0"}
 	raise := false
-	g.Expect(s.holdPath(&raise)).To(Equal(o.members["m000"]))
+	g.Expect(s.pollPath(&raise)).To(Equal(o.members["m000"]))
 	g.Expect(raise).To(BeTrue())
 	g.Expect(s.orderPath()).To(Equal(o.members["m000"]))
-	o.deps.StoreAge = func() time.Duration { return yieldGain + time.Millisecond }
+	o.deps.StoreAge = func() time.Duration { return minYieldGain + time.Millisecond }
 	g.Expect(s.orderPath()).To(BeNil())
 	*now = now.Add(2 * time.Millisecond)
 	g.Expect(s.orderPath()).To(Equal(o.members["m000"]), "with its status this old, the member is not clearly ahead")
 	raise = true
-	g.Expect(s.holdPath(&raise)).To(BeNil(), "this host fences workers itself")
+	g.Expect(s.pollPath(&raise)).To(BeNil(), "this host fences workers itself")
 }
 
 // Guards the two conditions that tell a cut-off of the owner's hall from a store outage for all: which
 // halls are heard, and whether contact with the others ended when the store stopped answering.
-func TestOwnerTellsWhichHallsItHears(t *testing.T) {
+func TestOwnerStatusReportsOtherHalls(t *testing.T) {
 	g := NewWithT(t)
-	o, now := ownerOf(t, 2, enough)
+	o, now := newOwnerWithMembers(t, 2, sufficientStrength)
 	storeAge := time.Duration(0)
 	o.deps.Hall, o.deps.StoreAge = "h", func() time.Duration { return storeAge }
 	own := o.members["m000"].Session
 	reported := func() *poolpb.OwnerStatus {
-		own.PutStatus(own.Status(), *now)
-		return o.status(own)
+		own.SetStatus(own.Status(), *now)
+		return o.memberStatus(own)
 	}
 	g.Expect(reported().OtherHalls).To(BeZero())
 	g.Expect(reported().HallsLost).To(BeFalse(), "it never had contact with another hall")
 	other := join(o, "x", &poolpb.MemberStatus{Hall: "i"}, *now)
 	join(o, "y", &poolpb.MemberStatus{}, *now)
-	*now = now.Add(hallsEvery)
+	*now = now.Add(hallCountInterval)
 	g.Expect(reported().OtherHalls).To(Equal(int32(1)), "a member without a hall does not count")
 	storeAge = 900 * time.Millisecond
 	*now = now.Add(storeAge)
@@ -149,7 +149,7 @@
 	storeAge += 200 * time.Millisecond
 	*now = now.Add(200 * time.Millisecond)
 	g.Expect(reported()).To(And(HaveField("OtherHalls", BeZero()), HaveField("HallsLost", true), HaveField("StoreAgeMs", int64(1100))), "it fell silent together with the store")
-	o.left(other)
+	o.memberLeft(other)
 	storeAge += time.Minute
 	*now = now.Add(time.Minute)
 	g.Expect(reported().HallsLost).To(BeTrue(), "its stream has ended, and the store still does not answer")
--- a/pkg/poolowner/order_queue.go
+++ b/pkg/poolowner/order_queue.go
@@ -8,15 +8,15 @@
 const (
 	// maxConcurrentOrders is the maximum number of orders that are being sent to a worker at the same
 	// time.
-	ordersAtOnce = 2
+	maxConcurrentOrders = 2
 	// maxQueuedOrders is the maximum number of orders that wait for one worker.
-	ordersPerQueue = 512
+	maxQueuedOrders = 512
 )
 
 // orderQueue sends the orders for one worker, a few at a time. It has goroutines only while it has
 // orders, since most workers have none and there are thousands of workers.
 type orderQueue struct {
-	run func() // starts a goroutine of send
+	startSender func() // starts a goroutine of send
 
 	mu      sync.Mutex
 	waiting []func(context.Context)
@@ -26,21 +26,21 @@
 // newOrderQueue returns a queue that sends until ctx ends. Its goroutines are part of group.
 func newOrderQueue(ctx context.Context, group *sync.WaitGroup) *orderQueue {
 	q := &orderQueue{}
-	q.run = func() { group.Go(func() { q.send(ctx) }) }
+	q.startSender = func() { group.Go(func() { q.send(ctx) }) }
 	return q
 }
 
 // enqueue adds an order; it returns false when the queue is full.
-func (q *orderQueue) put(order func(context.Context)) bool {
+func (q *orderQueue) enqueue(order func(context.Context)) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if len(q.waiting) >= ordersPerQueue {
+	if len(q.waiting) >= maxQueuedOrders {
 		return false
 	}
 	q.waiting = append(q.waiting, order)
-	if q.senders < ordersAtOnce {
+	if q.senders < maxConcurrentOrders {
 		q.senders++
-		q.run()
+		q.startSender()
 	}
 	return true
 }
@@ -49,7 +49,7 @@
 // terminated or another owner has taken over.
 func (q *orderQueue) send(ctx context.Context) {
 	for {
-		order := q.take(ctx)
+		order := q.next(ctx)
 		if order == nil {
 			return
 		}
@@ -58,7 +58,7 @@
 }
 
 // next returns the next order; nil when there is none for this sender, which then ends.
-func (q *orderQueue) take(ctx context.Context) func(context.Context) {
+func (q *orderQueue) next(ctx context.Context) func(context.Context) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if ctx.Err() != nil {
--- a/pkg/poolowner/order_queue_test.go
+++ b/pkg/poolowner/order_queue_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestOrderQueueSendsAllAFewAtATime(t *testing.T) {
+func TestOrderQueueLimitsConcurrentOrders(t *testing.T) {
 	g := NewWithT(t)
 	var group sync.WaitGroup
 	q := newOrderQueue(context.Background(), &group)
@@ -16,7 +16,7 @@
 	sent, running, maxRunning := 0, 0, 0
 	release := make(chan struct{})
 	for range 20 {
-		g.Expect(q.put(func(context.Context) {
+		g.Expect(q.enqueue(func(context.Context) {
 			mu.Lock()
 			running++
 			maxRunning = max(maxRunning, running)
@@ -31,11 +31,11 @@
 	close(release)
 	group.Wait()
 	g.Expect(sent).To(Equal(20))
-	g.Expect(maxRunning).To(BeNumerically("<=", ordersAtOnce))
+	g.Expect(maxRunning).To(BeNumerically("<=", maxConcurrentOrders))
 	g.Expect(q.senders).To(BeZero(), "no goroutine is left")
 }
 
-func TestOrderQueueIsBoundedAndDropsOrdersAtItsEnd(t *testing.T) {
+func TestOrderQueueIsBoundedAndDropsOrdersWhenCancelled(t *testing.T) {
 	g := NewWithT(t)
 	var group sync.WaitGroup
 	ctx, cancel := context.WithCancel(context.Background())
@@ -49,11 +49,11 @@
 		<-ctx.Done()
 	}
 	accepted := 0
-	for q.put(order) {
+	for q.enqueue(order) {
 		accepted++
 	}
-	g.Expect(accepted).To(BeNumerically(">=", ordersPerQueue))
+	g.Expect(accepted).To(BeNumerically(">=", maxQueuedOrders))
 	cancel()
 	group.Wait()
-	g.Expect(sent).To(BeNumerically("<=", ordersAtOnce))
+	g.Expect(sent).To(BeNumerically("<=", maxConcurrentOrders))
 }
--- a/pkg/poolowner/owner.go
+++ b/pkg/poolowner/owner.go
@@ -26,24 +26,24 @@
 	// maxPreviousAuthority is how long a previous owner may go on giving orders. It is longer than
 	// AuthorityTerm to cover orders decided at the very end of that time, and the age of the majority
 	// check (majorityCheckInterval).
-	takeoverTerm = AuthorityTerm + 200*time.Millisecond
+	maxPreviousAuthority = AuthorityTerm + 200*time.Millisecond
 	// tokenStep is the number of fencing tokens of one owner: its first one and
 	// dispatch.MaxTokenIncrements increments.
 	tokenStep = dispatch.MaxTokenIncrements + 1
 	// runNumbersPerTerm is the distance between the first run numbers of two consecutive owners.
-	runsOfTerm = 1000
+	runNumbersPerTerm = 1000
 
 	// maxLease is the longest lease of a run on a worker. It outlasts a takeover, but is short enough
 	// that tasks of a crashed worker soon start elsewhere.
-	maxLease    = 5700 * time.Millisecond
-	leaseMargin = 300 * time.Millisecond
-	planEvery   = 50 * time.Millisecond
-	planPause   = 3 * time.Millisecond
+	maxLease     = 5700 * time.Millisecond
+	leaseMargin  = 300 * time.Millisecond
+	planInterval = 50 * time.Millisecond
+	minPlanPause = 3 * time.Millisecond
 	// planPauseFactor is the least pause before a requested plan, as a multiple of the time that the last
 	// plan took. It leaves processor time for the calls to workers when many steps wait.
-	planRest     = 2
-	inspectEvery = 250 * time.Millisecond
-	statusEvery  = time.Second
+	planPauseFactor = 2
+	inspectInterval = 250 * time.Millisecond
+	statusInterval  = time.Second
 )
 
 // ErrDeposed is returned by Run when another owner has taken over.
@@ -56,10 +56,10 @@
 	// First is true when the pool had no owner before.
 	First bool
 	// PreviousOwnerEnded is true when the previous owner's process has certainly ended.
-	FormerEnded bool
+	PreviousOwnerEnded bool
 	// RecordWorkersFromTerm is the first term from which on every owner records the workers of a job in
 	// the store before it starts the job there; 0 when this owner does not (jobstore.Holder).
-	NamedFrom int64
+	RecordWorkersFromTerm int64
 }
 
 // Deps are the dependencies and settings of an Owner.
@@ -68,22 +68,22 @@
 	Hall    string // data hall of this host
 	Clock   clock.Clock
 	Store   *platform.Store
-	Workers *platform.Workers
+	Workers *platform.WorkerClient
 	// WorkerTimeout is the time limit of a call to a worker, in addition to the time that the worker may
 	// hold the call open.
 	WorkerTimeout time.Duration
 	// Machines is nil when the platform has no machine service.
-	Machines *platform.Machines
+	Machines *platform.MachineClient
 	Bounds   platform.Bounds
 	// HeartbeatInterval is the interval at which a worker rewrites its entry.
-	Heartbeat time.Duration
+	HeartbeatInterval time.Duration
 	// Advise makes an advice call from this host.
 	Advise func(ctx context.Context, call *poolpb.AdviceCall) *poolpb.AdviceResult
 	// Write writes a key to the store on behalf of a member.
 	Write func(ctx context.Context, key string, value []byte) *poolpb.Answer
 	// ReadOperatorKeys reads the operator's keys again and passes them to the owner (SetConfig,
 	// SetEvacuatedHalls).
-	ReadOperator func(ctx context.Context) error
+	ReadOperatorKeys func(ctx context.Context) error
 	// StoreAge returns the time since the store last answered this host.
 	StoreAge func() time.Duration
 	// Strength is this host's capacity to own the pool, in percent of what an owner needs.
@@ -91,101 +91,101 @@
 	// LinkMbps is the bandwidth of this host's link; 0 when unknown.
 	LinkMbps float64
 	// HasLease returns whether the store has confirmed the ownership within AuthorityTerm.
-	Leased func(now clock.Time) bool
-	Log    *logrus.Entry
+	HasLease func(now clock.Time) bool
+	Log      *logrus.Entry
 	// Metrics receives a counter for each kind of event of the pool.
-	Figures metrics.Registry
+	Metrics metrics.Registry
 	// Disabled turns mechanisms off, in tests and experimental builds.
-	Without dispatch.DisabledMechanisms
+	Disabled dispatch.DisabledMechanisms
 }
 
 // Owner owns a pool while Run runs.
 type Owner struct {
-	deps  Deps
-	claim Claim
-	done  chan struct{}
-	kick  chan struct{} // of size 1: a plan is needed
+	deps       Deps
+	claim      Claim
+	done       chan struct{}
+	planSignal chan struct{} // of size 1: a plan is needed
 	// confirmSignal is of size 1: the owner's record has to be read from the store.
-	unconfirmed chan struct{}
+	confirmSignal chan struct{}
 	// unknownJobsSignal is of size 1: workers list jobs that this owner does not know.
-	unknownJobs chan struct{}
+	unknownJobsSignal chan struct{}
 	// commitSignal is of size 1: starts wait until the store records their workers.
-	names chan struct{}
-	calls *callGate // for calls to workers
+	commitSignal chan struct{}
+	calls        *callLimiter // for calls to workers
 	// jobsLoaded is closed when the jobs of the store are loaded.
-	jobsKnown chan struct{}
-
-	mu       sync.Mutex
-	pool     *dispatch.Pool
-	upkeep   *upkeep.Planner
-	sessions map[dispatch.WorkerID]*workerSession
-	members  map[string]*member
-	near     map[string]bool // members with the fast heartbeat (heartbeatInterval)
-	halls    halls
-	relays   *relay.Assignments
-	unusable map[string]unusableEntry // by worker name
+	jobsLoaded chan struct{}
+
+	mu             sync.Mutex
+	pool           *dispatch.Pool
+	upkeep         *upkeep.Planner
+	sessions       map[dispatch.WorkerID]*workerSession
+	members        map[string]*member
+	fastMembers    map[string]bool // members with the fast heartbeat (heartbeatInterval)
+	hallContact    hallContact
+	relays         *relay.Assignments
+	invalidEntries map[string]invalidEntry // by worker name
 	// unreadableProgress are the jobs whose stored progress can't be decoded.
-	unreadable map[job.ID]bool
-	cancelled  map[job.ID]bool // cancelled before the job itself was received
-	committed  chan struct{}   // closed and replaced at each commit
-	fenced     bool            // a majority of the workers has accepted this owner's token
-	counted    answerCount
-	refusals   refusals
-	limits     limits
-	plans      metrics.Timer // duration of plans
-	beats      beats         // used by watchWorkers only
-	position   position      // each field is used by one goroutine only
+	unreadableProgress map[job.ID]bool
+	earlyCancellations map[job.ID]bool // cancelled before the job itself was received
+	committed          chan struct{}   // closed and replaced at each commit
+	majorityFenced     bool            // a majority of the workers has accepted this owner's token
+	majority           majorityCheck
+	refusedQueues      refusedQueues
+	customerLimits     customerLimits
+	plans              metrics.Timer // duration of plans
+	entryWrites        entryWrites   // used by watchWorkers only
+	watchPosition      watchPosition // each field is used by one goroutine only
 	// roster is the roster as stored, by worker name. It is used while loading and then by writeRoster
 	// only.
 	roster map[string]rosterRecord
 
 	rosterFailures, commitFailures, readFailures *storeFailures
 	// jobsWatch and workersWatch are each used by the goroutine that watches these keys.
-	followsJobs, followsWorkers *jobstore.Following
-
-	lanes   [jobstore.CommitLanes]commitLane // used by runCommits only
-	yield   atomic.Pointer[string]
-	loaded  atomic.Bool
-	deposed atomic.Bool
-	cancel  context.CancelCauseFunc
-	duties  sync.WaitGroup
+	jobsWatch, workersWatch *jobstore.WatchStatus
+
+	lanes      [jobstore.MaxParallelCommits]commitLane // used by runCommits only
+	yieldTo    atomic.Pointer[string]
+	loaded     atomic.Bool
+	deposed    atomic.Bool
+	cancel     context.CancelCauseFunc
+	background sync.WaitGroup
 }
 
 // New returns an owner. It does nothing until Run is called.
 func New(deps Deps, claim Claim) *Owner {
 	now := deps.Clock.Now()
 	o := &Owner{
-		deps: deps, claim: claim, done: make(chan struct{}), kick: make(chan struct{}, 1), jobsKnown: make(chan struct{}),
-		unconfirmed: make(chan struct{}, 1), unknownJobs: make(chan struct{}, 1), names: make(chan struct{}, 1),
-		calls:    newCallGate(callsAtOnceOf(deps)),
-		sessions: map[dispatch.WorkerID]*workerSession{}, members: map[string]*member{}, near: map[string]bool{},
-		unusable: map[string]unusableEntry{}, roster: map[string]rosterRecord{}, unreadable: map[job.ID]bool{}, cancelled: map[job.ID]bool{}, committed: make(chan struct{}), lanes: newLanes(claim),
-		beats: newBeats(deps.Heartbeat), upkeep: upkeep.New(),
-		plans:          metrics.GetOrRegisterTimer("pool.plan", deps.Figures),
-		rosterFailures: &storeFailures{what: "roster", clk: deps.Clock, log: deps.Log},
-		commitFailures: &storeFailures{what: "commit", clk: deps.Clock, log: deps.Log},
-		readFailures:   &storeFailures{what: "unknown_job", clk: deps.Clock, log: deps.Log},
-		followsJobs:    jobstore.NewFollowing(jobstore.JobsPrefix, deps.Clock, deps.Log),
-		followsWorkers: jobstore.NewFollowing(platform.WorkersPrefix, deps.Clock, deps.Log),
+		deps: deps, claim: claim, done: make(chan struct{}), planSignal: make(chan struct{}, 1), jobsLoaded: make(chan struct{}),
+		confirmSignal: make(chan struct{}, 1), unknownJobsSignal: make(chan struct{}, 1), commitSignal: make(chan struct{}, 1),
+		calls:    newCallLimiter(concurrentCallLimit(deps)),
+		sessions: map[dispatch.WorkerID]*workerSession{}, members: map[string]*member{}, fastMembers: map[string]bool{},
+		invalidEntries: map[string]invalidEntry{}, roster: map[string]rosterRecord{}, unreadableProgress: map[job.ID]bool{}, earlyCancellations: map[job.ID]bool{}, committed: make(chan struct{}), lanes: newLanes(claim),
+		entryWrites: newEntryWrites(deps.HeartbeatInterval), upkeep: upkeep.New(),
+		plans:          metrics.GetOrRegisterTimer("pool.plan", deps.Metrics),
+		rosterFailures: &storeFailures{purpose: "roster", clk: deps.Clock, log: deps.Log},
+		commitFailures: &storeFailures{purpose: "commit", clk: deps.Clock, log: deps.Log},
+		readFailures:   &storeFailures{purpose: "unknown_job", clk: deps.Clock, log: deps.Log},
+		jobsWatch:      jobstore.NewWatchStatus(jobstore.JobsPrefix, deps.Clock, deps.Log),
+		workersWatch:   jobstore.NewWatchStatus(platform.WorkersPrefix, deps.Clock, deps.Log),
 	}
 	lease := min(maxLease, deps.Bounds.MaxHold-leaseMargin)
 	o.pool = dispatch.New(dispatch.Config{
 		LeaseDuration: lease, MaxLeaseDuration: lease, WorkerMaxLease: deps.Bounds.MaxHold, MinDrainTime: deps.Bounds.Drain, StopGrace: deps.Bounds.StopGrace,
 		RestoreTime: deps.Bounds.Restore,
-		Token:       claim.Revision * tokenStep, Term: claim.Term, RecordWorkersFromTerm: claim.NamedFrom, RunNumberBase: int(claim.Term) * runsOfTerm, HasPreviousOwner: !claim.First,
-		AuthorityTerm: formerTerm(claim), WallClock: deps.Clock.Wall, Log: o.logEvent, Disabled: deps.Without,
+		Token:       claim.Revision * tokenStep, Term: claim.Term, RecordWorkersFromTerm: claim.RecordWorkersFromTerm, RunNumberBase: int(claim.Term) * runNumbersPerTerm, HasPreviousOwner: !claim.First,
+		AuthorityTerm: previousAuthorityTerm(claim), WallClock: deps.Clock.Wall, Log: o.logEvent, Disabled: deps.Disabled,
 	}, now)
-	o.relays = relay.NewAssignments(o.stopping, deps.LinkMbps)
+	o.relays = relay.NewAssignments(o.isStopping, deps.LinkMbps)
 	o.pool.AddAdviser(deps.Name)
 	return o
 }
 
 // previousAuthorityTerm is how long the previous owner may go on giving orders.
-func formerTerm(c Claim) time.Duration {
-	if c.FormerEnded {
+func previousAuthorityTerm(c Claim) time.Duration {
+	if c.PreviousOwnerEnded {
 		return 0
 	}
-	return takeoverTerm
+	return maxPreviousAuthority
 }
 
 // Run owns the pool until ctx ends, or until another owner has taken over (ErrDeposed).
@@ -196,18 +196,18 @@
 	if err := o.load(ctx); err != nil {
 		return err
 	}
-	o.duties.Go(func() { o.runPlans(ctx) })
-	o.duties.Go(func() { clock.Every(ctx, inspectEvery, o.inspect) })
-	o.duties.Go(func() { clock.Every(ctx, statusEvery, o.logStatus) })
-	o.duties.Go(func() { o.runCommits(ctx) })
-	o.duties.Go(func() { o.watchJobs(ctx) })
-	o.duties.Go(func() { o.readUnknownJobs(ctx) })
-	o.duties.Go(func() { o.watchWorkers(ctx) })
-	o.duties.Go(func() { clock.Every(ctx, rosterEvery, func() { o.writeRoster(ctx) }) })
-	o.duties.Go(func() { o.runUpkeep(ctx) })
-	o.duties.Go(func() { o.runConfirmations(ctx) })
+	o.background.Go(func() { o.runPlans(ctx) })
+	o.background.Go(func() { clock.Every(ctx, inspectInterval, o.inspect) })
+	o.background.Go(func() { clock.Every(ctx, statusInterval, o.logStatus) })
+	o.background.Go(func() { o.runCommits(ctx) })
+	o.background.Go(func() { o.watchJobs(ctx) })
+	o.background.Go(func() { o.readUnknownJobs(ctx) })
+	o.background.Go(func() { o.watchWorkers(ctx) })
+	o.background.Go(func() { clock.Every(ctx, rosterInterval, func() { o.writeRoster(ctx) }) })
+	o.background.Go(func() { o.runUpkeep(ctx) })
+	o.background.Go(func() { o.runConfirmations(ctx) })
 	<-ctx.Done()
-	o.duties.Wait()
+	o.background.Wait()
 	if o.deposed.Load() {
 		return ErrDeposed
 	}
@@ -232,26 +232,26 @@
 func (o *Owner) SetConfig(cfg *queue.Config) {
 	o.mu.Lock()
 	o.pool.SetConfig(cfg)
-	o.putConfigured()
+	o.applyConfiguredEntries()
 	o.mu.Unlock()
-	o.wake()
+	o.requestPlan()
 }
 
 // SetEvacuatedHalls sets the data halls that are being evacuated.
-func (o *Owner) SetEvacuated(halls []string) {
+func (o *Owner) SetEvacuatedHalls(halls []string) {
 	o.mu.Lock()
 	o.pool.SetEvacuatedHalls(halls)
 	o.mu.Unlock()
-	o.wake()
+	o.requestPlan()
 }
 
 // requestPlan requests a new plan soon.
-func (o *Owner) wake() {
-	signal(o.kick)
+func (o *Owner) requestPlan() {
+	notify(o.planSignal)
 }
 
 // notify wakes the goroutine that receives from c, a channel of size 1, now or at its next receive.
-func signal(c chan<- struct{}) {
+func notify(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
@@ -262,7 +262,7 @@
 // higher token. When most workers accept this owner's token for the first time, it restarts the takeover
 // timers of the pool, since orders of the previous owner may have taken effect until then. The caller
 // holds o.mu.
-func (o *Owner) authority(now clock.Time) bool {
+func (o *Owner) hasAuthority(now clock.Time) bool {
 	if o.deposed.Load() {
 		return false
 	}
@@ -270,36 +270,36 @@
 		o.depose("fenced")
 		return false
 	}
-	majority := o.mostAnswer(now)
-	if !o.fenced && majority {
-		o.fenced = true
+	majority := o.hasMajority(now)
+	if !o.majorityFenced && majority {
+		o.majorityFenced = true
 		o.pool.RestartTakeoverTimers(now)
 	}
-	return majority || o.deps.Leased(now)
+	return majority || o.deps.HasLease(now)
 }
 
 // majorityCheckInterval is the maximum age of a majority check. The check is needed for each call to a
 // worker and goes over all workers. maxPreviousAuthority covers this age.
-const countEvery = 20 * time.Millisecond
+const majorityCheckInterval = 20 * time.Millisecond
 
 // hasMajority returns whether most workers have answered within AuthorityTerm. The caller holds o.mu.
-func (o *Owner) mostAnswer(now clock.Time) bool {
-	if o.counted.at == 0 || now.Sub(o.counted.at) >= countEvery {
+func (o *Owner) hasMajority(now clock.Time) bool {
+	if o.majority.checkedAt == 0 || now.Sub(o.majority.checkedAt) >= majorityCheckInterval {
 		answering, all := o.pool.AnsweringCount(now, AuthorityTerm)
-		o.counted = answerCount{at: now, most: 2*answering > all}
+		o.majority = majorityCheck{checkedAt: now, answers: 2*answering > all}
 	}
-	return o.counted.most
+	return o.majority.answers
 }
 
 // majorityCheck is whether most workers answered, at checkedAt.
-type answerCount struct {
-	at   clock.Time
-	most bool
+type majorityCheck struct {
+	checkedAt clock.Time
+	answers   bool
 }
 
 // runPlans plans every planInterval, and shortly after a plan was requested.
 func (o *Owner) runPlans(ctx context.Context) {
-	t := time.NewTicker(planEvery)
+	t := time.NewTicker(planInterval)
 	defer t.Stop()
 	var planTime time.Duration // time that the last plan took
 	for ctx.Err() == nil {
@@ -307,22 +307,22 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-		case <-o.kick:
-			clock.Sleep(ctx, o.restAfter(planTime))
+		case <-o.planSignal:
+			clock.Sleep(ctx, o.pauseAfterPlan(planTime))
 		}
 		startedAt := time.Now()
-		o.carryOut(ctx)
+		o.planAndExecute(ctx)
 		planTime = time.Since(startedAt)
 		o.plans.Update(planTime)
 	}
 }
 
 // pauseAfterPlan returns the least pause after a plan that took the given time.
-func (o *Owner) restAfter(planTime time.Duration) time.Duration {
-	if o.deps.Without.Contains(dispatch.PlanThrottling) {
-		return planPause
+func (o *Owner) pauseAfterPlan(planTime time.Duration) time.Duration {
+	if o.deps.Disabled.Contains(dispatch.PlanThrottling) {
+		return minPlanPause
 	}
-	return max(planPause, planRest*planTime)
+	return max(minPlanPause, planPauseFactor*planTime)
 }
 
 func (o *Owner) inspect() {
@@ -339,45 +339,45 @@
 }
 
 // RelayedWorkers returns the number of workers that other hosts make the calls to.
-func (o *Owner) Relayed() int {
+func (o *Owner) RelayedWorkers() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.relays.Count()
+	return o.relays.RelayedWorkers()
 }
 
 // WaitingCalls returns the number of calls to workers that wait for a slot. More than a few for more
 // than a moment mean that this host is too small for the pool.
-func (o *Owner) CallsWaiting() int {
-	return o.calls.queued()
+func (o *Owner) WaitingCalls() int {
+	return o.calls.waitingCount()
 }
 
 func (o *Owner) logStatus() {
 	s := o.Status()
 	plans := o.plans.Snapshot()
 	fields := logrus.Fields{
-		"workers": s.Workers, "silent": s.UnresponsiveWorkers, "evacuated": s.EvacuatedWorkers, "jobs": s.Jobs, "steps": s.Steps, "waiting": s.Waiting, "runs": s.Runs,
-		"calls": s.AdviceCalls, "advisers": s.FreeAdvisers, "takeover": s.TakeoverPending, "held": s.BlockedJobs, "retired": s.SilentRetiredWorkers, "calls_waiting": o.CallsWaiting(), "relayed": o.Relayed(), "used": s.Used, "capacity": s.Capacity,
+		"workers": s.Workers, "silent": s.UnresponsiveWorkers, "evacuated": s.EvacuatedWorkers, "jobs": s.Jobs, "steps": s.WaitingSteps, "waiting": s.WaitingTasks, "runs": s.Runs,
+		"calls": s.AdviceCalls, "advisers": s.FreeAdvisers, "takeover": s.TakeoverPending, "held": s.BlockedJobs, "retired": s.SilentRetiredWorkers, "calls_waiting": o.WaitingCalls(), "relayed": o.RelayedWorkers(), "used": s.Used, "capacity": s.Capacity,
 		"plan_p50_us": time.Duration(plans.Percentile(0.5)).Microseconds(), "plan_p99_us": time.Duration(plans.Percentile(0.99)).Microseconds(),
 	}
 	for name, n := range s.Advice {
 		fields[name] = n
 	}
 	o.deps.Log.WithFields(fields).Info("pool_status")
-	o.logLongWaits()
+	o.logDelayedSteps()
 }
 
 const (
 	// delayedStepThreshold is the waiting time from which a step in a pool with room is logged. The
 	// platform counts a job as lost when it waits for 3 s there.
-	longWait = 3 * time.Second
+	delayedStepThreshold = 3 * time.Second
 	// maxLoggedSteps is the maximum number of delayed steps that are logged with each pool_status.
-	mostLongWaits = 5
+	maxLoggedSteps = 5
 )
 
 // logDelayedSteps logs steps that have waited for long in a pool with room, and what they wait for.
-func (o *Owner) logLongWaits() {
+func (o *Owner) logDelayedSteps() {
 	o.mu.Lock()
-	steps := o.pool.DelayedSteps(longWait, mostLongWaits, o.deps.Clock.Now())
+	steps := o.pool.DelayedSteps(delayedStepThreshold, maxLoggedSteps, o.deps.Clock.Now())
 	o.mu.Unlock()
 	for _, step := range steps {
 		o.deps.Log.WithFields(logrus.Fields{
@@ -387,19 +387,19 @@
 }
 
 // planAndExecute makes a plan and carries out its actions.
-func (o *Owner) carryOut(ctx context.Context) {
+func (o *Owner) planAndExecute(ctx context.Context) {
 	o.mu.Lock()
 	now := o.deps.Clock.Now()
-	actions := o.pool.Plan(now, o.authority(now))
+	actions := o.pool.Plan(now, o.hasAuthority(now))
 	if o.pool.HasUnstoredWorkers() {
-		o.commitSoon()
+		o.requestCommit()
 	}
 	if actions.IsEmpty() {
 		o.mu.Unlock()
 		return
 	}
 	for _, w := range actions.NewWorkers {
-		o.openSession(ctx, w)
+		o.startSession(ctx, w)
 	}
 	sessions := o.sessionsFor(actions)
 	members := make([]*member, len(actions.AdviceCalls))
@@ -418,14 +418,14 @@
 	}
 	for _, id := range actions.FenceWorkers {
 		if s := sessions[id]; s != nil {
-			s.settle(ctx)
+			s.fence(ctx)
 		}
 	}
 	for i, a := range actions.AdviceCalls {
-		o.ask(ctx, members[i], a)
+		o.sendAdviceCall(ctx, members[i], a)
 	}
 	if actions.ConfirmOwnership {
-		o.askConfirmation()
+		o.requestConfirmation()
 	}
 }
 
@@ -477,5 +477,5 @@
 	if e.Name == "run_ended" || e.Name == "start_rejected" || e.Name == "job_ended" {
 		name += "." + e.Detail
 	}
-	metrics.GetOrRegisterCounter(name, o.deps.Figures).Inc(1)
+	metrics.GetOrRegisterCounter(name, o.deps.Metrics).Inc(1)
 }
--- a/pkg/poolowner/ownership_confirmation.go
+++ b/pkg/poolowner/ownership_confirmation.go
@@ -11,11 +11,11 @@
 // confirmationInterval is the time between two reads of the owner's record. They are made only while the
 // pool is to restart runs of a silent worker elsewhere. It is half of the time for which the pool
 // accepts a confirmation (dispatch.ownershipConfirmationValidity).
-const confirmPause = 400 * time.Millisecond
+const confirmationInterval = 400 * time.Millisecond
 
 // requestConfirmation requests a read of the owner's record.
-func (o *Owner) askConfirmation() {
-	signal(o.unconfirmed)
+func (o *Owner) requestConfirmation() {
+	notify(o.confirmSignal)
 }
 
 // runConfirmations reads the owner's record when the pool requests it.
@@ -24,17 +24,17 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-o.unconfirmed:
+		case <-o.confirmSignal:
 		}
-		o.confirm(ctx)
-		clock.Sleep(ctx, confirmPause)
+		o.confirmOwnership(ctx)
+		clock.Sleep(ctx, confirmationInterval)
 	}
 }
 
 // confirmOwnership reads the owner's record. If it names another owner, this one is deposed.
-func (o *Owner) confirm(ctx context.Context) {
+func (o *Owner) confirmOwnership(ctx context.Context) {
 	sentAt := o.deps.Clock.Now()
-	item, err := o.deps.Store.Read(ctx, jobstore.HolderKey)
+	item, err := o.deps.Store.Read(ctx, jobstore.OwnerRecordKey)
 	if err != nil {
 		o.deps.Log.WithField("error", err).Warn("owner_unconfirmed")
 		return
@@ -46,5 +46,5 @@
 	o.mu.Lock()
 	o.pool.RecordOwnershipConfirmed(sentAt)
 	o.mu.Unlock()
-	o.wake()
+	o.requestPlan()
 }
--- a/pkg/poolowner/recorded_workers_test.go
+++ b/pkg/poolowner/recorded_workers_test.go
@@ -12,10 +12,10 @@
 
 // Guards against starts that wait for the next commit, up to 40 ms, when the store does not record their
 // worker yet.
-func TestCommitStartsEarlyWhenNamesWait(t *testing.T) {
+func TestCommitStartsEarlyForUnstoredWorkers(t *testing.T) {
 	g := NewWithT(t)
-	o, _, info := ownerOfEmulated(t)
-	o = New(o.deps, Claim{Term: 1, Revision: o.claim.Revision, First: true, NamedFrom: 1})
+	o, _, info := newOwnerOnEmulator(t)
+	o = New(o.deps, Claim{Term: 1, Revision: o.claim.Revision, First: true, RecordWorkersFromTerm: 1})
 	now := o.deps.Clock.Now()
 	o.pool.MarkJobsLoaded()
 	o.pool.UpsertWorker(info, true, now)
@@ -23,12 +23,12 @@
 	poll, ok := o.pool.NewPoll(info.ID, false, true, now)
 	g.Expect(ok).To(BeTrue())
 	o.pool.HandlePollAnswer(poll, dispatch.Answer{Verdict: dispatch.VerdictDone, Clock: 1000}, dispatch.Report{IncarnationStart: info.ID.StartedAt()}, now)
-	o.carryOut(t.Context())
-	g.Expect(o.names).To(BeEmpty())
+	o.planAndExecute(t.Context())
+	g.Expect(o.commitSignal).To(BeEmpty())
 	step := job.Step{Count: 1, Resources: cell.Resources{CPUMillis: 1}}
 	o.pool.AddJob(job.Record{
 		Job: job.Job{ID: "a", Spec: "spec", Steps: []job.Step{step}}, Queue: queue.Queue{Name: "q", Pool: info.Pool, MaxAttempts: 3}, Term: 1,
 	}, job.Progress{}, false, 0, now)
-	o.carryOut(t.Context())
-	g.Expect(o.names).To(HaveLen(1))
+	o.planAndExecute(t.Context())
+	g.Expect(o.commitSignal).To(HaveLen(1))
 }
--- a/pkg/poolowner/refused_queues.go
+++ b/pkg/poolowner/refused_queues.go
@@ -9,35 +9,35 @@
 )
 
 // refusedQueues are the queues that accept no jobs, as computed last and as sent to the hosts.
-type refusals struct {
-	at   clock.Time
-	list []admission.Refusal
-	told []*poolpb.Refusal
+type refusedQueues struct {
+	computedAt clock.Time
+	list       []admission.Refusal
+	messages   []*poolpb.Refusal
 }
 
 // RefusedQueues returns the queues that accept no jobs at present, for the job API of this host.
-func (o *Owner) Refusals() []*poolpb.Refusal {
+func (o *Owner) RefusedQueues() []*poolpb.Refusal {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.refusalsNow()
+	return o.currentRefusals()
 }
 
 // currentRefusals returns the queues that accept no jobs. They are computed at most once per heartbeat
 // interval, since this goes over all jobs. The caller holds o.mu.
-func (o *Owner) refusalsNow() []*poolpb.Refusal {
+func (o *Owner) currentRefusals() []*poolpb.Refusal {
 	now := o.deps.Clock.Now()
-	if o.refusals.at != 0 && now.Sub(o.refusals.at) < poolrpc.HeartbeatEvery {
-		return o.refusals.told
+	if o.refusedQueues.computedAt != 0 && now.Sub(o.refusedQueues.computedAt) < poolrpc.HeartbeatInterval {
+		return o.refusedQueues.messages
 	}
 	list := o.pool.RefusedQueues(now)
-	if !admission.SameQueues(list, o.refusals.list) {
+	if !admission.SameQueues(list, o.refusedQueues.list) {
 		o.logRefusals(list)
 	}
-	o.refusals = refusals{at: now, list: list}
+	o.refusedQueues = refusedQueues{computedAt: now, list: list}
 	for _, r := range list {
-		o.refusals.told = append(o.refusals.told, messageOf(r))
+		o.refusedQueues.messages = append(o.refusedQueues.messages, refusalMessage(r))
 	}
-	return o.refusals.told
+	return o.refusedQueues.messages
 }
 
 // logRefusals logs which queues accept no jobs from now on, and why.
@@ -54,6 +54,6 @@
 }
 
 // refusalMessage returns the message that tells hosts of a refusal.
-func messageOf(r admission.Refusal) *poolpb.Refusal {
+func refusalMessage(r admission.Refusal) *poolpb.Refusal {
 	return &poolpb.Refusal{Queue: r.Queue, WaitMs: r.Wait.Milliseconds(), RetryAfterMs: r.RetryAfter.Milliseconds()}
 }
--- a/pkg/poolowner/relays.go
+++ b/pkg/poolowner/relays.go
@@ -12,38 +12,38 @@
 // member is another entry host that has a stream to this one.
 type member struct {
 	*poolrpc.Session
-	calls  *relay.Client      // to workers, made by that host
-	cancel context.CancelFunc // ends workerCalls
+	workerCalls *relay.Client      // to workers, made by that host
+	cancel      context.CancelFunc // ends workerCalls
 }
 
 // newMember returns the member of a stream that begins. memberLeft ends its calls.
 func (o *Owner) newMember(s *poolrpc.Session) *member {
 	ctx, cancel := context.WithCancel(context.Background())
-	m := &member{Session: s, calls: relay.NewClient(o.deps.WorkerTimeout), cancel: cancel}
-	go m.calls.Run(ctx, s.Send)
+	m := &member{Session: s, workerCalls: relay.NewClient(o.deps.WorkerTimeout), cancel: cancel}
+	go m.workerCalls.Run(ctx, s.Send)
 	return m
 }
 
 // isStopping returns whether a member is about to stop. The caller holds o.mu.
-func (o *Owner) stopping(name string) bool {
+func (o *Owner) isStopping(name string) bool {
 	m, ok := o.members[name]
 	return !ok || m.Status().Stopping
 }
 
 // handleResults passes on the workers' answers to orders that a member made the calls for.
-func (o *Owner) results(s *poolrpc.Session, r *poolpb.Results) {
+func (o *Owner) handleResults(s *poolrpc.Session, r *poolpb.Results) {
 	o.mu.Lock()
 	m := o.members[s.Name]
 	o.mu.Unlock()
 	if m != nil && m.Session == s {
-		m.calls.Take(r)
+		m.workerCalls.HandleResults(r)
 	}
 }
 
 // pollPath returns the member that makes the call of the session's next poll; nil for this host, which
 // makes the polls that fence a worker (raise) itself. When the calls before were made by another host,
 // it sets raise, so that those that are still in transit become invalid.
-func (s *workerSession) holdPath(raise *bool) *member {
+func (s *workerSession) pollPath(raise *bool) *member {
 	if *raise {
 		return nil
 	}
@@ -73,19 +73,19 @@
 }
 
 // recordRelayResult records whether a member returned a result for an order.
-func (s *workerSession) relayAnswered(m *member, result bool) {
+func (s *workerSession) recordRelayResult(m *member, result bool) {
 	o := s.owner
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.relays.Answered(s.id, m.Name, result, o.deps.Clock.Now()) {
+	if o.relays.RecordResult(s.id, m.Name, result, o.deps.Clock.Now()) {
 		o.deps.Log.WithField("member", m.Name).Warn("relay_suspected")
 	}
 }
 
 // callsThrough returns the calls to workers that member m makes, or those of this host when m is nil.
-func (o *Owner) callsBy(m *member) relay.Calls {
+func (o *Owner) callsThrough(m *member) relay.WorkerCalls {
 	if m == nil {
 		return relay.DirectCalls(o.deps.Workers)
 	}
-	return relay.Calls{Start: m.calls.Start, Stop: m.calls.Stop, Pace: m.calls.Pace, Hold: m.calls.Hold}
+	return relay.WorkerCalls{Start: m.workerCalls.Start, Stop: m.workerCalls.Stop, Pace: m.workerCalls.Pace, Hold: m.workerCalls.Hold}
 }
--- a/pkg/poolowner/roster.go
+++ b/pkg/poolowner/roster.go
@@ -17,13 +17,13 @@
 
 const (
 	// rosterInterval is the time between two checks for workers that joined or left.
-	rosterEvery = 20 * time.Millisecond
+	rosterInterval = 20 * time.Millisecond
 	// maxRosterBatch is the maximum number of records that one transaction writes: each takes a
 	// condition and a put, and the owner's record takes one more condition.
-	rosterBatch = (platform.MaxTxnEntries - 1) / 2
+	maxRosterBatch = (platform.MaxTxnEntries - 1) / 2
 	// maxConcurrentRosterWrites is the maximum number of these transactions that are written at the same
 	// time.
-	rosterWrites = 4
+	maxConcurrentRosterWrites = 4
 )
 
 // rosterRecord is what the store tells a later owner about the incarnations of a worker name.
@@ -33,19 +33,19 @@
 }
 
 // sameRosterEntry returns whether a and b tell a later owner the same about an incarnation.
-func alikeForLater(a, b dispatch.WorkerInfo) bool {
+func sameRosterEntry(a, b dispatch.WorkerInfo) bool {
 	return a.ID == b.ID && a.Crashed == b.Crashed && a.Retired == b.Retired
 }
 
 // readRoster reads the roster, which names the workers that previous owners have used. The entry of such
 // a worker may be gone while it still runs tasks.
-func (o *Owner) listRoster(ctx context.Context) ([]platform.Item, error) {
+func (o *Owner) readRoster(ctx context.Context) ([]platform.Item, error) {
 	items, _, err := o.deps.Store.List(ctx, jobstore.RosterPrefix)
 	return items, errors.Wrap(err, "list roster")
 }
 
 // loadRoster applies what readRoster has read. The workers' entries have been applied before.
-func (o *Owner) takeRoster(items []platform.Item) {
+func (o *Owner) loadRoster(items []platform.Item) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	hasEntry := map[dispatch.WorkerID]bool{}
@@ -61,14 +61,14 @@
 		}
 		o.roster[name] = r
 		for _, w := range r.workers {
-			o.takeRostered(w, hasEntry)
+			o.loadRosterWorker(w, hasEntry)
 		}
 	}
 }
 
 // loadRosterWorker applies one incarnation of the roster. hasEntry holds the workers that have an entry.
 // The caller holds o.mu.
-func (o *Owner) takeRostered(w dispatch.WorkerInfo, hasEntry map[dispatch.WorkerID]bool) {
+func (o *Owner) loadRosterWorker(w dispatch.WorkerInfo, hasEntry map[dispatch.WorkerID]bool) {
 	if w.Crashed {
 		o.pool.RecordUncountedCrash(w)
 		return
@@ -93,11 +93,11 @@
 		return
 	}
 	var group errgroup.Group
-	group.SetLimit(rosterWrites)
+	group.SetLimit(maxConcurrentRosterWrites)
 	for _, w := range o.rosterBatches(changes) {
 		group.Go(func() error {
-			o.takeWritten(w.changes, o.putRoster(ctx, w))
-			o.wake() // written workers may be used now
+			o.applyWritten(w.changes, o.commitRoster(ctx, w))
+			o.requestPlan() // written workers may be used now
 			return nil
 		})
 	}
@@ -105,18 +105,18 @@
 }
 
 // rosterUpdate is one transaction of changed records; stored are the records that it replaces.
-type rosterWrite struct {
+type rosterUpdate struct {
 	changes []rosterChange
-	before  []rosterRecord
+	stored  []rosterRecord
 }
 
 // rosterBatches splits changes into transactions.
-func (o *Owner) rosterBatches(changes []rosterChange) []rosterWrite {
-	var out []rosterWrite
-	for batch := range slices.Chunk(changes, rosterBatch) {
-		w := rosterWrite{changes: batch}
+func (o *Owner) rosterBatches(changes []rosterChange) []rosterUpdate {
+	var out []rosterUpdate
+	for batch := range slices.Chunk(changes, maxRosterBatch) {
+		w := rosterUpdate{changes: batch}
 		for _, c := range batch {
-			w.before = append(w.before, o.roster[c.name])
+			w.stored = append(w.stored, o.roster[c.name])
 		}
 		out = append(out, w)
 	}
@@ -131,8 +131,8 @@
 	var out []rosterChange
 	for _, name := range o.pool.TakeRosterChanges() {
 		workers := o.pool.RosterEntries(name)
-		if slices.EqualFunc(workers, o.roster[name].workers, alikeForLater) {
-			o.pool.MarkInRoster(idsOf(workers))
+		if slices.EqualFunc(workers, o.roster[name].workers, sameRosterEntry) {
+			o.pool.MarkInRoster(workerIDs(workers))
 			continue
 		}
 		out = append(out, rosterChange{name, workers})
@@ -140,7 +140,7 @@
 	return out
 }
 
-func idsOf(workers []dispatch.WorkerInfo) []dispatch.WorkerID {
+func workerIDs(workers []dispatch.WorkerInfo) []dispatch.WorkerID {
 	ids := make([]dispatch.WorkerID, 0, len(workers))
 	for _, w := range workers {
 		ids = append(ids, w.ID)
@@ -150,7 +150,7 @@
 
 // applyWritten applies the records that were written, so that their workers may be used. There are none
 // when this owner has ended.
-func (o *Owner) takeWritten(changes []rosterChange, records []rosterRecord) {
+func (o *Owner) applyWritten(changes []rosterChange, records []rosterRecord) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for n, r := range records {
@@ -159,7 +159,7 @@
 			continue
 		}
 		o.roster[changes[n].name] = r
-		o.pool.MarkInRoster(idsOf(r.workers))
+		o.pool.MarkInRoster(workerIDs(r.workers))
 	}
 }
 
@@ -167,7 +167,7 @@
 // owner ends. A write that got no answer may take effect after later writes. So each record is written
 // on condition that it replaces the stored one: otherwise the late write would drop workers that were
 // added since.
-func (o *Owner) putRoster(ctx context.Context, w rosterWrite) []rosterRecord {
+func (o *Owner) commitRoster(ctx context.Context, w rosterUpdate) []rosterRecord {
 	extraTimeout := time.Duration(0)
 	for ctx.Err() == nil {
 		t, err := o.rosterTxn(w)
@@ -175,33 +175,33 @@
 			o.deps.Log.WithField("error", err).Error("roster_not_written")
 			return nil
 		}
-		t.Patience = extraTimeout
+		t.ExtraTimeout = extraTimeout
 		revision, found, err := o.deps.Store.Commit(ctx, t)
 		switch {
 		case err == nil:
-			o.rosterFailures.succeeded()
-			return writtenAt(w.changes, revision)
-		case errors.Is(err, platform.ErrConflict) && o.rosterReplaced(w, found):
+			o.rosterFailures.recordSuccess()
+			return recordsAt(w.changes, revision)
+		case errors.Is(err, platform.ErrConflict) && o.refreshReplaced(w, found):
 			continue // an earlier attempt of this owner that got no answer took effect
 		case errors.Is(err, platform.ErrConflict):
 			o.depose("roster")
 			return nil
 		}
-		o.rosterFailures.failed(err)
-		extraTimeout = morePatience(extraTimeout, err)
-		clock.Sleep(ctx, storeRetry)
+		o.rosterFailures.recordFailure(err)
+		extraTimeout = nextExtraTimeout(extraTimeout, err)
+		clock.Sleep(ctx, storeRetryDelay)
 	}
 	return nil
 }
 
 // rosterTxn returns the transaction that writes an update.
-func (o *Owner) rosterTxn(w rosterWrite) (platform.Txn, error) {
-	t := platform.Txn{Conditions: []platform.Condition{{Key: jobstore.HolderKey, Revision: o.claim.Revision}}}
+func (o *Owner) rosterTxn(w rosterUpdate) (platform.Txn, error) {
+	t := platform.Txn{Conditions: []platform.Condition{{Key: jobstore.OwnerRecordKey, Revision: o.claim.Revision}}}
 	for n, c := range w.changes {
 		key := jobstore.RosterKey(c.name)
-		t.Conditions = append(t.Conditions, platform.Condition{Key: key, Revision: w.before[n].revision})
+		t.Conditions = append(t.Conditions, platform.Condition{Key: key, Revision: w.stored[n].revision})
 		if len(c.workers) == 0 {
-			if w.before[n].revision != 0 {
+			if w.stored[n].revision != 0 {
 				t.Remove = append(t.Remove, key)
 			}
 			continue
@@ -216,7 +216,7 @@
 }
 
 // recordsAt returns the records that changes have written at a revision.
-func writtenAt(changes []rosterChange, revision int64) []rosterRecord {
+func recordsAt(changes []rosterChange, revision int64) []rosterRecord {
 	out := make([]rosterRecord, len(changes))
 	for n, c := range changes {
 		if len(c.workers) > 0 {
@@ -228,7 +228,7 @@
 
 // refreshReplaced handles a conflict: it updates w to the stored revisions of its records. It returns
 // whether the conflict was only due to earlier writes of these records, so that w can be tried again.
-func (o *Owner) rosterReplaced(w rosterWrite, found []platform.Item) bool {
+func (o *Owner) refreshReplaced(w rosterUpdate, found []platform.Item) bool {
 	revisions := map[string]int64{}
 	for _, i := range found {
 		revisions[i.Key] = i.Revision
@@ -236,8 +236,8 @@
 	replaced := false
 	for n, c := range w.changes {
 		current := revisions[jobstore.RosterKey(c.name)]
-		replaced = replaced || current != w.before[n].revision
-		w.before[n].revision = current
+		replaced = replaced || current != w.stored[n].revision
+		w.stored[n].revision = current
 	}
-	return replaced && revisions[jobstore.HolderKey] == o.claim.Revision
+	return replaced && revisions[jobstore.OwnerRecordKey] == o.claim.Revision
 }
--- a/pkg/poolowner/roster_test.go
+++ b/pkg/poolowner/roster_test.go
@@ -26,8 +26,8 @@
 	*httptest.Server
 	store *emulator.Store
 
-	mu   sync.Mutex
-	late []byte // body of the first transaction
+	mu       sync.Mutex
+	firstTxn []byte // body of the first transaction
 }
 
 func newLateStore(t *testing.T, s *emulator.Store) *lateStore {
@@ -47,9 +47,9 @@
 		panic(http.ErrAbortHandler)
 	}
 	l.mu.Lock()
-	first := l.late == nil
+	first := l.firstTxn == nil
 	if first {
-		l.late = body
+		l.firstTxn = body
 	}
 	l.mu.Unlock()
 	if first {
@@ -60,10 +60,10 @@
 }
 
 // executeFirstTxn executes the first transaction now, if its conditions hold.
-func (l *lateStore) carryOut() {
+func (l *lateStore) executeFirstTxn() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.store.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, "/kv-txn", bytes.NewReader(l.late)))
+	l.store.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, "/kv-txn", bytes.NewReader(l.firstTxn)))
 }
 
 // Guards against a late roster write that drops a worker. The first write gets no answer and is
@@ -71,9 +71,9 @@
 // the first write after all. Without a condition on the replaced record, the roster would lack the
 // second worker. A new owner that finds the worker's entry gone too, as during store outages, would not
 // poll it and would start its tasks again elsewhere.
-func TestLateWriteOfTheRosterDoesNotTakeAWorkerOffIt(t *testing.T) {
+func TestLateRosterWriteDoesNotRemoveAWorker(t *testing.T) {
 	g := NewWithT(t)
-	o, p, info := ownerOfEmulated(t)
+	o, p, info := newOwnerOnEmulator(t)
 	l := newLateStore(t, p.Store)
 	o.deps.Store.SetAddress(netip.MustParseAddrPort(l.Listener.Addr().String()))
 	o.pool.UpsertWorker(info, true, o.deps.Clock.Now())
@@ -82,21 +82,21 @@
 	other.ID = "i-other"
 	o.pool.UpsertWorker(other, true, o.deps.Clock.Now())
 	o.writeRoster(t.Context())
-	g.Expect(rosterOf(t, o)).To(ConsistOf(info.ID, other.ID))
-	l.carryOut()
-	g.Expect(rosterOf(t, o)).To(ConsistOf(info.ID, other.ID), "both workers may run tasks")
+	g.Expect(nextOwnerRoster(t, o)).To(ConsistOf(info.ID, other.ID))
+	l.executeFirstTxn()
+	g.Expect(nextOwnerRoster(t, o)).To(ConsistOf(info.ID, other.ID), "both workers may run tasks")
 }
 
 // nextOwnerRoster returns the workers that a new owner learns from the roster.
-func rosterOf(t *testing.T, o *Owner) []dispatch.WorkerID {
+func nextOwnerRoster(t *testing.T, o *Owner) []dispatch.WorkerID {
 	g := NewWithT(t)
 	next := New(Deps{
-		Name: "next", Clock: clock.System(), Store: o.deps.Store, Workers: platform.NewWorkers(0, nil), Bounds: o.deps.Bounds, Log: o.deps.Log, Figures: o.deps.Figures,
+		Name: "next", Clock: clock.System(), Store: o.deps.Store, Workers: platform.NewWorkerClient(0, nil), Bounds: o.deps.Bounds, Log: o.deps.Log, Metrics: o.deps.Metrics,
 	}, Claim{Term: 2, Revision: o.claim.Revision})
-	items, err := next.listRoster(t.Context())
+	items, err := next.readRoster(t.Context())
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(items).NotTo(BeEmpty())
-	next.takeRoster(items)
+	next.loadRoster(items)
 	var workers []dispatch.WorkerID
 	for _, w := range next.pool.Workers() {
 		workers = append(workers, w.ID)
@@ -106,9 +106,9 @@
 
 // Guards against rewriting the whole roster at a takeover: a new owner of 6,000 workers would write for
 // seconds before it could use any.
-func TestNewOwnerWritesNothingForWorkersThatAreOnTheRoster(t *testing.T) {
+func TestNewOwnerDoesNotRewriteUnchangedRosterRecords(t *testing.T) {
 	g := NewWithT(t)
-	o, _, info := ownerOfEmulated(t)
+	o, _, info := newOwnerOnEmulator(t)
 	o.pool.UpsertWorker(info, true, o.deps.Clock.Now())
 	o.writeRoster(t.Context())
 	next := New(o.deps, Claim{Term: 2, Revision: o.claim.Revision})
@@ -121,9 +121,9 @@
 }
 
 // A terminated worker is removed, so that no later owner waits for it.
-func TestWorkerThatIsGoneIsTakenOffTheRoster(t *testing.T) {
+func TestTerminatedWorkerIsRemovedFromTheRoster(t *testing.T) {
 	g := NewWithT(t)
-	o, p, info := ownerOfEmulated(t)
+	o, p, info := newOwnerOnEmulator(t)
 	o.pool.UpsertWorker(info, true, o.deps.Clock.Now())
 	o.writeRoster(t.Context())
 	g.Expect(p.Store.Values(jobstore.RosterPrefix)).To(HaveLen(1))
@@ -140,9 +140,9 @@
 
 // The worker of an unreadable record can't be polled, so its leases must expire before jobs of the
 // previous owner start again.
-func TestRecordOfTheRosterThatCannotBeRead(t *testing.T) {
+func TestUnreadableRosterRecordKeepsTakeoverPending(t *testing.T) {
 	g := NewWithT(t)
-	o, p, _ := ownerOfEmulated(t)
+	o, p, _ := newOwnerOnEmulator(t)
 	p.Store.Put(jobstore.RosterKey("i-unreadable"), []byte("?"))
 	next := New(o.deps, Claim{Term: 2, Revision: o.claim.Revision})
 	g.Expect(next.loadWorkers(t.Context())).To(Succeed())
@@ -155,9 +155,9 @@
 
 // Guards against a later owner that loses which jobs may run on a silent worker: the owner after it
 // would unblock them.
-func TestRetiredWorkerOfAFormerOwnerStaysSoOnTheRoster(t *testing.T) {
+func TestWorkerRetiredByAPreviousOwnerStaysRetiredInTheRoster(t *testing.T) {
 	g := NewWithT(t)
-	o, p, info := ownerOfEmulated(t)
+	o, p, info := newOwnerOnEmulator(t)
 	info.Retired, info.Jobs = true, []job.ID{"a"}
 	data, err := json.Marshal([]dispatch.WorkerInfo{info})
 	g.Expect(err).NotTo(HaveOccurred())
--- a/pkg/poolowner/sessions.go
+++ b/pkg/poolowner/sessions.go
@@ -12,16 +12,16 @@
 
 const (
 	// extraTimeoutStep is added to the time limit of a poll for each unanswered poll before it.
-	patienceStep = 150 * time.Millisecond
-	mostPatience = 600 * time.Millisecond
+	extraTimeoutStep    = 150 * time.Millisecond
+	maxExtraPollTimeout = 600 * time.Millisecond
 	// pollRetryDelay is the pause after a failed poll.
-	holdRetry = 100 * time.Millisecond
+	pollRetryDelay = 100 * time.Millisecond
 	// maxCommitWait is the longest wait for the commit of reported ends before the next poll.
-	noteWait = 400 * time.Millisecond
+	maxCommitWait = 400 * time.Millisecond
 	// loadingPollInterval is the time between two polls while the jobs are being loaded.
-	loadingHold = 300 * time.Millisecond
+	loadingPollInterval = 300 * time.Millisecond
 	// maxFencingPolls is the maximum number of polls that are sent to fence a worker once.
-	settleTries = 60
+	maxFencingPolls = 60
 )
 
 // workerSession communicates with one incarnation of a worker.
@@ -33,23 +33,23 @@
 	// failures is the number of consecutive unanswered polls; used by runPolls only.
 	failures int
 	// fencing is of size 1: a poll with a higher token is about to be sent.
-	settling chan struct{}
+	fencing chan struct{}
 }
 
 // startSession starts communicating with a worker. The caller holds o.mu.
-func (o *Owner) openSession(ctx context.Context, w dispatch.WorkerInfo) {
+func (o *Owner) startSession(ctx context.Context, w dispatch.WorkerInfo) {
 	id := w.ID
 	if o.sessions[id] != nil {
 		return
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	s := &workerSession{
-		owner: o, id: id, orders: newOrderQueue(ctx, &o.duties), cancel: cancel, settling: make(chan struct{}, 1),
+		owner: o, id: id, orders: newOrderQueue(ctx, &o.background), cancel: cancel, fencing: make(chan struct{}, 1),
 	}
-	o.relays.PutWorker(id, w.Zone)
+	o.relays.AddWorker(id, w.Zone)
 	o.sessions[id] = s
-	o.duties.Go(func() {
-		s.runHolds(ctx)
+	o.background.Go(func() {
+		s.runPolls(ctx)
 		s.close()
 	})
 }
@@ -65,10 +65,10 @@
 }
 
 // runPolls polls the worker until nothing is left to ask it. Polls extend leases and bring reports.
-func (s *workerSession) runHolds(ctx context.Context) {
+func (s *workerSession) runPolls(ctx context.Context) {
 	answering := false // the last poll was answered; a first poll, which does not wait, reads the worker's clock
 	for ctx.Err() == nil {
-		answered, known := s.hold(ctx, s.holdClass(answering), false, answering)
+		answered, known := s.poll(ctx, s.pollClass(answering), false, answering)
 		if !known {
 			return
 		}
@@ -77,7 +77,7 @@
 		} else {
 			s.failures++
 			answering = false
-			clock.Sleep(ctx, holdRetry)
+			clock.Sleep(ctx, pollRetryDelay)
 			continue
 		}
 		if !s.owner.loaded.Load() {
@@ -88,16 +88,16 @@
 			answering = true
 			continue
 		}
-		s.awaitNote(ctx)
+		s.awaitCommit(ctx)
 	}
 }
 
 // awaitLoaded waits until the jobs are loaded, but not so long that leases expire.
 func (o *Owner) awaitLoaded(ctx context.Context) {
-	limit := time.NewTimer(loadingHold)
+	limit := time.NewTimer(loadingPollInterval)
 	defer limit.Stop()
 	select {
-	case <-o.jobsKnown:
+	case <-o.jobsLoaded:
 	case <-limit.C:
 	case <-ctx.Done():
 	}
@@ -105,24 +105,24 @@
 
 // poll sends one poll and applies its answer; with waits, the worker may hold the call open until a run
 // ends. known is false when the worker needs no more polls.
-func (s *workerSession) hold(ctx context.Context, class callClass, raise, waits bool) (answered, known bool) {
-	if m := s.holdPath(&raise); m != nil {
-		return s.sendHold(ctx, m, raise, waits)
+func (s *workerSession) poll(ctx context.Context, class callClass, raise, waits bool) (answered, known bool) {
+	if m := s.pollPath(&raise); m != nil {
+		return s.sendPoll(ctx, m, raise, waits)
 	}
-	done, ok := s.owner.calls.enter(ctx, class, holdCounts(waits))
+	done, ok := s.owner.calls.acquire(ctx, class, pollSlotTime(waits))
 	if !ok {
 		return false, false
 	}
 	defer done()
-	return s.sendHold(ctx, nil, raise, waits)
+	return s.sendPoll(ctx, nil, raise, waits)
 }
 
 // sendPoll makes the call of a poll, through member m or, when m is nil, from this host.
-func (s *workerSession) sendHold(ctx context.Context, m *member, raise, waits bool) (answered, known bool) {
+func (s *workerSession) sendPoll(ctx context.Context, m *member, raise, waits bool) (answered, known bool) {
 	o := s.owner
 	o.mu.Lock()
 	now := o.deps.Clock.Now()
-	p, ok := o.pool.NewPoll(s.id, raise, o.authority(now), now)
+	p, ok := o.pool.NewPoll(s.id, raise, o.hasAuthority(now), now)
 	wait := time.Duration(0)
 	if waits {
 		wait = o.pool.PollWait(s.id)
@@ -131,28 +131,28 @@
 	if !ok {
 		return false, false
 	}
-	a, report, err := o.callsBy(m).Hold(ctx, platform.HoldOrder{
+	a, report, err := o.callsThrough(m).Hold(ctx, platform.HoldOrder{
 		Order:    platform.Order{Worker: p.Worker, Address: p.Address, Token: p.Token},
-		LastSeen: p.AckedEnd, Deadline: p.Deadline, Wait: wait, Patience: s.patience(raise),
+		LastSeen: p.AckedEnd, Deadline: p.Deadline, Wait: wait, ExtraTimeout: s.extraTimeout(raise),
 	})
 	if m != nil {
-		s.relayAnswered(m, err == nil)
+		s.recordRelayResult(m, err == nil)
 	}
 	if err != nil {
-		o.holdFailed(p.Worker)
+		o.handlePollFailure(p.Worker)
 		return false, true
 	}
 	o.mu.Lock()
 	changed := o.pool.HandlePollAnswer(p, a, report, o.deps.Clock.Now())
-	o.tellUnknownJobs()
+	o.requestUnknownJobs()
 	o.mu.Unlock()
 	if changed {
-		o.wake()
+		o.requestPlan()
 	}
 	return a.Verdict == dispatch.VerdictDone, true
 }
 
-func (o *Owner) holdFailed(id dispatch.WorkerID) {
+func (o *Owner) handlePollFailure(id dispatch.WorkerID) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.pool.HandlePollFailure(id, o.deps.Clock.Now())
@@ -160,37 +160,37 @@
 
 // pollClass returns the class of the session's next poll; answering means that the last poll was
 // answered.
-func (s *workerSession) holdClass(answering bool) callClass {
+func (s *workerSession) pollClass(answering bool) callClass {
 	switch {
 	case answering:
-		return callHold
+		return classPoll
 	case s.failures > 0:
-		return callSilent
+		return classUnansweredPoll
 	}
-	return callFirst
+	return classFirstPoll
 }
 
 // pollSlotTime returns how long a poll occupies a slot of the call limiter at most.
-func holdCounts(waits bool) time.Duration {
+func pollSlotTime(waits bool) time.Duration {
 	if waits {
-		return waitCounts
+		return maxWaitingSlotTime
 	}
-	return callCounts
+	return maxSlotTime
 }
 
 // extraTimeout returns the extra time for the next poll. A worker that did not answer within the usual
 // time may be far away or slow.
-func (s *workerSession) patience(raise bool) time.Duration {
+func (s *workerSession) extraTimeout(raise bool) time.Duration {
 	if raise || s.failures == 0 {
 		return 0
 	}
-	return min(time.Duration(s.failures)*patienceStep, mostPatience)
+	return min(time.Duration(s.failures)*extraTimeoutStep, maxExtraPollTimeout)
 }
 
 // awaitCommit waits until the reported ends are committed, since the worker would report them again at
 // once.
-func (s *workerSession) awaitNote(ctx context.Context) {
-	limit := time.NewTimer(noteWait)
+func (s *workerSession) awaitCommit(ctx context.Context) {
+	limit := time.NewTimer(maxCommitWait)
 	defer limit.Stop()
 	for {
 		s.owner.mu.Lock()
@@ -211,98 +211,98 @@
 
 // fence sends polls with a higher token until one is answered. An earlier order that got no answer can't
 // take effect after that.
-func (s *workerSession) settle(ctx context.Context) {
+func (s *workerSession) fence(ctx context.Context) {
 	select {
-	case s.settling <- struct{}{}:
+	case s.fencing <- struct{}{}:
 	default:
 		return // a poll that has not been sent yet will do
 	}
-	s.owner.duties.Go(func() {
+	s.owner.background.Go(func() {
 		clock.Sleep(ctx, 5*time.Millisecond)
-		<-s.settling
-		class := callOrder
-		for range settleTries {
-			answered, known := s.hold(ctx, class, true, false)
+		<-s.fencing
+		class := classOrder
+		for range maxFencingPolls {
+			answered, known := s.poll(ctx, class, true, false)
 			if answered || !known || ctx.Err() != nil {
 				return
 			}
-			class = callSilent
-			clock.Sleep(ctx, holdRetry)
+			class = classUnansweredPoll
+			clock.Sleep(ctx, pollRetryDelay)
 		}
 	})
 }
 
 // enqueue queues an order; it returns whether there was room. An order whose session ends while it
 // waits, in the queue or for a slot, is dropped.
-func (s *workerSession) put(order func(context.Context, relay.Calls)) bool {
+func (s *workerSession) enqueue(order func(context.Context, relay.WorkerCalls)) bool {
 	if s == nil {
 		return false
 	}
-	return s.orders.put(func(ctx context.Context) {
+	return s.orders.enqueue(func(ctx context.Context) {
 		if m := s.orderPath(); m != nil {
-			order(ctx, s.owner.callsBy(m))
+			order(ctx, s.owner.callsThrough(m))
 			return
 		}
-		done, ok := s.owner.calls.enter(ctx, callOrder, callCounts)
+		done, ok := s.owner.calls.acquire(ctx, classOrder, maxSlotTime)
 		if !ok {
 			return
 		}
 		defer done()
-		order(ctx, s.owner.callsBy(nil))
+		order(ctx, s.owner.callsThrough(nil))
 	})
 }
 
 func (o *Owner) sendStart(s *workerSession, a dispatch.StartOrder) {
-	sent := s.put(func(ctx context.Context, calls relay.Calls) {
-		if !o.mayOrder() {
-			o.startAnswered(a, dispatch.Answer{}, dispatch.ErrNotSent)
+	sent := s.enqueue(func(ctx context.Context, calls relay.WorkerCalls) {
+		if !o.maySendOrders() {
+			o.handleStartAnswer(a, dispatch.Answer{}, dispatch.ErrNotSent)
 			return
 		}
-		if o.withhold(a) {
+		if o.cancelIfObsolete(a) {
 			return
 		}
 		answer, err := calls.Start(ctx, platform.StartOrder{
 			Order: platform.Order{Worker: a.Worker, Address: a.Address, Token: a.Token},
 			Task:  a.Task, Run: a.Run, Spec: a.Spec, Checkpoint: a.Checkpoint, Ticket: a.Ticket, Deadline: a.Deadline,
 		})
-		o.startAnswered(a, answer, err)
+		o.handleStartAnswer(a, answer, err)
 	})
 	if !sent {
-		o.startAnswered(a, dispatch.Answer{}, dispatch.ErrNotSent)
+		o.handleStartAnswer(a, dispatch.Answer{}, dispatch.ErrNotSent)
 	}
 }
 
 // maySendOrders checks the authority once more right before an order is sent.
-func (o *Owner) mayOrder() bool {
+func (o *Owner) maySendOrders() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.authority(o.deps.Clock.Now())
+	return o.hasAuthority(o.deps.Clock.Now())
 }
 
 // cancelIfObsolete cancels a start whose worker may get no new tasks since the start was decided. It
 // returns whether it did.
-func (o *Owner) withhold(a dispatch.StartOrder) bool {
+func (o *Owner) cancelIfObsolete(a dispatch.StartOrder) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !o.pool.IsStartObsolete(a) {
 		return false
 	}
 	o.pool.CancelUnsentStart(a, o.deps.Clock.Now())
-	o.wake()
+	o.requestPlan()
 	return true
 }
 
-func (o *Owner) startAnswered(a dispatch.StartOrder, answer dispatch.Answer, err error) {
+func (o *Owner) handleStartAnswer(a dispatch.StartOrder, answer dispatch.Answer, err error) {
 	o.mu.Lock()
 	o.pool.HandleStartAnswer(a, answer, err, o.deps.Clock.Now())
 	o.mu.Unlock()
 	if err != nil || answer.Verdict != dispatch.VerdictDone {
-		o.wake()
+		o.requestPlan()
 	}
 }
 
 func (o *Owner) sendStop(s *workerSession, a dispatch.StopOrder) {
-	s.put(func(ctx context.Context, calls relay.Calls) {
+	s.enqueue(func(ctx context.Context, calls relay.WorkerCalls) {
 		answer, err := calls.Stop(ctx, platform.Order{Worker: a.Worker, Address: a.Address, Token: a.Token}, a.Task, a.Run)
 		if err != nil {
 			return // the pool sends the stop again when the run does not end
@@ -314,19 +314,19 @@
 }
 
 func (o *Owner) sendPace(s *workerSession, a dispatch.PaceOrder) {
-	sent := s.put(func(ctx context.Context, calls relay.Calls) {
+	sent := s.enqueue(func(ctx context.Context, calls relay.WorkerCalls) {
 		answer, err := calls.Pace(ctx, platform.Order{Worker: a.Worker, Address: a.Address, Token: a.Token}, a.Task, a.Run, a.Percent)
 		if err == nil && answer.Verdict == dispatch.VerdictDone {
 			return
 		}
-		o.paceFailed(a)
+		o.handlePaceFailure(a)
 	})
 	if !sent {
-		o.paceFailed(a)
+		o.handlePaceFailure(a)
 	}
 }
 
-func (o *Owner) paceFailed(a dispatch.PaceOrder) {
+func (o *Owner) handlePaceFailure(a dispatch.PaceOrder) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.pool.HandlePaceFailure(a)
--- a/pkg/poolowner/store_failures_test.go
+++ b/pkg/poolowner/store_failures_test.go
@@ -11,20 +11,20 @@
 )
 
 // Guards against a log line for each failed read, which came to 80 lines a second during a store outage.
-func TestFailuresOfTheStoreAreLoggedOnce(t *testing.T) {
+func TestStoreFailuresAreLoggedOnce(t *testing.T) {
 	g := NewWithT(t)
 	log, hook := logtest.NewNullLogger()
-	f := &storeFailures{what: "unknown_job", clk: clock.System(), log: logrus.NewEntry(log)}
-	f.succeeded()
+	f := &storeFailures{purpose: "unknown_job", clk: clock.System(), log: logrus.NewEntry(log)}
+	f.recordSuccess()
 	g.Expect(hook.Entries).To(BeEmpty())
 	for range 100 {
-		f.failed(errors.New("refused"))
+		f.recordFailure(errors.New("refused"))
 	}
 	g.Expect(hook.Entries).To(HaveLen(1))
 	g.Expect(hook.LastEntry().Data).To(HaveKeyWithValue("what", "unknown_job"))
-	f.succeeded()
-	f.succeeded()
+	f.recordSuccess()
+	f.recordSuccess()
 	g.Expect(hook.Entries).To(HaveLen(2))
-	f.failed(errors.New("refused"))
+	f.recordFailure(errors.New("refused"))
 	g.Expect(hook.Entries).To(HaveLen(3))
 }
--- a/pkg/poolowner/unknown_jobs.go
+++ b/pkg/poolowner/unknown_jobs.go
@@ -12,7 +12,7 @@
 )
 
 // maxConcurrentReads is the maximum number of job records that are read at the same time.
-const readsAtOnce = 8
+const maxConcurrentReads = 8
 
 // readUnknownJobs reads the records of jobs that workers list but that no host has reported. Until a job is
 // read, the workers that list it get no tasks, and their run ends of the job are not acknowledged.
@@ -21,16 +21,16 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-o.unknownJobs:
+		case <-o.unknownJobsSignal:
 		}
-		for ids := o.jobsToRead(); len(ids) > 0 && ctx.Err() == nil; ids = o.jobsToRead() {
-			o.readSome(ctx, ids[:min(len(ids), readsAtOnce)])
+		for ids := o.unknownJobIDs(); len(ids) > 0 && ctx.Err() == nil; ids = o.unknownJobIDs() {
+			o.readConcurrently(ctx, ids[:min(len(ids), maxConcurrentReads)])
 		}
 	}
 }
 
 // readConcurrently reads the records of a few jobs at the same time, since the store may be slow.
-func (o *Owner) readSome(ctx context.Context, ids []job.ID) {
+func (o *Owner) readConcurrently(ctx context.Context, ids []job.ID) {
 	var reads sync.WaitGroup
 	for _, id := range ids {
 		reads.Go(func() { o.readUnknownJob(ctx, id) })
@@ -38,7 +38,7 @@
 	reads.Wait()
 }
 
-func (o *Owner) jobsToRead() []job.ID {
+func (o *Owner) unknownJobIDs() []job.ID {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.pool.UnknownJobs()
@@ -49,29 +49,29 @@
 func (o *Owner) readUnknownJob(ctx context.Context, id job.ID) {
 	item, err := o.deps.Store.Read(ctx, jobstore.JobKey(id))
 	if err == nil || errors.Is(err, platform.ErrAbsent) {
-		o.readFailures.succeeded()
-		o.takeUnknownJob(id, item, err == nil)
+		o.readFailures.recordSuccess()
+		o.applyUnknownJob(id, item, err == nil)
 		return
 	}
-	o.readFailures.failed(errors.Wrapf(err, "read job %s", id))
-	clock.Sleep(ctx, storeRetry)
+	o.readFailures.recordFailure(errors.Wrapf(err, "read job %s", id))
+	clock.Sleep(ctx, storeRetryDelay)
 }
 
 // applyUnknownJob applies the record of a job that a worker lists, or records that it has none.
-func (o *Owner) takeUnknownJob(id job.ID, item platform.Item, found bool) {
+func (o *Owner) applyUnknownJob(id job.ID, item platform.Item, found bool) {
 	o.mu.Lock()
 	if found {
-		o.takeJobs([]platform.Item{item}, nil)
+		o.applyJobs([]platform.Item{item}, nil)
 	}
 	o.pool.MarkJobAbsent(id) // also for a record that can't be decoded; no effect for a job that is known by now
 	o.mu.Unlock()
-	o.wake()
+	o.requestPlan()
 }
 
 // requestUnknownJobs requests that the records of unknown jobs be read, if there are any. The caller
 // holds o.mu.
-func (o *Owner) tellUnknownJobs() {
+func (o *Owner) requestUnknownJobs() {
 	if o.pool.HasUnknownJobs() {
-		signal(o.unknownJobs)
+		notify(o.unknownJobsSignal)
 	}
 }
--- a/pkg/poolowner/unknown_jobs_test.go
+++ b/pkg/poolowner/unknown_jobs_test.go
@@ -13,7 +13,7 @@
 )
 
 // unknownJob is a job that a host has accepted and reported only to the previous owner.
-const lateJob = job.ID("00000000000000a1")
+const unknownJob = job.ID("00000000000000a1")
 
 // putJob writes the record of a job to the store.
 func putJob(t *testing.T, p *emulator.Platform, id job.ID) {
@@ -24,7 +24,7 @@
 }
 
 // reportUnknownJob makes the pool's worker report a run of unknownJob, and runs readUnknownJobs.
-func listsLateJob(t *testing.T, o *Owner, info dispatch.WorkerInfo) {
+func reportUnknownJob(t *testing.T, o *Owner, info dispatch.WorkerInfo) {
 	g := NewWithT(t)
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -33,26 +33,26 @@
 	o.pool.UpsertWorker(info, true, now)
 	poll, ok := o.pool.NewPoll(info.ID, false, true, now)
 	g.Expect(ok).To(BeTrue())
-	run := dispatch.ActiveRun{Task: job.TaskID{StepID: job.StepID{Job: lateJob}}, Run: 1}
+	run := dispatch.ActiveRun{Task: job.TaskID{StepID: job.StepID{Job: unknownJob}}, Run: 1}
 	o.pool.HandlePollAnswer(poll, dispatch.Answer{Verdict: dispatch.VerdictDone, Clock: 1}, dispatch.Report{IncarnationStart: info.ID.StartedAt(), Active: []dispatch.ActiveRun{run}}, now)
-	o.tellUnknownJobs()
+	o.requestUnknownJobs()
 	ctx, cancel := context.WithCancel(t.Context())
-	o.duties.Go(func() { o.readUnknownJobs(ctx) })
+	o.background.Go(func() { o.readUnknownJobs(ctx) })
 	t.Cleanup(func() {
 		cancel()
-		o.duties.Wait()
+		o.background.Wait()
 	})
 }
 
 // A worker that lists an unknown job gets no tasks, and its run ends are not acknowledged. Guards
 // against waiting for the watch of the jobs, which comes every 0.5 s only and finds nothing while
 // watches get no answer.
-func TestJobThatAWorkerListsIsReadAtOnce(t *testing.T) {
-	o, p, info := ownerOfEmulated(t)
-	putJob(t, p, lateJob)
-	listsLateJob(t, o, info)
+func TestUnknownJobListedByAWorkerIsReadAtOnce(t *testing.T) {
+	o, p, info := newOwnerOnEmulator(t)
+	putJob(t, p, unknownJob)
+	reportUnknownJob(t, o, info)
 	known := func() bool {
-		_, ok := o.Explain(lateJob)
+		_, ok := o.Explain(unknownJob)
 		return ok
 	}
 	NewWithT(t).Eventually(known, 10*time.Second, time.Millisecond).Should(BeTrue())
@@ -60,15 +60,15 @@
 
 // During a store outage nobody can tell whether a job still exists, so its runs are neither acknowledged
 // nor stopped.
-func TestJobThatAWorkerListsIsNotGivenUpWhileTheStoreIsAway(t *testing.T) {
+func TestUnknownJobIsKeptWhileTheStoreIsUnavailable(t *testing.T) {
 	g := NewWithT(t)
-	o, p, info := ownerOfEmulated(t)
+	o, p, info := newOwnerOnEmulator(t)
 	p.Store.SetMode(emulator.StoreBusy)
-	listsLateJob(t, o, info)
-	unknown := func() []job.ID { return o.jobsToRead() }
-	g.Consistently(unknown, 4*storeRetry, storeRetry/4).Should(Equal([]job.ID{lateJob}))
+	reportUnknownJob(t, o, info)
+	unknown := func() []job.ID { return o.unknownJobIDs() }
+	g.Consistently(unknown, 4*storeRetryDelay, storeRetryDelay/4).Should(Equal([]job.ID{unknownJob}))
 	p.Store.SetMode(emulator.StoreUp)
 	g.Eventually(unknown, 10*time.Second, time.Millisecond).Should(BeEmpty(), "the store has no record of the job")
-	_, ok := o.Explain(lateJob)
+	_, ok := o.Explain(unknownJob)
 	g.Expect(ok).To(BeFalse())
 }
--- a/pkg/poolowner/unreadable_progress_test.go
+++ b/pkg/poolowner/unreadable_progress_test.go
@@ -10,9 +10,9 @@
 
 // Guards against one unreadable value that keeps a new owner from loading anything, as it repeats
 // reading all progress.
-func TestProgressThatIsUnreadableHoldsUpItsJobOnly(t *testing.T) {
+func TestUnreadableProgressAffectsOnlyItsJob(t *testing.T) {
 	g := NewWithT(t)
-	o, p, _ := ownerOfEmulated(t)
+	o, p, _ := newOwnerOnEmulator(t)
 	for _, id := range []job.ID{"00000000000000a1", "00000000000000a2"} {
 		putJob(t, p, id)
 	}
--- a/pkg/poolowner/upkeep.go
+++ b/pkg/poolowner/upkeep.go
@@ -13,14 +13,14 @@
 )
 
 // upkeepInterval is the time between two checks of the machines while there is a wave.
-const upkeepEvery = 500 * time.Millisecond
+const upkeepInterval = 500 * time.Millisecond
 
 // PutWave adds an upkeep wave that the operator has requested.
 func (o *Owner) PutWave(w upkeep.Wave) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.upkeep.PutWave(w, o.deps.Clock.Now())
-	o.deps.Log.WithFields(logrus.Fields{"wave": w.Number, "machines": len(w.Machines), "at_once": w.AtOnce}).Info("wave_known")
+	o.upkeep.AddWave(w, o.deps.Clock.Now())
+	o.deps.Log.WithFields(logrus.Fields{"wave": w.Number, "machines": len(w.Machines), "at_once": w.MaxUnavailable}).Info("wave_known")
 }
 
 // runUpkeep carries out the upkeep waves.
@@ -31,19 +31,19 @@
 	// Orders of two owners for one machine must be at least MachineLease apart.
 	clock.Sleep(ctx, o.deps.Bounds.MachineLease)
 	checked := map[int64]bool{}
-	clock.Every(ctx, upkeepEvery, func() {
+	clock.Every(ctx, upkeepInterval, func() {
 		o.mu.Lock()
-		active := o.upkeep.Active()
+		active := o.upkeep.HasActiveWave()
 		o.mu.Unlock()
 		if active {
-			o.upkeepOnce(ctx, checked)
+			o.advanceUpkeep(ctx, checked)
 		}
 	})
 }
 
 // advanceUpkeep lists the machines, orders the next upkeeps and writes the states of the waves. checked
 // holds the waves whose stored state has been read (writeWaveState).
-func (o *Owner) upkeepOnce(ctx context.Context, checked map[int64]bool) {
+func (o *Owner) advanceUpkeep(ctx context.Context, checked map[int64]bool) {
 	machines, err := o.deps.Machines.List(ctx)
 	if err != nil {
 		o.deps.Log.WithField("error", err).Warn("machines_not_listed")
@@ -52,58 +52,58 @@
 	o.mu.Lock()
 	o.upkeep.SetMachines(machines)
 	plan := o.upkeep.Plan(o.deps.Clock.Now())
-	cordoned := make(map[string]bool, len(plan.Close))
-	for _, name := range plan.Close {
+	cordoned := make(map[string]bool, len(plan.CloseWorkers))
+	for _, name := range plan.CloseWorkers {
 		cordoned[name] = true
 	}
 	o.pool.SetCordoned(cordoned)
 	o.mu.Unlock()
 	for _, order := range plan.Orders {
-		o.sendUpkeep(ctx, order)
+		o.startUpkeep(ctx, order)
 	}
-	for _, s := range plan.Shows {
-		o.showWave(ctx, s, checked)
+	for _, s := range plan.StateUpdates {
+		o.writeWaveState(ctx, s, checked)
 	}
 }
 
 // startUpkeep starts the upkeep of a machine once its worker has been vacated.
-func (o *Owner) sendUpkeep(ctx context.Context, order upkeep.Order) {
+func (o *Owner) startUpkeep(ctx context.Context, order upkeep.Order) {
 	o.mu.Lock()
 	ready := o.pool.VacateWorker(order.Machine.Worker, order.Force)
-	authority := o.authority(o.deps.Clock.Now())
+	authority := o.hasAuthority(o.deps.Clock.Now())
 	o.mu.Unlock()
-	o.wake()
+	o.requestPlan()
 	if !ready || !authority {
 		return
 	}
-	err := o.deps.Machines.Upkeep(ctx, o.deps.Name, o.claim.Revision, order.Machine.ID, order.Wave)
+	err := o.deps.Machines.StartUpkeep(ctx, o.deps.Name, o.claim.Revision, order.Machine.ID, order.Wave)
 	o.deps.Log.WithFields(logrus.Fields{"machine": order.Machine.ID, "wave": order.Wave, "error": err}).Info("upkeep_ordered")
 	if errors.Is(err, platform.ErrBusy) {
 		return
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.upkeep.Ordered(order, err == nil, o.deps.Clock.Now())
+	o.upkeep.RecordOrder(order, err == nil, o.deps.Clock.Now())
 }
 
 // writeWaveState writes the state of a wave, unless a previous owner has written it as completed. Before
 // the first write to a wave it reads the stored state; checked holds the waves for which it has.
-func (o *Owner) showWave(ctx context.Context, s upkeep.Show, checked map[int64]bool) {
+func (o *Owner) writeWaveState(ctx context.Context, s upkeep.StateUpdate, checked map[int64]bool) {
 	if !checked[s.Wave] {
 		item, err := o.deps.Store.Read(ctx, platform.WaveStatusKey(s.Wave))
 		if err != nil && !errors.Is(err, platform.ErrAbsent) {
 			return
 		}
 		checked[s.Wave] = true
-		if platform.ParseWaveStatus(item.Value) == upkeep.Completed {
+		if platform.ParseWaveStatus(item.Value) == upkeep.WaveCompleted {
 			o.mu.Lock()
 			defer o.mu.Unlock()
-			o.upkeep.Finish(s.Wave)
+			o.upkeep.MarkCompleted(s.Wave)
 			return
 		}
 	}
 	_, _, err := o.deps.Store.Commit(ctx, platform.Txn{
-		Conditions: []platform.Condition{{Key: jobstore.HolderKey, Revision: o.claim.Revision}},
+		Conditions: []platform.Condition{{Key: jobstore.OwnerRecordKey, Revision: o.claim.Revision}},
 		Put:        []platform.Put{{Key: platform.WaveStatusKey(s.Wave), Value: platform.WaveStatus(s.State)}},
 	})
 	if err != nil {
@@ -112,5 +112,5 @@
 	o.deps.Log.WithFields(logrus.Fields{"wave": s.Wave, "state": s.State}).Info("wave_shown")
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.upkeep.Shown(s)
+	o.upkeep.RecordState(s)
 }
--- a/pkg/poolowner/upkeep_refused_test.go
+++ b/pkg/poolowner/upkeep_refused_test.go
@@ -16,9 +16,9 @@
 // The platform's machine service accepts a limited number of orders per second and answers 429 to more.
 // Guards against counting such a refusal as an order that may have taken effect: a machine that was
 // still up 3 s later then counted as done, and the wave was written as completed.
-func TestMachineWhoseUpkeepWasRefusedIsNotDone(t *testing.T) {
+func TestRefusedUpkeepDoesNotCompleteTheMachine(t *testing.T) {
 	g := NewWithT(t)
-	o, p, _ := ownerOfEmulated(t)
+	o, p, _ := newOwnerOnEmulator(t)
 	var orders atomic.Int64
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/machine-upkeep" {
@@ -29,13 +29,13 @@
 		_, _ = w.Write([]byte(`{"machineFailures":[{"machine":"m1","pool":"pool","state":"up","id":"i-1"}],"nextToken":null}`))
 	}))
 	t.Cleanup(s.Close)
-	o.deps.Machines = platform.NewMachines(netip.MustParseAddrPort(s.Listener.Addr().String()))
-	o.PutWave(upkeep.Wave{Number: 1, Machines: []upkeep.MachineID{"m1"}, Duration: time.Minute, AtOnce: 1})
+	o.deps.Machines = platform.NewMachineClient(netip.MustParseAddrPort(s.Listener.Addr().String()))
+	o.PutWave(upkeep.Wave{Number: 1, Machines: []upkeep.MachineID{"m1"}, Duration: time.Minute, MaxUnavailable: 1})
 	checked := map[int64]bool{}
 	state := func() string {
-		o.upkeepOnce(t.Context(), checked)
+		o.advanceUpkeep(t.Context(), checked)
 		return platform.ParseWaveStatus(p.Store.Value(platform.WaveStatusKey(1)))
 	}
-	g.Consistently(state, 4*time.Second, 200*time.Millisecond).Should(Equal(upkeep.Running), "all orders are refused")
+	g.Consistently(state, 4*time.Second, 200*time.Millisecond).Should(Equal(upkeep.WaveRunning), "all orders are refused")
 	g.Expect(orders.Load()).To(BeNumerically(">", 1), "the order is repeated")
 }
--- a/pkg/poolowner/worker_entries_test.go
+++ b/pkg/poolowner/worker_entries_test.go
@@ -16,13 +16,13 @@
 )
 
 // ownerWatchingEntries returns an owner that watches the entries of an emulated platform, and its log.
-func followedEntries(t *testing.T) (*Owner, *emulator.Platform, dispatch.WorkerInfo, *logtest.Hook) {
-	o, p, info := ownerOfEmulated(t)
+func ownerWatchingEntries(t *testing.T) (*Owner, *emulator.Platform, dispatch.WorkerInfo, *logtest.Hook) {
+	o, p, info := newOwnerOnEmulator(t)
 	o.deps.Log.Logger.SetLevel(logrus.InfoLevel)
 	hook := logtest.NewLocal(o.deps.Log.Logger)
 	ctx, cancel := context.WithCancel(t.Context())
-	o.duties.Go(func() { o.watchWorkers(ctx) })
-	t.Cleanup(func() { cancel(); o.duties.Wait() })
+	o.background.Go(func() { o.watchWorkers(ctx) })
+	t.Cleanup(func() { cancel(); o.background.Wait() })
 	NewWithT(t).Eventually(o.workerNames, "5s", "10ms").Should(ConsistOf(info.ID))
 	return o, p, info, hook
 }
@@ -38,7 +38,7 @@
 }
 
 // countLogLines returns the number of log lines of an event that name a worker.
-func linesOf(hook *logtest.Hook, event, worker string) int {
+func countLogLines(hook *logtest.Hook, event, worker string) int {
 	n := 0
 	for _, e := range hook.AllEntries() {
 		if e.Message == event && strings.Contains(e.Data["worker"].(string), worker) {
@@ -50,27 +50,27 @@
 
 // An invalid entry of another writer is rewritten with each of its heartbeats. Guards against logging it
 // each time.
-func TestEntryThatNamesNoWorkerIsToldOnce(t *testing.T) {
+func TestInvalidEntryIsLoggedOnce(t *testing.T) {
 	g := NewWithT(t)
-	o, p, info, hook := followedEntries(t)
+	o, p, info, hook := ownerWatchingEntries(t)
 	for range 5 {
 		p.Store.Put("servers/other", []byte(`{"service":"pool-1","address":"10.0.0.9:80","zone":"hall-a","state":"warming"}`))
 		time.Sleep(400 * time.Millisecond)
 	}
-	g.Expect(linesOf(hook, "entry_unusable", "other")).To(Equal(1))
+	g.Expect(countLogLines(hook, "entry_unusable", "other")).To(Equal(1))
 	g.Expect(o.workerNames()).To(ConsistOf(info.ID), "the other worker is unaffected")
 	p.Store.Put("servers/other", []byte("?"))
-	g.Eventually(func() int { return linesOf(hook, "entry_unusable", "other") }, "3s", "20ms").Should(Equal(2), "a new reason is logged")
+	g.Eventually(func() int { return countLogLines(hook, "entry_unusable", "other") }, "3s", "20ms").Should(Equal(2), "a new reason is logged")
 }
 
 // Such an entry must not be polled, and no takeover may wait for it, which would take 8 s each.
-func TestEntryOfAnUnknownPoolNamesNoWorkerUntilItIsConfigured(t *testing.T) {
+func TestEntryOfAnUnknownPoolIsInvalidUntilItIsConfigured(t *testing.T) {
 	g := NewWithT(t)
-	o, p, info, hook := followedEntries(t)
+	o, p, info, hook := ownerWatchingEntries(t)
 	o.SetConfig(queue.NewConfig(1, nil, []queue.Pool{{Name: emulator.Pool}}))
 	text := strings.Replace(string(p.Store.Value("servers/"+info.ID.Name())), emulator.Pool, "pool-9", 1)
 	p.Store.Put("servers/other", []byte(text))
-	g.Eventually(func() int { return linesOf(hook, "entry_unusable", "other") }, "3s", "20ms").Should(Equal(1))
+	g.Eventually(func() int { return countLogLines(hook, "entry_unusable", "other") }, "3s", "20ms").Should(Equal(1))
 	g.Expect(o.workerNames()).To(ConsistOf(info.ID))
 	o.SetConfig(queue.NewConfig(2, nil, []queue.Pool{{Name: emulator.Pool}, {Name: "pool-9"}}))
 	g.Eventually(o.workerNames, "3s", "20ms").Should(ConsistOf(info.ID, dispatch.WorkerID("other")))
@@ -78,20 +78,20 @@
 
 // When another writer replaces the entry of a worker, its runs go on, but it gets no new tasks until its
 // entry is valid again.
-func TestGoodEntryThatABadOneReplaces(t *testing.T) {
+func TestValidEntryReplacedByAnInvalidOne(t *testing.T) {
 	g := NewWithT(t)
-	o, p, info, hook := followedEntries(t)
+	o, p, info, hook := ownerWatchingEntries(t)
 	key := platform.WorkersPrefix + info.ID.Name()
 	valid := p.Store.Value(key)
 	p.Store.Put(key, []byte(`{"service":7}`))
-	g.Eventually(func() int { return linesOf(hook, "entry_unusable", info.ID.Name()) }, "3s", "20ms").Should(Equal(1))
+	g.Eventually(func() int { return countLogLines(hook, "entry_unusable", info.ID.Name()) }, "3s", "20ms").Should(Equal(1))
 	g.Expect(o.workerNames()).To(ConsistOf(info.ID), "it is still polled")
-	g.Expect(o.listed(info.ID)).To(BeFalse())
+	g.Expect(o.hasEntry(info.ID)).To(BeFalse())
 	p.Store.Put(key, valid)
-	g.Eventually(func() bool { return o.listed(info.ID) }, "3s", "20ms").Should(BeTrue())
+	g.Eventually(func() bool { return o.hasEntry(info.ID) }, "3s", "20ms").Should(BeTrue())
 }
 
-func (o *Owner) listed(id dispatch.WorkerID) bool {
+func (o *Owner) hasEntry(id dispatch.WorkerID) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.pool.HasEntry(id)
--- a/pkg/poolrpc/member.go
+++ b/pkg/poolrpc/member.go
@@ -15,20 +15,20 @@
 
 const (
 	// HeartbeatInterval is the usual time between two heartbeats of each side.
-	HeartbeatEvery = 250 * time.Millisecond
+	HeartbeatInterval = 250 * time.Millisecond
 	// SlowHeartbeatInterval is the time between two heartbeats on streams whose silence may be detected
 	// later.
-	SlowHeartbeat = time.Second
+	SlowHeartbeatInterval = time.Second
 	// A side gives up a stream on which it has received nothing for maxMissedHeartbeats intervals and
 	// silenceSlack.
-	silenceBeats = 3
-	silenceSlack = 150 * time.Millisecond
+	maxMissedHeartbeats = 3
+	silenceSlack        = 150 * time.Millisecond
 	// outboxSize is the maximum number of messages that wait to be sent.
 	outboxSize = 1024
 )
 
 // ErrNoStream is returned when there is no stream to the owner, or when it broke.
-var ErrNoLink = errors.New("no link to the owner")
+var ErrNoStream = errors.New("no link to the owner")
 
 // ErrNotSent is returned when a message was certainly not sent.
 var ErrNotSent = errors.New("not sent to the owner")
@@ -47,38 +47,38 @@
 
 // Member is a host's side of its stream to the owner.
 type Member struct {
-	handlers MemberHandlers
-	clk      clock.Clock
-	outbox   chan *poolpb.MemberMessage
-	heardAt  atomic.Int64
-	beatMs   atomic.Int64 // between two heartbeats, as set by the owner
-	number   atomic.Int64
+	handlers    MemberHandlers
+	clk         clock.Clock
+	outbox      chan *poolpb.MemberMessage
+	lastHeardAt atomic.Int64
+	heartbeatMs atomic.Int64 // between two heartbeats, as set by the owner
+	lastNumber  atomic.Int64
 
-	mu      sync.Mutex
-	waiting map[int64]chan *poolpb.Answer
-	closed  bool
+	mu             sync.Mutex
+	pendingAnswers map[int64]chan *poolpb.Answer
+	closed         bool
 }
 
 // NewMember returns a Member that has no connection yet.
 func NewMember(h MemberHandlers, clk clock.Clock) *Member {
 	m := &Member{
 		handlers: h, clk: clk, outbox: make(chan *poolpb.MemberMessage, outboxSize),
-		waiting: map[int64]chan *poolpb.Answer{},
+		pendingAnswers: map[int64]chan *poolpb.Answer{},
 	}
-	m.heardAt.Store(int64(clk.Now()))
+	m.lastHeardAt.Store(int64(clk.Now()))
 	return m
 }
 
 // HeartbeatInterval returns the time between two heartbeats on the stream, as set by the owner.
-func (m *Member) Heartbeat() time.Duration {
-	return heartbeatOf(m.beatMs.Load())
+func (m *Member) HeartbeatInterval() time.Duration {
+	return heartbeatInterval(m.heartbeatMs.Load())
 }
 
 // heartbeatInterval returns the interval that a message gives in milliseconds; 0 stands for the usual
 // one.
-func heartbeatOf(ms int64) time.Duration {
+func heartbeatInterval(ms int64) time.Duration {
 	if ms <= 0 {
-		return HeartbeatEvery
+		return HeartbeatInterval
 	}
 	return time.Duration(ms) * time.Millisecond
 }
@@ -86,12 +86,12 @@
 // silenceLimit returns how long a side waits for the other side's next message, given the heartbeat
 // interval.
 func silenceLimit(heartbeat time.Duration) time.Duration {
-	return silenceBeats*heartbeat + silenceSlack
+	return maxMissedHeartbeats*heartbeat + silenceSlack
 }
 
 // LastHeardAt returns when the last message of the owner arrived.
-func (m *Member) HeardAt() clock.Time {
-	return clock.Time(m.heardAt.Load())
+func (m *Member) LastHeardAt() clock.Time {
+	return clock.Time(m.lastHeardAt.Load())
 }
 
 // Run operates the stream over a connection until it ends or the owner falls silent.
@@ -103,7 +103,7 @@
 	defer func() { _ = c.Close() }()
 	stream, err := poolpb.NewDRPCPoolClient(c).Join(ctx)
 	if err != nil {
-		return errors.Mark(err, ErrNoLink)
+		return errors.Mark(err, ErrNoStream)
 	}
 	var group sync.WaitGroup
 	defer group.Wait()
@@ -112,15 +112,15 @@
 		defer cancel()
 		sendAll(ctx, m.outbox, stream.Send)
 	})
-	group.Go(func() { m.beat(ctx, cancel) })
+	group.Go(func() { m.runHeartbeats(ctx, cancel) })
 	m.sendStatus()
 	for {
 		msg, err := stream.Recv()
 		if err != nil {
-			return errors.Mark(err, ErrNoLink)
+			return errors.Mark(err, ErrNoStream)
 		}
-		m.heardAt.Store(int64(m.clk.Now()))
-		m.take(ctx, msg)
+		m.lastHeardAt.Store(int64(m.clk.Now()))
+		m.handle(ctx, msg)
 	}
 }
 
@@ -139,10 +139,10 @@
 }
 
 // runHeartbeats sends heartbeats, and cancels the stream when the owner has been silent for too long.
-func (m *Member) beat(ctx context.Context, cancel context.CancelFunc) {
+func (m *Member) runHeartbeats(ctx context.Context, cancel context.CancelFunc) {
 	for ctx.Err() == nil {
-		clock.Sleep(ctx, m.Heartbeat())
-		if m.clk.Now().Sub(m.HeardAt()) > silenceLimit(m.Heartbeat()) {
+		clock.Sleep(ctx, m.HeartbeatInterval())
+		if m.clk.Now().Sub(m.LastHeardAt()) > silenceLimit(m.HeartbeatInterval()) {
 			cancel()
 			return
 		}
@@ -152,19 +152,19 @@
 
 func (m *Member) sendStatus() {
 	status := m.handlers.Status()
-	status.HeartbeatMs = m.Heartbeat().Milliseconds()
+	status.HeartbeatMs = m.HeartbeatInterval().Milliseconds()
 	m.Send(&poolpb.MemberMessage{Content: &poolpb.MemberMessage_Status{Status: status}})
 }
 
-func (m *Member) take(ctx context.Context, msg *poolpb.OwnerMessage) {
+func (m *Member) handle(ctx context.Context, msg *poolpb.OwnerMessage) {
 	switch c := msg.Content.(type) {
 	case *poolpb.OwnerMessage_Status:
-		m.beatMs.Store(c.Status.HeartbeatMs)
+		m.heartbeatMs.Store(c.Status.HeartbeatMs)
 		m.handlers.OwnerStatus(c.Status)
 	case *poolpb.OwnerMessage_Answer:
 		m.mu.Lock()
-		ch := m.waiting[c.Answer.Number]
-		delete(m.waiting, c.Answer.Number)
+		ch := m.pendingAnswers[c.Answer.Number]
+		delete(m.pendingAnswers, c.Answer.Number)
 		m.mu.Unlock()
 		if ch != nil {
 			ch <- c.Answer
@@ -190,12 +190,12 @@
 }
 
 // ReportAccepted reports an accepted job to the owner. The message may be lost.
-func (m *Member) Accepted(id string, record []byte) {
+func (m *Member) ReportAccepted(id string, record []byte) {
 	m.Send(&poolpb.MemberMessage{Content: &poolpb.MemberMessage_Accepted{Accepted: &poolpb.Accepted{Id: id, Record: record}}})
 }
 
 // ReportCancelled reports a cancelled job to the owner. The message may be lost.
-func (m *Member) Cancelled(id string) {
+func (m *Member) ReportCancelled(id string) {
 	m.Send(&poolpb.MemberMessage{Content: &poolpb.MemberMessage_Cancelled{Cancelled: &poolpb.Cancelled{Id: id}}})
 }
 
@@ -219,18 +219,18 @@
 
 // exchange sends a message with a new number and waits for the answer to that number.
 func (m *Member) exchange(ctx context.Context, message func(number int64) *poolpb.MemberMessage) (*poolpb.Answer, error) {
-	number := m.number.Add(1)
+	number := m.lastNumber.Add(1)
 	answer := make(chan *poolpb.Answer, 1)
 	m.mu.Lock()
 	if m.closed {
 		m.mu.Unlock()
 		return nil, ErrNotSent
 	}
-	m.waiting[number] = answer
+	m.pendingAnswers[number] = answer
 	m.mu.Unlock()
 	defer func() {
 		m.mu.Lock()
-		delete(m.waiting, number)
+		delete(m.pendingAnswers, number)
 		m.mu.Unlock()
 	}()
 	if !m.Send(message(number)) {
@@ -239,11 +239,11 @@
 	select {
 	case a, ok := <-answer:
 		if !ok {
-			return nil, ErrNoLink
+			return nil, ErrNoStream
 		}
 		return a, nil
 	case <-ctx.Done():
-		return nil, errors.Mark(ctx.Err(), ErrNoLink)
+		return nil, errors.Mark(ctx.Err(), ErrNoStream)
 	}
 }
 
@@ -252,8 +252,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.closed = true
-	for n, ch := range m.waiting {
+	for n, ch := range m.pendingAnswers {
 		close(ch)
-		delete(m.waiting, n)
+		delete(m.pendingAnswers, n)
 	}
 }
--- a/pkg/poolrpc/owner.go
+++ b/pkg/poolrpc/owner.go
@@ -35,24 +35,24 @@
 
 // Session is the owner's side of a member's stream.
 type Session struct {
-	Name    string
-	status  atomic.Pointer[poolpb.MemberStatus]
-	outbox  chan *poolpb.OwnerMessage
-	heardAt atomic.Int64
-	toldAt  atomic.Int64 // when the member last sent its status
+	Name        string
+	status      atomic.Pointer[poolpb.MemberStatus]
+	outbox      chan *poolpb.OwnerMessage
+	lastHeardAt atomic.Int64
+	statusAt    atomic.Int64 // when the member last sent its status
 }
 
 // NewSession returns the owner's side of a stream that begins.
 func NewSession(now clock.Time) *Session {
 	s := &Session{outbox: make(chan *poolpb.OwnerMessage, outboxSize)}
-	s.heardAt.Store(int64(now))
+	s.lastHeardAt.Store(int64(now))
 	return s
 }
 
 // SetStatus records a status that the member has sent.
-func (s *Session) PutStatus(status *poolpb.MemberStatus, now clock.Time) {
+func (s *Session) SetStatus(status *poolpb.MemberStatus, now clock.Time) {
 	s.status.Store(status)
-	s.toldAt.Store(int64(now))
+	s.statusAt.Store(int64(now))
 }
 
 // StatusAge returns the time since the member last sent its status.
@@ -62,12 +62,12 @@
 
 // StatusAt returns when the member last sent its status.
 func (s *Session) StatusAt() clock.Time {
-	return clock.Time(s.toldAt.Load())
+	return clock.Time(s.statusAt.Load())
 }
 
 // HeartbeatInterval returns the time between two heartbeats of the member, according to its last status.
-func (s *Session) Heartbeat() time.Duration {
-	return heartbeatOf(s.Status().GetHeartbeatMs())
+func (s *Session) HeartbeatInterval() time.Duration {
+	return heartbeatInterval(s.Status().GetHeartbeatMs())
 }
 
 // Status returns the last status of the member.
@@ -116,7 +116,7 @@
 		sendAll(ctx, session.outbox, stream.Send)
 		_ = stream.Close()
 	})
-	group.Go(func() { s.beat(ctx, cancel, session, h) })
+	group.Go(func() { s.runHeartbeats(ctx, cancel, session, h) })
 	defer func() {
 		if session.Name != "" {
 			h.Left(session)
@@ -128,18 +128,18 @@
 			return errors.Wrap(err, "receive from member")
 		}
 		now := s.clk.Now()
-		session.heardAt.Store(int64(now))
-		session.take(msg, now, h)
+		session.lastHeardAt.Store(int64(now))
+		session.handle(msg, now, h)
 	}
 }
 
 // runHeartbeats sends heartbeats. It cancels the stream when the member has been silent for too long, or
 // when the ownership ends.
-func (s *server) beat(ctx context.Context, cancel context.CancelFunc, session *Session, h OwnerHandlers) {
+func (s *server) runHeartbeats(ctx context.Context, cancel context.CancelFunc, session *Session, h OwnerHandlers) {
 	for ctx.Err() == nil {
 		status := h.Status(session)
 		session.Send(&poolpb.OwnerMessage{Content: &poolpb.OwnerMessage_Status{Status: status}})
-		limit := time.NewTimer(heartbeatOf(status.HeartbeatMs))
+		limit := time.NewTimer(heartbeatInterval(status.HeartbeatMs))
 		select {
 		case <-limit.C:
 		case <-h.Done:
@@ -147,17 +147,17 @@
 		case <-ctx.Done():
 		}
 		limit.Stop()
-		if s.clk.Now().Sub(clock.Time(session.heardAt.Load())) > silenceLimit(session.Heartbeat()) {
+		if s.clk.Now().Sub(clock.Time(session.lastHeardAt.Load())) > silenceLimit(session.HeartbeatInterval()) {
 			cancel()
 			return
 		}
 	}
 }
 
-func (s *Session) take(msg *poolpb.MemberMessage, now clock.Time, h OwnerHandlers) {
+func (s *Session) handle(msg *poolpb.MemberMessage, now clock.Time, h OwnerHandlers) {
 	switch c := msg.Content.(type) {
 	case *poolpb.MemberMessage_Status:
-		s.PutStatus(c.Status, now)
+		s.SetStatus(c.Status, now)
 		if s.Name == "" {
 			s.Name = c.Status.Name
 			h.Joined(s)
--- a/pkg/preemption/option.go
+++ b/pkg/preemption/option.go
@@ -15,8 +15,8 @@
 
 // Option is a worker where runs can be stopped to make room for one more task.
 type Option[R any] struct {
-	Free cell.Resources
-	Most int // number of further tasks that may run there
+	Free     cell.Resources
+	MaxTasks int // number of further tasks that may run there
 	// Victims are ordered by LostWork, the lowest first.
 	Victims  []Victim[R]
 	chosen   []int // indices, rising, of the victims that make room for one more task
@@ -52,14 +52,14 @@
 		o.Victims = slices.Delete(o.Victims, n, n+1)
 	}
 	o.Free = o.Free.Sub(need)
-	o.Most--
+	o.MaxTasks--
 	return out
 }
 
 // chooseVictims chooses the runs to be stopped for one more task, and says whether they suffice.
 func (o *Option[R]) chooseVictims(need cell.Resources) bool {
 	o.chosen, o.lostWork = o.chosen[:0], 0
-	if o.Most <= 0 {
+	if o.MaxTasks <= 0 {
 		return false
 	}
 	free := o.Free
--- a/pkg/preemption/preemption_test.go
+++ b/pkg/preemption/preemption_test.go
@@ -17,9 +17,9 @@
 }
 
 // Guards against stopping small runs that are not needed any more once a larger run is stopped.
-func TestRunsThatAreNotNeededGoOn(t *testing.T) {
+func TestUnneededRunsAreNotStopped(t *testing.T) {
 	g := NewWithT(t)
-	o := &Option[string]{Most: 2, Victims: []Victim[string]{victim("a", 1, 1), victim("b", 1, 2), victim("c", 4, 3)}}
+	o := &Option[string]{MaxTasks: 2, Victims: []Victim[string]{victim("a", 1, 1), victim("b", 1, 2), victim("c", 4, 3)}}
 	best := SelectCheapest(cores(4), []*Option[string]{o})
 	g.Expect(best.LostWork()).To(Equal(3.0))
 	g.Expect(best.TakeVictims(cores(4))).To(Equal([]string{"c"}))
@@ -31,14 +31,14 @@
 // Guards against losing work though another worker has cheaper runs to stop.
 func TestCheapestWorkerIsChosen(t *testing.T) {
 	g := NewWithT(t)
-	costly := &Option[string]{Most: 1, Victims: []Victim[string]{victim("a", 2, 2)}}
-	first := &Option[string]{Most: 1, Free: cores(1), Victims: []Victim[string]{victim("b", 1, 1)}}
-	second := &Option[string]{Most: 1, Free: cores(1), Victims: []Victim[string]{victim("c", 1, 1)}}
-	full := &Option[string]{Most: 0, Free: cores(9)}
+	costly := &Option[string]{MaxTasks: 1, Victims: []Victim[string]{victim("a", 2, 2)}}
+	first := &Option[string]{MaxTasks: 1, Free: cores(1), Victims: []Victim[string]{victim("b", 1, 1)}}
+	second := &Option[string]{MaxTasks: 1, Free: cores(1), Victims: []Victim[string]{victim("c", 1, 1)}}
+	full := &Option[string]{MaxTasks: 0, Free: cores(9)}
 	g.Expect(SelectCheapest(cores(2), []*Option[string]{costly, first, second, full}).TakeVictims(cores(2))).To(Equal([]string{"b"}))
 }
 
 // Guards against leaving accelerators out of the lost work.
-func TestAcceleratorsAreWork(t *testing.T) {
+func TestAcceleratorsCountAsWork(t *testing.T) {
 	NewWithT(t).Expect(CoreSeconds(cell.Resources{CPUMillis: 500, Accelerators: 1}, 2*time.Second)).To(Equal(17.0))
 }
--- a/pkg/procconf/procconf_test.go
+++ b/pkg/procconf/procconf_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-const whole = `id = "a"
+const validConfig = `id = "a"
 hall = "h"
 callers_address = "127.0.0.1:1"
 peer_address = "127.0.0.1:2"
@@ -17,7 +17,7 @@
 
 func TestParse(t *testing.T) {
 	g := NewWithT(t)
-	cfg, err := Parse("e.toml", whole+"[times]\nkey_window = \"3m\"\n[routes]\n\"10.0.0.1:5\" = \"10.0.0.2:6\"\n")
+	cfg, err := Parse("e.toml", validConfig+"[times]\nkey_window = \"3m\"\n[routes]\n\"10.0.0.1:5\" = \"10.0.0.2:6\"\n")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(time.Duration(cfg.Times.KeyWindow)).To(Equal(3 * time.Minute))
 	g.Expect(cfg.Times.TaskLease).To(Equal(DefaultEntry().Times.TaskLease))
@@ -26,17 +26,17 @@
 	}))
 }
 
-func TestFaultsNameFileLineAndKey(t *testing.T) {
+func TestParseErrorsNameFileLineAndKey(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
-		"unknown key":   {whole + "calers_address = 3\n", `e.toml:6: calers_address: unknown key, did you mean "callers_address"?`},
-		"unknown table": {whole + "[limit]\n", `e.toml:6: limit: unknown key, did you mean "limits"?`},
+		"unknown key":   {validConfig + "calers_address = 3\n", `e.toml:6: calers_address: unknown key, did you mean "callers_address"?`},
+		"unknown table": {validConfig + "[limit]\n", `e.toml:6: limit: unknown key, did you mean "limits"?`},
 		"missing":       {"hall = \"h\"\n", `e.toml:1: id: is required`},
 		"wrong address": {"id = \"a\"\ncallers_address = \"here\"\n", `e.toml:2: callers_address`},
-		"wrong unit":    {whole + "[times]\ntask_lease = \"12\"\n", `e.toml:7: times.task_lease: "12" is not a duration`},
-		"lease short":   {whole + "[times]\ntask_lease = \"3s\"\n", `e.toml:7: times.task_lease: must be three times report_every or more`},
+		"wrong unit":    {validConfig + "[times]\ntask_lease = \"12\"\n", `e.toml:7: times.task_lease: "12" is not a duration`},
+		"lease short":   {validConfig + "[times]\ntask_lease = \"3s\"\n", `e.toml:7: times.task_lease: must be three times report_every or more`},
 		"one port":      {"id = \"a\"\nhall = \"h\"\ncallers_address = \"127.0.0.1:1\"\npeer_address = \"127.0.0.1:1\"\nstore = [\"127.0.0.1:3\"]\n", `e.toml:4: peer_address: must differ`},
-		"wrong route":   {whole + "[routes]\nhere = \"10.0.0.2:6\"\n", `e.toml:6: routes: each side must be an address`},
-		"not UTF-8":     {whole + "# \xff\n", `e.toml:6: : the text is not UTF-8`},
+		"wrong route":   {validConfig + "[routes]\nhere = \"10.0.0.2:6\"\n", `e.toml:6: routes: each side must be an address`},
+		"not UTF-8":     {validConfig + "# \xff\n", `e.toml:6: : the text is not UTF-8`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := Parse("e.toml", c.text)
--- a/pkg/queue/config.go
+++ b/pkg/queue/config.go
@@ -37,7 +37,7 @@
 }
 
 // CallTime returns how long a call that asks about n workers takes.
-func (a AdviceCost) Of(n int) time.Duration {
+func (a AdviceCost) CallTime(n int) time.Duration {
 	return a.Base + time.Duration(n)*a.PerWorker
 }
 
@@ -45,7 +45,7 @@
 type Pool struct {
 	Name string
 	// EnforcesCapacity means that the pool's workers reject a task for which they have no room.
-	Guarded bool
+	EnforcesCapacity bool
 	// Headroom means that the pool's machines are powered off until they are moved elsewhere.
 	Headroom bool
 }
--- a/pkg/reach/retry_test.go
+++ b/pkg/reach/retry_test.go
@@ -9,7 +9,7 @@
 )
 
 // Guards against callers that all return at once after an outage, or when their time is up.
-func TestRefusedCallersComeBackSpreadOverTheTimeTheyHaveLeft(t *testing.T) {
+func TestRetryAfterIsSpreadOverTheTimeLeft(t *testing.T) {
 	for left, last := range map[time.Duration]int{
 		0: 1, time.Millisecond: 1, time.Second: 1, 1900 * time.Millisecond: 1, 2 * time.Second: 1, 2900 * time.Millisecond: 2, 3 * time.Second: 2, 5 * time.Second: 4,
 	} {
--- a/pkg/reach/table.go
+++ b/pkg/reach/table.go
@@ -7,35 +7,35 @@
 )
 
 // Mode is how a host handles submitted jobs: a row of the table in the package comment.
-type Row string
+type Mode string
 
 // The modes.
 const (
-	OwnWrite         Row = "own_write"
-	OwnerWrites      Row = "owner_writes"
-	StoreUnavailable Row = "store_unavailable"
-	HallCutOff       Row = "hall_cut_off"
-	HostCutOff       Row = "host_cut_off"
+	HostWrites       Mode = "own_write"
+	OwnerWrites      Mode = "owner_writes"
+	StoreUnavailable Mode = "store_unavailable"
+	HallCutOff       Mode = "hall_cut_off"
+	HostCutOff       Mode = "host_cut_off"
 )
 
 // Modes lists all modes.
-func Rows() []Row {
-	return []Row{OwnWrite, OwnerWrites, StoreUnavailable, HallCutOff, HostCutOff}
+func Modes() []Mode {
+	return []Mode{HostWrites, OwnerWrites, StoreUnavailable, HallCutOff, HostCutOff}
 }
 
 // AcceptsJobs reports whether this host or the owner can write submitted jobs.
-func (m Row) Open() bool {
-	return m == OwnWrite || m == OwnerWrites
+func (m Mode) AcceptsJobs() bool {
+	return m == HostWrites || m == OwnerWrites
 }
 
 // IsReady reports whether the balancer should send callers to the host: it accepts jobs, or no other host
 // can.
-func (m Row) Ready() bool {
-	return m.Open() || m == StoreUnavailable
+func (m Mode) IsReady() bool {
+	return m.AcceptsJobs() || m == StoreUnavailable
 }
 
 // Reason returns why a mode refuses jobs, for logs and errors; empty if it accepts them.
-func (m Row) Reason() string {
+func (m Mode) Reason() string {
 	switch m {
 	case StoreUnavailable:
 		return "the store answers neither this host nor the owner"
@@ -49,12 +49,12 @@
 
 // ownerStoreMaxAge is the age of the store's last answer to the owner from which on the store counts as
 // silent for the owner. The owner calls it at least every 0.4 s.
-const ownerStoreSilence = 900 * time.Millisecond
+const ownerStoreMaxAge = 900 * time.Millisecond
 
 // OwnerView is what a host knows about the owner.
-type Owner struct {
-	Heard bool
-	Self  bool // the host is the owner
+type OwnerView struct {
+	Responsive bool
+	IsThisHost bool // the host is the owner
 	// StoreAge is the time since the store last answered the owner.
 	StoreAge time.Duration
 	// OtherHalls is the number of other data halls with members that are responsive to the owner.
@@ -64,24 +64,24 @@
 }
 
 // ReachesStore reports whether the store answers the owner.
-func (o Owner) StoreAnswers() bool {
-	return o.StoreAge < ownerStoreSilence
+func (o OwnerView) ReachesStore() bool {
+	return o.StoreAge < ownerStoreMaxAge
 }
 
 // Observation is what a host knows when it decides.
-type View struct {
+type Observation struct {
 	StoreAnswers bool // to this host
-	Owner        Owner
+	Owner        OwnerView
 }
 
 // Decide returns the mode for an observation.
-func Decide(o View) Row {
+func Decide(o Observation) Mode {
 	switch {
 	case o.StoreAnswers:
-		return OwnWrite
-	case !o.Owner.Heard:
+		return HostWrites
+	case !o.Owner.Responsive:
 		return HostCutOff
-	case o.Owner.StoreAnswers() && !o.Owner.Self:
+	case o.Owner.ReachesStore() && !o.Owner.IsThisHost:
 		return OwnerWrites
 	case o.Owner.HallsLost && o.Owner.OtherHalls == 0:
 		return HallCutOff
@@ -92,28 +92,28 @@
 // stableContactTime is for how long the owner must hear other halls again before a cut-off hall counts as
 // connected while the store is silent. It is as long as the balancer needs to take a host out of service,
 // so that an unstable link does not make callers switch back and forth.
-const steadyContact = 2 * time.Second
+const stableContactTime = 2 * time.Second
 
 // ModeTracker tracks the mode of a host. A cut-off hall changes at once to a mode that accepts jobs, or
 // to HostCutOff if the owner is lost too. It changes to StoreUnavailable, which refuses jobs but reports
 // ready, only after stableContactTime.
-type Gate struct {
-	row     Row
-	contact clock.Time // since when Decide has returned StoreUnavailable instead of HallCutOff; 0 if it has not
+type ModeTracker struct {
+	mode         Mode
+	contactSince clock.Time // since when Decide has returned StoreUnavailable instead of HallCutOff; 0 if it has not
 }
 
 // Update returns the mode in force for a new observation.
-func (t *Gate) Row(o View, now clock.Time) Row {
-	row := Decide(o)
-	if t.row != HallCutOff || row != StoreUnavailable {
-		t.row, t.contact = row, 0
-		return row
+func (t *ModeTracker) Update(o Observation, now clock.Time) Mode {
+	mode := Decide(o)
+	if t.mode != HallCutOff || mode != StoreUnavailable {
+		t.mode, t.contactSince = mode, 0
+		return mode
 	}
-	if t.contact == 0 {
-		t.contact = now
+	if t.contactSince == 0 {
+		t.contactSince = now
 	}
-	if now.Sub(t.contact) >= steadyContact {
-		t.row, t.contact = row, 0
+	if now.Sub(t.contactSince) >= stableContactTime {
+		t.mode, t.contactSince = mode, 0
 	}
-	return t.row
+	return t.mode
 }
--- a/pkg/relay/assignments.go
+++ b/pkg/relay/assignments.go
@@ -14,62 +14,62 @@
 	// MaxWorkersPerRelay is the maximum number of workers that one relay serves. A worker has 2 to
 	// 4 calls a second, and a call costs a relay about 0.2 ms of processor time: 96 workers take 4
 	// to 8% of a core, which the smallest hosts have.
-	WorkersPerHost = 96
+	MaxWorkersPerRelay = 96
 	// minWorkersForRelays is the number of workers from which relays are used. Below it, relays
 	// cost their hosts more than they save an owner with a fast link (docs/CAPACITY.md).
-	leastWorkers = 400
+	minWorkersForRelays = 400
 	// workerCallLinkShare is the part of a host's link that calls to workers may use; the rest is
 	// for the store, for callers and for bursts. callBytesPerWorker is the traffic of the calls to
 	// one worker in each direction, in bytes per second.
-	linkShare = 0.25
-	callBytes = 2200
+	workerCallLinkShare = 0.25
+	callBytesPerWorker  = 2200
 	// maxHostMisses is the number of consecutive orders without a result after which a relay is not
 	// used for suspectDuration. A host whose stream is silent for 0.9 s is dropped anyway; this
 	// limit is for a host that is alive but does not reach workers.
-	mostDoubts = 12
-	suspectFor = 5 * time.Second
+	maxHostMisses   = 12
+	suspectDuration = 5 * time.Second
 	// directDuration is how long the owner makes the calls to a worker itself after
 	// missesBeforeDirect consecutive orders without a result. A single order may be lost on the
 	// network; two indicate that the relay does not reach the worker.
-	directFor     = 2 * time.Second
-	missesToLeave = 2
+	directDuration     = 2 * time.Second
+	missesBeforeDirect = 2
 	// chooseRetryDelay is the pause after a search in which no host had room for one more worker,
 	// since a search examines every host.
-	chooseAgain = 250 * time.Millisecond
+	chooseRetryDelay = 250 * time.Millisecond
 )
 
 // Assignments decides which host makes the calls to which worker. It does no I/O and is not safe
 // for concurrent use.
 type Assignments struct {
 	// IsStopping reports whether a host is about to stop.
-	Stopping func(host string) bool
+	IsStopping func(host string) bool
 
-	least        int // workers from which relays are used
-	hosts        map[string]*host
-	workers      map[dispatch.WorkerID]*assignment
-	missingUntil clock.Time // no search until then, since no host had room
+	minWorkers  int // workers from which relays are used
+	hosts       map[string]*host
+	workers     map[dispatch.WorkerID]*assignment
+	noRoomUntil clock.Time // no search until then, since no host had room
 	// bestByHall holds the hosts chosen last, by the hall of the worker. A takeover assigns all
 	// workers at once; examining all hosts for each of them takes four times as long in a pool of
 	// twice the size.
-	best map[string]choice
+	bestByHall map[string]cachedChoice
 }
 
 // cachedChoice is a host that stays the best one until other hosts or assignments change, or until
 // validUntil, when other hosts may be usable again.
-type choice struct {
-	host  *host
-	until clock.Time
+type cachedChoice struct {
+	host       *host
+	validUntil clock.Time
 }
 
 // host is an entry host that may be a relay.
 type host struct {
-	name         string
-	hall         string
-	strength     int // in percent of what an owner needs
-	most         int // workers that it may serve
-	workers      int // that it serves
-	doubts       int // consecutive orders without a result
-	suspectUntil clock.Time
+	name          string
+	hall          string
+	strength      int // in percent of what an owner needs
+	maxWorkers    int // workers that it may serve
+	workers       int // that it serves
+	missedResults int // consecutive orders without a result
+	suspectUntil  clock.Time
 }
 
 // assignment assigns a worker to a host, or to the owner itself if host is nil.
@@ -83,41 +83,41 @@
 // NewAssignments returns assignments without hosts and workers. linkMbps is the bandwidth of the
 // owner's link in Mbit/s, 0 if it is unknown.
 func NewAssignments(stopping func(host string) bool, linkMbps float64) *Assignments {
-	return &Assignments{Stopping: stopping, least: min(leastWorkers, WorkersOnLink(linkMbps)), hosts: map[string]*host{}, workers: map[dispatch.WorkerID]*assignment{}, best: map[string]choice{}}
+	return &Assignments{IsStopping: stopping, minWorkers: min(minWorkersForRelays, MaxWorkersForLink(linkMbps)), hosts: map[string]*host{}, workers: map[dispatch.WorkerID]*assignment{}, bestByHall: map[string]cachedChoice{}}
 }
 
 // MaxWorkersForLink returns the number of workers to which calls may be made over a link of the
 // given bandwidth in Mbit/s. There is no limit for 0, which means that the bandwidth is unknown.
-func WorkersOnLink(linkMbps float64) int {
+func MaxWorkersForLink(linkMbps float64) int {
 	if linkMbps <= 0 {
 		return math.MaxInt
 	}
-	return max(1, int(linkShare*traffic.BytesPerSecond(linkMbps)/callBytes))
+	return max(1, int(workerCallLinkShare*traffic.BytesPerSecond(linkMbps)/callBytesPerWorker))
 }
 
 // AddHost adds a host of a data hall that can make calls to at most the given number of workers,
 // and to no more than MaxWorkersPerRelay. It replaces a host of the same name.
-func (a *Assignments) PutHost(name, hall string, strength, most int) {
-	a.hosts[name] = &host{name: name, hall: hall, strength: strength, most: min(most, WorkersPerHost)}
-	a.missingUntil = 0
-	clear(a.best)
+func (a *Assignments) AddHost(name, hall string, strength, most int) {
+	a.hosts[name] = &host{name: name, hall: hall, strength: strength, maxWorkers: min(most, MaxWorkersPerRelay)}
+	a.noRoomUntil = 0
+	clear(a.bestByHall)
 }
 
 // RemoveHost removes a host that can't be reached any more.
 func (a *Assignments) RemoveHost(name string) {
 	delete(a.hosts, name)
-	clear(a.best)
+	clear(a.bestByHall)
 }
 
 // AddWorker adds a worker of a data hall.
-func (a *Assignments) PutWorker(id dispatch.WorkerID, hall string) {
+func (a *Assignments) AddWorker(id dispatch.WorkerID, hall string) {
 	a.workers[id] = &assignment{hall: hall}
 }
 
 // RemoveWorker removes a worker to which no more calls are made.
 func (a *Assignments) RemoveWorker(id dispatch.WorkerID) {
 	if w, ok := a.workers[id]; ok {
-		a.leave(w)
+		a.unassign(w)
 		delete(a.workers, id)
 	}
 }
@@ -133,12 +133,12 @@
 	former := w.host
 	switch {
 	case now < w.directUntil:
-		a.leave(w)
+		a.unassign(w)
 	case w.host == nil || !a.usable(w.host, now):
-		a.leave(w)
-		w.join(a.choose(w.hall, now))
+		a.unassign(w)
+		w.assignTo(a.chooseHost(w.hall, now))
 	}
-	return w.name(), w.host != former
+	return w.hostName(), w.host != former
 }
 
 // Assigned returns the host that makes the calls to a worker at present, or "" if the owner does.
@@ -147,7 +147,7 @@
 	if !ok || w.host == nil || !a.usable(w.host, now) {
 		return ""
 	}
-	return w.name()
+	return w.hostName()
 }
 
 // Serves reports whether a host makes the calls to at least one worker.
@@ -157,7 +157,7 @@
 }
 
 // RelayedWorkers returns the number of workers that relays serve.
-func (a *Assignments) Count() int {
+func (a *Assignments) RelayedWorkers() int {
 	n := 0
 	for _, h := range a.hosts {
 		n += h.workers
@@ -168,47 +168,47 @@
 // RecordResult records whether an order to a worker, sent through a host, had a result. After
 // missesBeforeDirect consecutive orders without one the owner makes the next calls to the worker
 // itself; suspected reports that the host is not used for suspectDuration from now on.
-func (a *Assignments) Answered(id dispatch.WorkerID, name string, result bool, now clock.Time) (suspected bool) {
+func (a *Assignments) RecordResult(id dispatch.WorkerID, name string, result bool, now clock.Time) (suspected bool) {
 	h, ok := a.hosts[name]
 	if !ok {
 		return false
 	}
 	if w, ok := a.workers[id]; ok {
-		w.answered(result, now)
+		w.recordResult(result, now)
 	}
 	if result {
-		h.doubts = 0
+		h.missedResults = 0
 		return false
 	}
-	if h.doubts++; h.doubts < mostDoubts || now < h.suspectUntil {
+	if h.missedResults++; h.missedResults < maxHostMisses || now < h.suspectUntil {
 		return false
 	}
-	h.doubts, h.suspectUntil = 0, now.Add(suspectFor)
+	h.missedResults, h.suspectUntil = 0, now.Add(suspectDuration)
 	return true
 }
 
 // usable reports whether a host can make calls now.
 func (a *Assignments) usable(h *host, now clock.Time) bool {
-	return a.hosts[h.name] == h && now >= h.suspectUntil && !a.Stopping(h.name)
+	return a.hosts[h.name] == h && now >= h.suspectUntil && !a.IsStopping(h.name)
 }
 
 // chooseHost returns the host to serve one more worker of a data hall, or nil if none has room.
 // Hosts of the worker's hall come first, since traffic between halls is costly and a hall that is
 // cut off keeps both host and worker; then hosts of higher strength; and among equal ones a host
 // that already serves more workers, so that messages carry many orders.
-func (a *Assignments) choose(hall string, now clock.Time) *host {
-	if len(a.workers) < a.least || now < a.missingUntil {
+func (a *Assignments) chooseHost(hall string, now clock.Time) *host {
+	if len(a.workers) < a.minWorkers || now < a.noRoomUntil {
 		return nil
 	}
-	if c, ok := a.best[hall]; ok && now < c.until && c.host.workers < c.host.most && a.usable(c.host, now) {
+	if c, ok := a.bestByHall[hall]; ok && now < c.validUntil && c.host.workers < c.host.maxWorkers && a.usable(c.host, now) {
 		return c.host
 	}
 	best := a.bestHost(hall, now)
 	if best == nil {
-		a.missingUntil = now.Add(chooseAgain)
+		a.noRoomUntil = now.Add(chooseRetryDelay)
 		return nil
 	}
-	a.best[hall] = choice{best, now.Add(chooseAgain)}
+	a.bestByHall[hall] = cachedChoice{best, now.Add(chooseRetryDelay)}
 	return best
 }
 
@@ -217,7 +217,7 @@
 func (a *Assignments) bestHost(hall string, now clock.Time) *host {
 	var best *host
 	for _, h := range a.hosts {
-		if h.workers < h.most && (best == nil || h.before(best, hall)) && a.usable(h, now) {
+		if h.workers < h.maxWorkers && (best == nil || h.preferredOver(best, hall)) && a.usable(h, now) {
 			best = h
 		}
 	}
@@ -226,7 +226,7 @@
 
 // preferredOver reports whether a host is to be chosen rather than another one for a worker of a
 // data hall.
-func (h *host) before(other *host, hall string) bool {
+func (h *host) preferredOver(other *host, hall string) bool {
 	if near := h.hall == hall; near != (other.hall == hall) {
 		return near
 	}
@@ -234,33 +234,33 @@
 }
 
 // recordResult counts the consecutive orders without a result.
-func (w *assignment) answered(result bool, now clock.Time) {
+func (w *assignment) recordResult(result bool, now clock.Time) {
 	if result {
 		w.misses = 0
 		return
 	}
-	if w.misses++; w.misses >= missesToLeave {
-		w.misses, w.directUntil = 0, now.Add(directFor)
+	if w.misses++; w.misses >= missesBeforeDirect {
+		w.misses, w.directUntil = 0, now.Add(directDuration)
 	}
 }
 
 // unassign removes a worker from its host, which then has room for another one.
-func (a *Assignments) leave(w *assignment) {
+func (a *Assignments) unassign(w *assignment) {
 	if w.host != nil {
 		w.host.workers--
 		w.host = nil
-		clear(a.best)
+		clear(a.bestByHall)
 	}
 }
 
-func (w *assignment) join(h *host) {
+func (w *assignment) assignTo(h *host) {
 	if h != nil {
 		h.workers++
 		w.host = h
 	}
 }
 
-func (w *assignment) name() string {
+func (w *assignment) hostName() string {
 	if w.host == nil {
 		return ""
 	}
--- a/pkg/relay/batcher.go
+++ b/pkg/relay/batcher.go
@@ -13,28 +13,28 @@
 	// costs both sides system calls and wake-ups: each of 12 relays for 1,100 workers has about 250
 	// orders a second, so that a message holds two or three. On average a start takes 5 ms longer,
 	// and so does its answer.
-	batchPause = 10 * time.Millisecond
+	batchDelay = 10 * time.Millisecond
 	// maxBatchItems limits the number of items that wait to be sent.
-	batchSize = 4096
+	maxBatchItems = 4096
 )
 
 // batcher collects items for batchDelay and sends them together.
-type batch[T any] struct {
+type batcher[T any] struct {
 	signal chan struct{} // of capacity 1; signals that there are items
 
 	mu    sync.Mutex
 	items []T
 }
 
-func newBatch[T any]() *batch[T] {
-	return &batch[T]{signal: make(chan struct{}, 1)}
+func newBatcher[T any]() *batcher[T] {
+	return &batcher[T]{signal: make(chan struct{}, 1)}
 }
 
 // add queues an item and reports whether there was room for it.
-func (b *batch[T]) put(item T) bool {
+func (b *batcher[T]) add(item T) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.items) >= batchSize {
+	if len(b.items) >= maxBatchItems {
 		return false
 	}
 	b.items = append(b.items, item)
@@ -48,14 +48,14 @@
 }
 
 // run sends the collected items until ctx ends.
-func (b *batch[T]) run(ctx context.Context, send func([]T)) {
+func (b *batcher[T]) run(ctx context.Context, send func([]T)) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-b.signal:
 		}
-		clock.Sleep(ctx, batchPause)
+		clock.Sleep(ctx, batchDelay)
 		b.mu.Lock()
 		items := b.items
 		b.items = nil
--- a/pkg/relay/client.go
+++ b/pkg/relay/client.go
@@ -16,7 +16,7 @@
 // of two batches, and the queues of two busy processes. An owner that is overloaded must not count
 // results as lost that wait for its own processing, since it would make the calls itself and be
 // overloaded further. A relay that is cut off or frozen is detected by its stream, after 0.9 s.
-const transit = 500 * time.Millisecond
+const relayAllowance = 500 * time.Millisecond
 
 // ErrNoResult means that no result of an order arrived, so its outcome is unknown.
 var ErrNoResult = errors.New("no result from the relay")
@@ -24,41 +24,41 @@
 // Client is the owner's side of one relay. It is safe for concurrent use.
 type Client struct {
 	timeout time.Duration // of a call, without the time that a hold waits at the worker
-	orders  *batch[*poolpb.Order]
+	orders  *batcher[*poolpb.Order]
 
-	mu      sync.Mutex
-	last    int64
-	waiting map[int64]chan *poolpb.Result
-	closed  bool
+	mu         sync.Mutex
+	lastNumber int64
+	waiting    map[int64]chan *poolpb.Result
+	closed     bool
 }
 
 // NewClient returns a client whose calls may take up to timeout at the relay, in addition to the
 // time for which a hold asks the worker to wait.
 func NewClient(timeout time.Duration) *Client {
-	return &Client{timeout: timeout, orders: newBatch[*poolpb.Order](), waiting: map[int64]chan *poolpb.Result{}}
+	return &Client{timeout: timeout, orders: newBatcher[*poolpb.Order](), waiting: map[int64]chan *poolpb.Result{}}
 }
 
 // Run sends orders until ctx ends; after that, the orders still without a result fail with
 // ErrNoResult. send reports whether it accepted the message for sending.
 func (c *Client) Run(ctx context.Context, send func(*poolpb.OwnerMessage) bool) {
 	c.orders.run(ctx, func(orders []*poolpb.Order) {
-		msg := &poolpb.OwnerMessage{Content: &poolpb.OwnerMessage_Orders{Orders: pack(orders)}}
+		msg := &poolpb.OwnerMessage{Content: &poolpb.OwnerMessage_Orders{Orders: packOrders(orders)}}
 		if !send(msg) {
-			c.failAll(orders)
+			c.failUnsent(orders)
 		}
 	})
 	c.close()
 }
 
 // failUnsent ends orders that were not sent.
-func (c *Client) failAll(orders []*poolpb.Order) {
+func (c *Client) failUnsent(orders []*poolpb.Order) {
 	for _, o := range orders {
 		c.deliver(&poolpb.Result{Number: o.Number, Failed: true, NotSent: true})
 	}
 }
 
 // HandleResults processes a message of results from the relay.
-func (c *Client) Take(r *poolpb.Results) {
+func (c *Client) HandleResults(r *poolpb.Results) {
 	for _, result := range r.Results {
 		c.deliver(result)
 	}
@@ -86,21 +86,21 @@
 // Start sends a start order through the relay. Its errors are those of platform.Workers, and
 // ErrNoResult.
 func (c *Client) Start(ctx context.Context, o platform.StartOrder) (dispatch.Answer, error) {
-	order := orderOf(poolpb.Order_START, o.Order, o.Task, o.Run)
+	order := newOrder(poolpb.Order_START, o.Order, o.Task, o.Run)
 	order.Spec, order.Checkpoint, order.Ticket, order.Deadline = o.Spec, o.Checkpoint, o.Ticket, o.Deadline
-	return c.answer(ctx, order, c.timeout)
+	return c.sendOrder(ctx, order, c.timeout)
 }
 
 // Stop sends an order to stop a run through the relay.
 func (c *Client) Stop(ctx context.Context, o platform.Order, task job.TaskID, run int) (dispatch.Answer, error) {
-	return c.answer(ctx, orderOf(poolpb.Order_STOP, o, task, run), c.timeout)
+	return c.sendOrder(ctx, newOrder(poolpb.Order_STOP, o, task, run), c.timeout)
 }
 
 // Pace sends an order through the relay to run a task at a percentage of its full speed.
 func (c *Client) Pace(ctx context.Context, o platform.Order, task job.TaskID, run, percent int) (dispatch.Answer, error) {
-	order := orderOf(poolpb.Order_PACE, o, task, run)
+	order := newOrder(poolpb.Order_PACE, o, task, run)
 	order.Percent = int64(percent)
-	return c.answer(ctx, order, c.timeout)
+	return c.sendOrder(ctx, order, c.timeout)
 }
 
 // Hold sends an order through the relay that extends the leases of the runs on a worker. It returns
@@ -108,17 +108,17 @@
 func (c *Client) Hold(ctx context.Context, o platform.HoldOrder) (dispatch.Answer, dispatch.Report, error) {
 	order := &poolpb.Order{
 		Kind: poolpb.Order_HOLD, Worker: string(o.Worker), Address: o.Address.String(), Token: o.Token, Deadline: o.Deadline,
-		LastSeen: o.LastSeen, WaitMs: o.Wait.Milliseconds(), PatienceMs: o.Patience.Milliseconds(),
+		LastSeen: o.LastSeen, WaitMs: o.Wait.Milliseconds(), PatienceMs: o.ExtraTimeout.Milliseconds(),
 	}
-	r, err := c.exchange(ctx, order, c.timeout+o.Wait+o.Patience)
+	r, err := c.exchange(ctx, order, c.timeout+o.Wait+o.ExtraTimeout)
 	if err != nil {
 		return dispatch.Answer{}, dispatch.Report{}, err
 	}
-	report, err := reportOf(r)
+	report, err := parseReport(r)
 	return answerOf(r), report, err
 }
 
-func (c *Client) answer(ctx context.Context, o *poolpb.Order, limit time.Duration) (dispatch.Answer, error) {
+func (c *Client) sendOrder(ctx context.Context, o *poolpb.Order, limit time.Duration) (dispatch.Answer, error) {
 	r, err := c.exchange(ctx, o, limit)
 	if err != nil {
 		return dispatch.Answer{}, err
@@ -129,11 +129,11 @@
 // exchange queues an order and waits for its result, up to relayAllowance beyond the time limit of
 // the call.
 func (c *Client) exchange(ctx context.Context, o *poolpb.Order, limit time.Duration) (*poolpb.Result, error) {
-	ch, ok := c.enter(o)
+	ch, ok := c.enqueue(o)
 	if !ok {
 		return nil, dispatch.ErrNotSent
 	}
-	t := time.NewTimer(limit + transit)
+	t := time.NewTimer(limit + relayAllowance)
 	defer t.Stop()
 	select {
 	case r, ok := <-ch:
@@ -156,18 +156,18 @@
 }
 
 // enqueue numbers an order and queues it; ok is false if it will not be sent.
-func (c *Client) enter(o *poolpb.Order) (ch chan *poolpb.Result, ok bool) {
+func (c *Client) enqueue(o *poolpb.Order) (ch chan *poolpb.Result, ok bool) {
 	ch = make(chan *poolpb.Result, 1)
 	c.mu.Lock()
 	if c.closed {
 		c.mu.Unlock()
 		return nil, false
 	}
-	c.last++
-	o.Number = c.last
+	c.lastNumber++
+	o.Number = c.lastNumber
 	c.waiting[o.Number] = ch
 	c.mu.Unlock()
-	if c.orders.put(o) {
+	if c.orders.add(o) {
 		return ch, true
 	}
 	c.mu.Lock()
--- a/pkg/relay/messages.go
+++ b/pkg/relay/messages.go
@@ -10,14 +10,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-func orderOf(kind poolpb.Order_Kind, o platform.Order, task job.TaskID, run int) *poolpb.Order {
+func newOrder(kind poolpb.Order_Kind, o platform.Order, task job.TaskID, run int) *poolpb.Order {
 	return &poolpb.Order{
 		Kind: kind, Worker: string(o.Worker), Address: o.Address.String(), Token: o.Token, Task: task.String(), Run: int64(run),
 	}
 }
 
 // parseTarget returns the worker to which an order goes, with the fencing token.
-func addresseeOf(o *poolpb.Order) (platform.Order, error) {
+func parseTarget(o *poolpb.Order) (platform.Order, error) {
 	address, err := netip.ParseAddrPort(o.Address)
 	if err != nil {
 		return platform.Order{}, errors.Wrap(err, "parse worker address of an order")
@@ -29,7 +29,7 @@
 	return dispatch.Answer{Verdict: dispatch.Verdict(r.Verdict), Clock: r.Clock}
 }
 
-func putReport(r *poolpb.Result, report dispatch.Report) {
+func setReport(r *poolpb.Result, report dispatch.Report) {
 	r.Born, r.More, r.Strange = report.IncarnationStart, report.Truncated, int64(report.UnparsableRuns)
 	for _, a := range report.Active {
 		r.Active = append(r.Active, &poolpb.Active{
@@ -43,7 +43,7 @@
 	}
 }
 
-func reportOf(r *poolpb.Result) (report dispatch.Report, err error) {
+func parseReport(r *poolpb.Result) (report dispatch.Report, err error) {
 	report.IncarnationStart, report.Truncated, report.UnparsableRuns = r.Born, r.More, int(r.Strange)
 	for _, a := range r.Active {
 		row := dispatch.ActiveRun{Run: int(a.Run), Checkpoint: a.Checkpoint, Percent: int(a.Percent), Load: int(a.Load)}
@@ -64,7 +64,7 @@
 
 // packOrders puts orders into one message. The starts of a step carry the same spec, which may be
 // most of their bytes, so the message holds each spec once.
-func pack(orders []*poolpb.Order) *poolpb.Orders {
+func packOrders(orders []*poolpb.Order) *poolpb.Orders {
 	out := &poolpb.Orders{Orders: orders}
 	numbers := map[string]int64{}
 	for _, o := range orders {
--- a/pkg/relay/messages_test.go
+++ b/pkg/relay/messages_test.go
@@ -19,7 +19,7 @@
 		orders = append(orders, &poolpb.Order{Number: int64(n), Kind: poolpb.Order_START, Spec: spec})
 	}
 	orders = append(orders, &poolpb.Order{Kind: poolpb.Order_HOLD}, &poolpb.Order{Kind: poolpb.Order_START, Spec: other})
-	m := pack(orders)
+	m := packOrders(orders)
 	g.Expect(proto.Size(m)).To(BeNumerically("<", 3000))
 	for n, o := range m.Orders {
 		got, ok := specOf(m, o)
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestOrderThatNamesNoSpecOfItsMessage(t *testing.T) {
+func TestSpecNumberOutsideTheMessage(t *testing.T) {
 	g := NewWithT(t)
 	for _, n := range []int64{-1, 2} {
 		_, ok := specOf(&poolpb.Orders{Specs: []string{"s"}}, &poolpb.Order{SpecNumber: n})
--- a/pkg/relay/relay_test.go
+++ b/pkg/relay/relay_test.go
@@ -18,31 +18,31 @@
 const testTimeout = 100 * time.Millisecond
 
 // loopback is a client and a server that pass their messages to each other.
-type loop struct {
+type loopback struct {
 	*WithT
 	client *Client
 	server *Server
 
-	mu       sync.Mutex
-	messages int  // of orders
-	lose     bool // results are lost
+	mu          sync.Mutex
+	messages    int  // of orders
+	dropResults bool // results are lost
 }
 
-func newLoop(t *testing.T, calls Calls) *loop {
-	l := &loop{WithT: NewWithT(t), client: NewClient(testTimeout), server: NewServer(calls)}
+func newLoopback(t *testing.T, calls WorkerCalls) *loopback {
+	l := &loopback{WithT: NewWithT(t), client: NewClient(testTimeout), server: NewServer(calls)}
 	ctx := t.Context()
 	go l.client.Run(ctx, func(msg *poolpb.OwnerMessage) bool {
 		l.mu.Lock()
 		l.messages++
 		l.mu.Unlock()
-		l.server.Take(ctx, msg.GetOrders())
+		l.server.HandleOrders(ctx, msg.GetOrders())
 		return true
 	})
 	go l.server.Run(ctx, func(msg *poolpb.MemberMessage) bool {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		if !l.lose {
-			l.client.Take(msg.GetResults())
+		if !l.dropResults {
+			l.client.HandleResults(msg.GetResults())
 		}
 		return true
 	})
@@ -59,7 +59,7 @@
 
 func TestStartArrivesAsItWasOrdered(t *testing.T) {
 	var got platform.StartOrder
-	l := newLoop(t, Calls{Start: func(_ context.Context, o platform.StartOrder) (dispatch.Answer, error) {
+	l := newLoopback(t, WorkerCalls{Start: func(_ context.Context, o platform.StartOrder) (dispatch.Answer, error) {
 		got = o
 		return dispatch.Answer{Verdict: dispatch.VerdictNoRoom, Clock: 42}, nil
 	}})
@@ -72,7 +72,7 @@
 	l.Expect(got).To(Equal(sent))
 }
 
-func TestHoldBringsTheReportBack(t *testing.T) {
+func TestHoldReturnsTheReport(t *testing.T) {
 	var got platform.HoldOrder
 	report := dispatch.Report{
 		IncarnationStart: 1_767_225_600_000,
@@ -81,11 +81,11 @@
 		Active:           []dispatch.ActiveRun{{Task: testTask(), Run: 2, Checkpoint: "c", Percent: 41, Load: 900}},
 		Finished:         []dispatch.FinishedRun{{Number: 58, Task: testTask(), Run: 1, Reason: dispatch.EndFailed, Checkpoint: "d"}},
 	}
-	l := newLoop(t, Calls{Hold: func(_ context.Context, o platform.HoldOrder) (dispatch.Answer, dispatch.Report, error) {
+	l := newLoopback(t, WorkerCalls{Hold: func(_ context.Context, o platform.HoldOrder) (dispatch.Answer, dispatch.Report, error) {
 		got = o
 		return dispatch.Answer{Verdict: dispatch.VerdictDone, Clock: 5}, report, nil
 	}})
-	sent := platform.HoldOrder{Order: testOrder(), LastSeen: 57, Deadline: 99, Wait: 30 * time.Millisecond, Patience: time.Millisecond}
+	sent := platform.HoldOrder{Order: testOrder(), LastSeen: 57, Deadline: 99, Wait: 30 * time.Millisecond, ExtraTimeout: time.Millisecond}
 	a, back, err := l.client.Hold(t.Context(), sent)
 	l.Expect(err).NotTo(HaveOccurred())
 	l.Expect(a).To(Equal(dispatch.Answer{Verdict: dispatch.VerdictDone, Clock: 5}))
@@ -93,7 +93,7 @@
 	l.Expect(got).To(Equal(sent))
 }
 
-func TestOnlyACallThatWasNotSentIsSaidToBe(t *testing.T) {
+func TestNotSentIsReportedOnlyForCallsNotSent(t *testing.T) {
 	for name, c := range map[string]struct {
 		fails error
 		want  error
@@ -102,7 +102,7 @@
 		"lost answer": {errors.New("reset"), ErrNoResult},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := newLoop(t, Calls{Stop: func(context.Context, platform.Order, job.TaskID, int) (dispatch.Answer, error) {
+			l := newLoopback(t, WorkerCalls{Stop: func(context.Context, platform.Order, job.TaskID, int) (dispatch.Answer, error) {
 				return dispatch.Answer{}, c.fails
 			}})
 			_, err := l.client.Stop(t.Context(), testOrder(), testTask(), 1)
@@ -112,10 +112,10 @@
 }
 
 func TestLostResultLeavesTheOutcomeUnknown(t *testing.T) {
-	l := newLoop(t, Calls{Pace: func(context.Context, platform.Order, job.TaskID, int, int) (dispatch.Answer, error) {
+	l := newLoopback(t, WorkerCalls{Pace: func(context.Context, platform.Order, job.TaskID, int, int) (dispatch.Answer, error) {
 		return dispatch.Answer{Verdict: dispatch.VerdictDone}, nil
 	}})
-	l.lose = true
+	l.dropResults = true
 	_, err := l.client.Pace(t.Context(), testOrder(), testTask(), 1, 30)
 	l.Expect(errors.Is(err, ErrNoResult)).To(BeTrue())
 }
@@ -143,8 +143,8 @@
 	g.Expect(errors.Is(err, dispatch.ErrNotSent)).To(BeTrue())
 }
 
-func TestOrdersOfAShortTimeShareAMessage(t *testing.T) {
-	l := newLoop(t, Calls{Stop: func(context.Context, platform.Order, job.TaskID, int) (dispatch.Answer, error) {
+func TestOrdersWithinTheBatchDelayShareAMessage(t *testing.T) {
+	l := newLoopback(t, WorkerCalls{Stop: func(context.Context, platform.Order, job.TaskID, int) (dispatch.Answer, error) {
 		return dispatch.Answer{Verdict: dispatch.VerdictDone}, nil
 	}})
 	const orders = 50
@@ -156,22 +156,22 @@
 	l.Expect(l.messages).To(BeNumerically("<", orders/2))
 }
 
-func TestRelayGivesBackWhatItCanNotBear(t *testing.T) {
+func TestRelayReturnsOrdersBeyondItsLimit(t *testing.T) {
 	g := NewWithT(t)
 	block := make(chan struct{})
 	defer close(block)
-	s := NewServer(Calls{Stop: func(context.Context, platform.Order, job.TaskID, int) (dispatch.Answer, error) {
+	s := NewServer(WorkerCalls{Stop: func(context.Context, platform.Order, job.TaskID, int) (dispatch.Answer, error) {
 		<-block
 		return dispatch.Answer{}, nil
 	}})
 	orders := &poolpb.Orders{}
-	for n := range callsAtOnce + 1 {
-		o := orderOf(poolpb.Order_STOP, testOrder(), testTask(), 1)
+	for n := range maxConcurrentCalls + 1 {
+		o := newOrder(poolpb.Order_STOP, testOrder(), testTask(), 1)
 		o.Number = int64(n)
 		orders.Orders = append(orders.Orders, o)
 	}
-	s.Take(t.Context(), orders)
+	s.HandleOrders(t.Context(), orders)
 	g.Expect(s.results.items).To(HaveLen(1))
 	g.Expect(s.results.items[0].NotSent).To(BeTrue())
-	g.Expect(s.results.items[0].Number).To(Equal(int64(callsAtOnce)))
+	g.Expect(s.results.items[0].Number).To(Equal(int64(maxConcurrentCalls)))
 }
--- a/pkg/relay/server.go
+++ b/pkg/relay/server.go
@@ -13,10 +13,10 @@
 
 // maxConcurrentCalls limits the calls that a relay makes at a time: for each of its workers
 // (MaxWorkersPerRelay) one hold, which waits at the worker, and two other orders.
-const callsAtOnce = 3 * WorkersPerHost
+const maxConcurrentCalls = 3 * MaxWorkersPerRelay
 
 // WorkerCalls are the calls to workers, as platform.Workers makes them.
-type Calls struct {
+type WorkerCalls struct {
 	Start func(ctx context.Context, o platform.StartOrder) (dispatch.Answer, error)
 	Stop  func(ctx context.Context, o platform.Order, task job.TaskID, run int) (dispatch.Answer, error)
 	Pace  func(ctx context.Context, o platform.Order, task job.TaskID, run, percent int) (dispatch.Answer, error)
@@ -24,21 +24,21 @@
 }
 
 // DirectCalls returns calls that this host makes itself.
-func DirectCalls(w *platform.Workers) Calls {
-	return Calls{Start: w.Start, Stop: w.Stop, Pace: w.Pace, Hold: w.Hold}
+func DirectCalls(w *platform.WorkerClient) WorkerCalls {
+	return WorkerCalls{Start: w.Start, Stop: w.Stop, Pace: w.Pace, Hold: w.Hold}
 }
 
 // Server is the relay's side: it makes calls to workers for an owner. It is safe for concurrent
 // use.
 type Server struct {
-	calls   Calls
-	results *batch[*poolpb.Result]
+	calls   WorkerCalls
+	results *batcher[*poolpb.Result]
 	slots   chan struct{} // one for each call under way
 }
 
 // NewServer returns a server that makes the given calls.
-func NewServer(calls Calls) *Server {
-	return &Server{calls: calls, results: newBatch[*poolpb.Result](), slots: make(chan struct{}, callsAtOnce)}
+func NewServer(calls WorkerCalls) *Server {
+	return &Server{calls: calls, results: newBatcher[*poolpb.Result](), slots: make(chan struct{}, maxConcurrentCalls)}
 }
 
 // Run sends results until ctx ends. Results not sent by then are lost. The owner's stream has then
@@ -52,30 +52,30 @@
 // HandleOrders carries out a message of orders, each in a goroutine of its own. It returns orders
 // beyond maxConcurrentCalls as not sent. Calls under way when ctx ends go on, so that their
 // connections stay usable.
-func (s *Server) Take(ctx context.Context, orders *poolpb.Orders) {
+func (s *Server) HandleOrders(ctx context.Context, orders *poolpb.Orders) {
 	for _, o := range orders.Orders {
 		spec, ok := specOf(orders, o)
 		if !ok {
-			s.results.put(&poolpb.Result{Number: o.Number, Failed: true, NotSent: true})
+			s.results.add(&poolpb.Result{Number: o.Number, Failed: true, NotSent: true})
 			continue
 		}
 		o.Spec = spec
 		select {
 		case s.slots <- struct{}{}:
 		default:
-			s.results.put(&poolpb.Result{Number: o.Number, Failed: true, NotSent: true})
+			s.results.add(&poolpb.Result{Number: o.Number, Failed: true, NotSent: true})
 			continue
 		}
 		go func() {
 			defer func() { <-s.slots }()
 			if ctx.Err() == nil {
-				s.results.put(s.carryOut(context.WithoutCancel(ctx), o))
+				s.results.add(s.execute(context.WithoutCancel(ctx), o))
 			}
 		}()
 	}
 }
 
-func (s *Server) carryOut(ctx context.Context, o *poolpb.Order) *poolpb.Result {
+func (s *Server) execute(ctx context.Context, o *poolpb.Order) *poolpb.Result {
 	result := &poolpb.Result{Number: o.Number}
 	a, err := s.call(ctx, o, result)
 	if err != nil {
@@ -88,16 +88,16 @@
 
 // call makes the call of an order. For a hold it puts the report into the result.
 func (s *Server) call(ctx context.Context, o *poolpb.Order, result *poolpb.Result) (dispatch.Answer, error) {
-	target, err := addresseeOf(o)
+	target, err := parseTarget(o)
 	if err != nil {
 		return dispatch.Answer{}, errors.Mark(err, dispatch.ErrNotSent)
 	}
 	if o.Kind == poolpb.Order_HOLD {
 		a, report, err := s.calls.Hold(ctx, platform.HoldOrder{
 			Order: target, LastSeen: o.LastSeen, Deadline: o.Deadline, Wait: time.Duration(o.WaitMs) * time.Millisecond,
-			Patience: time.Duration(o.PatienceMs) * time.Millisecond,
+			ExtraTimeout: time.Duration(o.PatienceMs) * time.Millisecond,
 		})
-		putReport(result, report)
+		setReport(result, report)
 		return a, err
 	}
 	task, err := job.ParseTaskID(o.Task)
--- a/pkg/replay/keys.go
+++ b/pkg/replay/keys.go
@@ -10,47 +10,47 @@
 )
 
 // beginKey is the event that a request with an idempotency key arrives. Times are milliseconds of the trace.
-type use struct {
-	Caller string `json:"caller"`
-	Key    string `json:"key"`
-	Body   uint64 `json:"body"`   // digest of the request's body
-	Issued int64  `json:"issued"` // 0 if the caller did not send the time
-	Once   bool   `json:"once"`
-	Limit  int64  `json:"limit"`
+type beginKey struct {
+	Caller      string `json:"caller"`
+	Key         string `json:"key"`
+	Body        uint64 `json:"body"`   // digest of the request's body
+	IssuedAtMs  int64  `json:"issued"` // 0 if the caller did not send the time
+	AtMostOnce  bool   `json:"once"`
+	TimeLimitMs int64  `json:"limit"`
 }
 
 // errNoKeysInUse is returned for the event "answer" if the key table is empty.
-var errNoKey = errors.New("no key is in use")
+var errNoKeysInUse = errors.New("no key is in use")
 
 // keyCompletion is the event that the request with a key was answered, or that it did not run.
-type end struct {
+type keyCompletion struct {
 	Caller string `json:"caller"`
 	Key    string `json:"key"`
 	Body   string `json:"body"`
 }
 
 // keyVerdictNames are the names of the verdicts, indexed by keys.Verdict.Kind.
-var verdicts = [...]string{"fresh", "in_progress", "answered", "answered_no_body", "reused", "unknown", "too_early", "full"}
+var keyVerdictNames = [...]string{"fresh", "in_progress", "answered", "answered_no_body", "reused", "unknown", "too_early", "full"}
 
 // toWallTime converts a time of the trace to a wall-clock time: 0 is the Unix epoch.
-func wall(now clock.Time) time.Time {
+func toWallTime(now clock.Time) time.Time {
 	return time.UnixMilli(int64(now))
 }
 
 // applyKeyEvent applies an event of package keys. It returns known = false if e is another event.
-func (p *player) playKeys(e event, now clock.Time) (known bool, err error) {
+func (p *replayer) applyKeyEvent(e event, now clock.Time) (known bool, err error) {
 	switch {
 	case e.Takeover:
-		p.memory = keys.New(keys.DefaultConfig, wall(now))
+		p.keyTable = keys.New(keys.DefaultConfig, toWallTime(now))
 	case e.Use != nil:
-		p.use(*e.Use, now)
+		p.beginKey(*e.Use, now)
 	case e.Answer != nil:
-		if p.memory.Len() == 0 {
-			return true, errNoKey
+		if p.keyTable.Len() == 0 {
+			return true, errNoKeysInUse
 		}
-		p.memory.Finish(keys.Key{Caller: e.Answer.Caller, Text: e.Answer.Key}, keys.Answer{Code: result.OK, Body: []byte(e.Answer.Body)})
+		p.keyTable.Finish(keys.Key{Caller: e.Answer.Caller, Text: e.Answer.Key}, keys.Answer{Code: result.OK, Body: []byte(e.Answer.Body)})
 	case e.NotRun != nil:
-		p.memory.Forget(keys.Key{Caller: e.NotRun.Caller, Text: e.NotRun.Key})
+		p.keyTable.Abort(keys.Key{Caller: e.NotRun.Caller, Text: e.NotRun.Key})
 	default:
 		return false, nil
 	}
@@ -58,18 +58,18 @@
 }
 
 // beginKey looks up a key on the arrival of its request and prints the verdict.
-func (p *player) use(u use, now clock.Time) {
-	k := keys.Use{
-		Key: keys.Key{Caller: u.Caller, Text: u.Key}, Digest: u.Body, NotRepeatable: u.Once,
-		TimeLimit: time.Duration(u.Limit) * time.Millisecond,
+func (p *replayer) beginKey(u beginKey, now clock.Time) {
+	k := keys.Request{
+		Key: keys.Key{Caller: u.Caller, Text: u.Key}, Digest: u.Body, NotRepeatable: u.AtMostOnce,
+		TimeLimit: time.Duration(u.TimeLimitMs) * time.Millisecond,
 	}
-	if u.Issued != 0 {
-		k.IssuedAt = wall(clock.Time(u.Issued))
+	if u.IssuedAtMs != 0 {
+		k.IssuedAt = toWallTime(clock.Time(u.IssuedAtMs))
 	}
-	v := p.memory.Begin(k, wall(now))
+	v := p.keyTable.Begin(k, toWallTime(now))
 	text := ""
 	if len(v.Answer.Body) > 0 {
 		text = " answer=" + string(v.Answer.Body)
 	}
-	p.print(now, "key=%s/%s verdict=%s%s", u.Caller, u.Key, verdicts[v.Kind], text)
+	p.printDecision(now, "key=%s/%s verdict=%s%s", u.Caller, u.Key, keyVerdictNames[v.Kind], text)
 }
--- a/pkg/replay/placement.go
+++ b/pkg/replay/placement.go
@@ -8,44 +8,44 @@
 )
 
 // resourceAmounts are CPU in thousandths of a processor, memory in MB, and accelerators.
-type amount [3]int64
+type resourceAmounts [3]int64
 
-func (a amount) resources() cell.Resources {
+func (a resourceAmounts) resources() cell.Resources {
 	return cell.Resources{CPUMillis: a[0], MemoryMB: a[1], Accelerators: a[2]}
 }
 
 // putWorker is the event that adds or updates a worker.
 type putWorker struct {
-	ID       string   `json:"id"`
-	Region   string   `json:"region"`
-	Hall     string   `json:"hall"`
-	Rack     string   `json:"rack"`
-	Labels   []string `json:"labels"`
-	Capacity amount   `json:"capacity"`
+	ID       string          `json:"id"`
+	Region   string          `json:"region"`
+	Hall     string          `json:"hall"`
+	Rack     string          `json:"rack"`
+	Labels   []string        `json:"labels"`
+	Capacity resourceAmounts `json:"capacity"`
 }
 
 // submitTask is the event that a task arrives.
-type submit struct {
-	ID       string   `json:"id"`
-	Workload string   `json:"workload"`
-	Team     string   `json:"team"`
-	Class    string   `json:"class"`
-	Policy   string   `json:"policy"`
-	Need     amount   `json:"need"`
-	Deadline int64    `json:"deadline"`
-	Once     bool     `json:"once"`
-	Allow    []string `json:"allow"` // labels of workers; so are those of Forbid
-	Forbid   []string `json:"forbid"`
+type submitTask struct {
+	ID                 string          `json:"id"`
+	Workload           string          `json:"workload"`
+	Team               string          `json:"team"`
+	Class              string          `json:"class"`
+	Policy             string          `json:"policy"`
+	RequestedResources resourceAmounts `json:"need"`
+	Deadline           int64           `json:"deadline"`
+	AtMostOnce         bool            `json:"once"`
+	Allow              []string        `json:"allow"` // labels of workers; so are those of Forbid
+	Forbid             []string        `json:"forbid"`
 }
 
 // setQuota is the event that replaces all quotas with that of one team.
-type quota struct {
-	Team   string `json:"team"`
-	Amount amount `json:"amount"`
+type setQuota struct {
+	Team   string          `json:"team"`
+	Amount resourceAmounts `json:"amount"`
 }
 
 // applyPlacementEvent applies an event of package placement. It returns known = false if e is another event.
-func (p *player) playPlacement(e event, now clock.Time) (known bool, err error) {
+func (p *replayer) applyPlacementEvent(e event, now clock.Time) (known bool, err error) {
 	switch {
 	case e.PutWorker != nil:
 		w := e.PutWorker
@@ -57,23 +57,23 @@
 		p.placer.CloseWorker(e.CloseWorker, true)
 	case e.RemoveWorker != "":
 		for _, t := range p.placer.RemoveWorker(e.RemoveWorker) {
-			p.print(now, "task=%s decision=lost worker=%s", t.ID, e.RemoveWorker)
+			p.printDecision(now, "task=%s decision=lost worker=%s", t.ID, e.RemoveWorker)
 		}
 	case e.Submit != nil:
 		p.placer.Submit(e.Submit.task(), now)
 	case e.End != "":
 		p.placer.End(e.End)
-	case e.Quota != nil:
-		p.placer.SetQuotas(map[string]cell.Resources{e.Quota.Team: e.Quota.Amount.resources()})
+	case e.SetQuota != nil:
+		p.placer.SetQuotas(map[string]cell.Resources{e.SetQuota.Team: e.SetQuota.Amount.resources()})
 	case e.Next > 0:
-		p.next(e.Next, now)
+		p.printNextPlacements(e.Next, now)
 	default:
 		return false, nil
 	}
 	return true, nil
 }
 
-func (s submit) task() placement.Task {
+func (s submitTask) task() placement.Task {
 	clause := settings.Clause{Level: "trace"}
 	for _, label := range s.Allow {
 		clause.Allow = append(clause.Allow, settings.Selector{Kind: settings.ByLabel, Value: label})
@@ -83,22 +83,22 @@
 	}
 	return placement.Task{
 		ID: s.ID, Workload: s.Workload, Team: s.Team, Class: settings.Class(s.Class), Policy: settings.Policy(s.Policy),
-		Resources: s.Need.resources(), Deadline: clock.Time(s.Deadline), Repeatable: !s.Once,
+		Resources: s.RequestedResources.resources(), Deadline: clock.Time(s.Deadline), Repeatable: !s.AtMostOnce,
 		Place: settings.Place{Clauses: []settings.Clause{clause}},
 	}
 }
 
 // printNextPlacements takes at most maxDecisions decisions from the placer and prints them. If tasks are
 // still waiting then, it prints their number.
-func (p *player) next(maxDecisions int, now clock.Time) {
+func (p *replayer) printNextPlacements(maxDecisions int, now clock.Time) {
 	for _, d := range p.placer.Next(now, maxDecisions) {
 		if d.Kind == placement.Preempt {
-			p.print(now, "task=%s decision=preempt worker=%s for=%s", d.Task.ID, d.Worker, d.For)
+			p.printDecision(now, "task=%s decision=preempt worker=%s for=%s", d.Task.ID, d.Worker, d.For)
 			continue
 		}
-		p.print(now, "task=%s decision=start worker=%s", d.Task.ID, d.Worker)
+		p.printDecision(now, "task=%s decision=start worker=%s", d.Task.ID, d.Worker)
 	}
 	if u := p.placer.Usage(); u.Waiting > 0 {
-		p.print(now, "waiting=%d", u.Waiting)
+		p.printDecision(now, "waiting=%d", u.Waiting)
 	}
 }
--- a/pkg/replay/replay.go
+++ b/pkg/replay/replay.go
@@ -17,36 +17,36 @@
 
 // event is one line of a trace. Exactly one field besides AtMs is set.
 type event struct {
-	At int64 `json:"at"`
+	AtMs int64 `json:"at"`
 
-	PutService  *putService  `json:"put_service"`
-	PutEndpoint *putEndpoint `json:"put_endpoint"`
-	Leaving     string       `json:"leaving"`
-	Foreign     *foreign     `json:"foreign"`
-	Arrive      *arrive      `json:"arrive"`
-	Release     *release     `json:"release"`
-	Expire      bool         `json:"expire"`
+	PutService    *putService     `json:"put_service"`
+	PutEndpoint   *putEndpoint    `json:"put_endpoint"`
+	MarkLeaving   string          `json:"leaving"`
+	UpdateOrphans *updateOrphans  `json:"foreign"`
+	Arrive        *routeRequest   `json:"arrive"`
+	Release       *releaseRequest `json:"release"`
+	Expire        bool            `json:"expire"`
 
-	PutWorker    *putWorker `json:"put_worker"`
-	CloseWorker  string     `json:"close_worker"`
-	RemoveWorker string     `json:"remove_worker"`
-	Submit       *submit    `json:"submit"`
-	End          string     `json:"end"`
-	Quota        *quota     `json:"quota"`
-	Next         int        `json:"next"`
+	PutWorker    *putWorker  `json:"put_worker"`
+	CloseWorker  string      `json:"close_worker"`
+	RemoveWorker string      `json:"remove_worker"`
+	Submit       *submitTask `json:"submit"`
+	End          string      `json:"end"`
+	SetQuota     *setQuota   `json:"quota"`
+	Next         int         `json:"next"`
 
-	Takeover bool `json:"takeover"`
-	Use      *use `json:"use"`
-	Answer   *end `json:"answer"`
-	NotRun   *end `json:"not_run"`
+	Takeover bool           `json:"takeover"`
+	Use      *beginKey      `json:"use"`
+	Answer   *keyCompletion `json:"answer"`
+	NotRun   *keyCompletion `json:"not_run"`
 }
 
 // replayer is the state of one call of Run.
-type player struct {
+type replayer struct {
 	out      io.Writer
 	router   *routing.Router
 	placer   *placement.Placer
-	memory   *keys.Memory
+	keyTable *keys.Table
 	requests map[string]*request
 }
 
@@ -60,9 +60,9 @@
 // Run replays a trace and writes the decisions. An error names the line of the trace.
 func Run(in io.Reader, out io.Writer) error {
 	w := bufio.NewWriter(out)
-	p := &player{
+	p := &replayer{
 		out: w, router: routing.New(), placer: placement.New(placement.DefaultConfig),
-		memory: keys.New(keys.DefaultConfig, time.Time{}), requests: map[string]*request{},
+		keyTable: keys.New(keys.DefaultConfig, time.Time{}), requests: map[string]*request{},
 	}
 	scanner := bufio.NewScanner(in)
 	for line := 1; scanner.Scan(); line++ {
@@ -75,7 +75,7 @@
 		if err := decoder.Decode(&e); err != nil {
 			return errors.Wrapf(err, "line %d", line)
 		}
-		if err := p.play(e, clock.Time(e.At)); err != nil {
+		if err := p.applyEvent(e, clock.Time(e.AtMs)); err != nil {
 			return errors.Wrapf(err, "line %d", line)
 		}
 	}
@@ -86,8 +86,8 @@
 }
 
 // applyEvent passes an event to the package that it belongs to.
-func (p *player) play(e event, now clock.Time) error {
-	for _, apply := range []func(event, clock.Time) (bool, error){p.playRouting, p.playPlacement, p.playKeys} {
+func (p *replayer) applyEvent(e event, now clock.Time) error {
+	for _, apply := range []func(event, clock.Time) (bool, error){p.applyRoutingEvent, p.applyPlacementEvent, p.applyKeyEvent} {
 		if known, err := apply(e, now); known || err != nil {
 			return err
 		}
@@ -95,6 +95,6 @@
 	return errors.New("the line has no event")
 }
 
-func (p *player) print(now clock.Time, format string, args ...any) {
+func (p *replayer) printDecision(now clock.Time, format string, args ...any) {
 	fmt.Fprintf(p.out, "at=%d %s\n", now, fmt.Sprintf(format, args...))
 }
--- a/pkg/result/codes.go
+++ b/pkg/result/codes.go
@@ -60,7 +60,7 @@
 )
 
 // CodeInfo describes one code.
-type Row struct {
+type CodeInfo struct {
 	Code   Code
 	Name   string
 	Status int // HTTP status
@@ -70,7 +70,7 @@
 	Text  string
 }
 
-var rows = []Row{
+var codeTable = []CodeInfo{
 	{OK, "ok", http.StatusOK, RanYes, false, "The request ran once and this is its whole answer."},
 	{Accepted, "accepted", http.StatusAccepted, RanNo, false, "The batch request is kept and will run."},
 
@@ -111,30 +111,30 @@
 	{Internal, "internal", http.StatusInternalServerError, RanUnknown, false, "A fault of foldarch itself; see the log."},
 }
 
-var byCode = indexRows()
+var infoByCode = indexCodes()
 
-func indexRows() map[Code]Row {
-	index := make(map[Code]Row, len(rows))
-	for _, info := range rows {
+func indexCodes() map[Code]CodeInfo {
+	index := make(map[Code]CodeInfo, len(codeTable))
+	for _, info := range codeTable {
 		index[info.Code] = info
 	}
 	return index
 }
 
 // Codes lists all codes in numerical order.
-func Rows() []Row {
-	return append([]Row(nil), rows...)
+func Codes() []CodeInfo {
+	return append([]CodeInfo(nil), codeTable...)
 }
 
 // Info describes the code. For an unknown code it describes Internal.
-func (c Code) Row() Row {
-	if info, ok := byCode[c]; ok {
+func (c Code) Info() CodeInfo {
+	if info, ok := infoByCode[c]; ok {
 		return info
 	}
-	return byCode[Internal]
+	return infoByCode[Internal]
 }
 
 // String returns the code's name, such as "overloaded".
 func (c Code) String() string {
-	return c.Row().Name
+	return c.Info().Name
 }
--- a/pkg/result/problem.go
+++ b/pkg/result/problem.go
@@ -21,9 +21,9 @@
 }
 
 // NewProblem returns the problem for an error. An error without a result code becomes Internal.
-func ProblemOf(err error) Problem {
+func NewProblem(err error) Problem {
 	e := From(err)
-	info := e.Code.Row()
+	info := e.Code.Info()
 	return Problem{
 		Status: info.Status, Code: e.Code, Name: info.Name, Message: e.Message, Ran: info.Ran,
 		RetryAfterMs: e.RetryAfter.Milliseconds(),
@@ -44,7 +44,7 @@
 	if errors.As(err, &tooLarge) {
 		code = BodyTooLarge
 	}
-	p := ProblemOf(New(code, "%v", err))
+	p := NewProblem(New(code, "%v", err))
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(max(p.Status, ogenerrors.ErrorCode(err)))
 	_ = json.NewEncoder(w).Encode(p)
