--- a/pkg/result/result_test.go
+++ b/pkg/result/result_test.go
@@ -13,9 +13,9 @@
 
 var update = flag.Bool("update", false, "rewrite docs/result-codes.md")
 
-const page = "../../docs/result-codes.md"
+const docsPage = "../../docs/result-codes.md"
 
-const preface = `# Result codes
+const docsPreface = `# Result codes
 
 Every final answer that is not a plain success carries a code, its name, whether the request
 ran, and often when to come back (` + "`Retry-After`" + ` in whole seconds, ` + "`retry_after_ms`" + ` in the
@@ -31,11 +31,11 @@
 |---|---|---|---|---|---|
 `
 
-func TestTheDocsHaveTheTable(t *testing.T) {
+func TestDocumentedCodeTableIsCurrent(t *testing.T) {
 	g := NewWithT(t)
 	var text strings.Builder
-	text.WriteString(preface)
-	for _, c := range Rows() {
+	text.WriteString(docsPreface)
+	for _, c := range Codes() {
 		retry := "no"
 		if c.Retry {
 			retry = "yes"
@@ -43,17 +43,17 @@
 		fmt.Fprintf(&text, "| %d | `%s` | %d | %s | %s | %s |\n", c.Code, c.Name, c.Status, c.Ran, retry, c.Text)
 	}
 	if *update {
-		g.Expect(os.WriteFile(page, []byte(text.String()), 0o600)).To(Succeed())
+		g.Expect(os.WriteFile(docsPage, []byte(text.String()), 0o600)).To(Succeed())
 	}
-	got, err := os.ReadFile(page)
+	got, err := os.ReadFile(docsPage)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(string(got)).To(Equal(text.String()))
 }
 
-func TestHundredsSayWhetherARequestRan(t *testing.T) {
+func TestCodeRangeAgreesWithRan(t *testing.T) {
 	g := NewWithT(t)
 	seen := map[string]bool{}
-	for _, c := range Rows() {
+	for _, c := range Codes() {
 		g.Expect(seen[c.Name]).To(BeFalse(), c.Name)
 		seen[c.Name] = true
 		switch c.Code / 100 {
@@ -65,9 +65,9 @@
 	}
 }
 
-func TestFromKeepsACodeAndHidesNothing(t *testing.T) {
+func TestFromKeepsTheCodeOfAWrappedError(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(From(errors.Wrap(New(Overloaded, "full"), "call")).Code).To(Equal(Overloaded))
 	g.Expect(From(errors.New("odd")).Code).To(Equal(Internal))
-	g.Expect(Code(12345).Row().Code).To(Equal(Internal))
+	g.Expect(Code(12345).Info().Code).To(Equal(Internal))
 }
--- a/pkg/revision/queries.go
+++ b/pkg/revision/queries.go
@@ -9,7 +9,7 @@
 )
 
 // Head returns the current head. In a cell without settings its Revision is 0.
-func (r *Book) Head(ctx context.Context) (Head, error) {
+func (r *Repository) Head(ctx context.Context) (Head, error) {
 	item, err := r.store.Read(ctx, HeadKey)
 	if errors.Is(err, store.ErrAbsent) {
 		return Head{}, nil
@@ -21,7 +21,7 @@
 }
 
 // Commit reads the commit with the given digest.
-func (r *Book) Commit(ctx context.Context, digest Digest) (Commit, error) {
+func (r *Repository) Commit(ctx context.Context, digest Digest) (Commit, error) {
 	item, err := r.store.Read(ctx, commitPrefix+string(digest))
 	if err != nil {
 		return Commit{}, errors.Wrapf(err, "read settings commit %s", digest)
@@ -35,7 +35,7 @@
 
 // Documents returns the texts of a commit by file name. It reads only those texts from the store
 // that known, which holds texts by digest, does not contain.
-func (r *Book) Documents(ctx context.Context, c Commit, known map[Digest]string) (map[string]string, error) {
+func (r *Repository) Documents(ctx context.Context, c Commit, known map[Digest]string) (map[string]string, error) {
 	docs := make(map[string]string, len(c.Files))
 	for file, digest := range c.Files {
 		text, ok := known[digest]
@@ -52,7 +52,7 @@
 }
 
 // History returns up to n commits, newest first.
-func (r *Book) History(ctx context.Context, n int) ([]Commit, error) {
+func (r *Repository) History(ctx context.Context, n int) ([]Commit, error) {
 	head, err := r.Head(ctx)
 	if err != nil {
 		return nil, err
--- a/pkg/revision/revision.go
+++ b/pkg/revision/revision.go
@@ -31,7 +31,7 @@
 	Commit   Digest `json:"commit"`
 
 	// storeRevision is the store's revision of HeadKey; 0 if there is no head.
-	stored int64
+	storeRevision int64
 }
 
 // Commit is one revision of the settings: its files and its origin.
@@ -51,14 +51,14 @@
 }
 
 // Repository reads and writes the settings of one cell.
-type Book struct {
+type Repository struct {
 	store *store.Store
 	clk   clock.Clock
 }
 
 // New returns the repository of the cell whose store is given.
-func New(s *store.Store, clk clock.Clock) *Book {
-	return &Book{store: s, clk: clk}
+func New(s *store.Store, clk clock.Clock) *Repository {
+	return &Repository{store: s, clk: clk}
 }
 
 // DigestOf returns the digest under which a text is stored.
@@ -73,7 +73,7 @@
 	if err := json.Unmarshal([]byte(item.Value), &h); err != nil {
 		return Head{}, errors.Wrap(err, "settings head")
 	}
-	h.stored = item.Revision
+	h.storeRevision = item.Revision
 	return h, nil
 }
 
@@ -81,7 +81,7 @@
 // Otherwise it returns store.ErrConflict. If a document is too large for the store, it returns
 // store.ErrTooLarge with the name of the file. In both cases the settings in force stay as they
 // are.
-func (r *Book) Apply(ctx context.Context, head Head, docs map[string]string, change Change) (Head, error) {
+func (r *Repository) Apply(ctx context.Context, head Head, docs map[string]string, change Change) (Head, error) {
 	files, err := r.writeDocuments(ctx, head, docs)
 	if err != nil {
 		return Head{}, err
@@ -95,19 +95,19 @@
 		return Head{}, errors.Wrap(err, "encode commit")
 	}
 	digest := DigestOf(string(text))
-	if err := r.writeOnce(ctx, commitPrefix+string(digest), string(text)); err != nil {
+	if err := r.writeIfAbsent(ctx, commitPrefix+string(digest), string(text)); err != nil {
 		return Head{}, errors.Wrap(err, "write commit")
 	}
 	return r.moveHead(ctx, head, Head{Revision: commit.Revision, WriteID: uuid.NewString(), Commit: digest})
 }
 
 // moveHead replaces the head from by the head to, provided that from is still the current one.
-func (r *Book) moveHead(ctx context.Context, from, to Head) (Head, error) {
+func (r *Repository) moveHead(ctx context.Context, from, to Head) (Head, error) {
 	text, err := json.Marshal(to)
 	if err != nil {
 		return Head{}, errors.Wrap(err, "encode head")
 	}
-	to.stored, err = r.store.Swap(ctx, store.Item{Key: HeadKey, Value: string(text)}, from.stored)
+	to.storeRevision, err = r.store.Swap(ctx, store.Item{Key: HeadKey, Value: string(text)}, from.storeRevision)
 	if err != nil {
 		return Head{}, errors.Wrap(err, "move settings head")
 	}
@@ -116,7 +116,7 @@
 
 // writeDocuments writes the documents that the commit of head does not contain, and returns the
 // digests of all documents by file name.
-func (r *Book) writeDocuments(ctx context.Context, head Head, docs map[string]string) (map[string]Digest, error) {
+func (r *Repository) writeDocuments(ctx context.Context, head Head, docs map[string]string) (map[string]Digest, error) {
 	stored, err := r.storedDigests(ctx, head)
 	if err != nil {
 		return nil, err
@@ -128,7 +128,7 @@
 		if stored[digest] {
 			continue
 		}
-		if err := r.writeOnce(ctx, docPrefix+string(digest), text); err != nil {
+		if err := r.writeIfAbsent(ctx, docPrefix+string(digest), text); err != nil {
 			return nil, errors.Wrapf(err, "write document %s", file)
 		}
 		stored[digest] = true
@@ -137,7 +137,7 @@
 }
 
 // storedDigests returns the digests of the documents that the commit of head contains.
-func (r *Book) storedDigests(ctx context.Context, head Head) (map[Digest]bool, error) {
+func (r *Repository) storedDigests(ctx context.Context, head Head) (map[Digest]bool, error) {
 	stored := map[Digest]bool{}
 	if head.Revision == 0 {
 		return stored, nil
@@ -154,7 +154,7 @@
 
 // writeIfAbsent writes a text under a key that contains its digest. A value that exists already
 // has the same digest and thus the same text.
-func (r *Book) writeOnce(ctx context.Context, key, text string) error {
+func (r *Repository) writeIfAbsent(ctx context.Context, key, text string) error {
 	_, err := r.store.Swap(ctx, store.Item{Key: key, Value: text}, 0)
 	if errors.Is(err, store.ErrConflict) {
 		return nil
--- a/pkg/routing/endpoint.go
+++ b/pkg/routing/endpoint.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	ejectAfter     = 3 // consecutive failures
-	ejectFirst     = time.Second
-	ejectMost      = 30 * time.Second
-	latencyWeight  = 8 // weight of a new latency in the moving average: 1/8
-	shrinkNumerat  = 7 // a failure reduces the usable slots to 7/10
-	shrinkDenomina = 10
+	ejectionThreshold        = 3 // consecutive failures
+	minEjection              = time.Second
+	maxEjection              = 30 * time.Second
+	latencySmoothing         = 8 // weight of a new latency in the moving average: 1/8
+	limitDecreaseNumerator   = 7 // a failure reduces the usable slots to 7/10
+	limitDecreaseDenominator = 10
 )
 
 // Outcome is the result of sending a request to an endpoint.
@@ -22,7 +22,7 @@
 const (
 	Served    Outcome = iota
 	Failed            // the endpoint answered with an error
-	Lost              // no answer arrived; the request may still run and occupies its slot
+	NoAnswer          // no answer arrived; the request may still run and occupies its slot
 	Refused           // the endpoint answered that it accepts no new requests
 	Unreached         // no connection to the endpoint could be opened
 	Unsent            // nothing was sent, for a reason other than the endpoint
@@ -35,7 +35,7 @@
 	slots   int  // as configured
 	limit   int  // slots that may be used at present; lowered by failures
 	inUse   int  // requests that were sent and whose outcome is still awaited
-	foreign int  // requests that may still run although their outcome is not awaited
+	orphans int  // requests that may still run although their outcome is not awaited
 	leaving bool // accepts no new requests
 	removed bool
 
@@ -52,8 +52,8 @@
 
 // isAvailable reports whether a request can be sent to the endpoint now. After an ejection, and
 // until it succeeds again, an endpoint is given only one request at a time.
-func (e *Endpoint) takes(now clock.Time) bool {
-	busy := e.inUse + e.foreign
+func (e *Endpoint) isAvailable(now clock.Time) bool {
+	busy := e.inUse + e.orphans
 	if e.leaving || e.removed || busy >= e.limit || now < e.ejectedUntil {
 		return false
 	}
@@ -63,9 +63,9 @@
 
 // preferredOver reports whether e has a lower share of its slots in use than o or, if the
 // shares are equal, a lower latency.
-func (e *Endpoint) better(o *Endpoint) bool {
-	mine := (e.inUse + e.foreign) * o.limit
-	theirs := (o.inUse + o.foreign) * e.limit
+func (e *Endpoint) preferredOver(o *Endpoint) bool {
+	mine := (e.inUse + e.orphans) * o.limit
+	theirs := (o.inUse + o.orphans) * e.limit
 	if mine != theirs {
 		return mine < theirs
 	}
@@ -77,12 +77,12 @@
 	e.inUse--
 	switch outcome {
 	case Served:
-		e.served(latency)
+		e.recordSuccess(latency)
 	case Failed, Unreached:
-		e.faulted(now)
-	case Lost:
-		e.foreign++
-		e.faulted(now)
+		e.recordFailure(now)
+	case NoAnswer:
+		e.orphans++
+		e.recordFailure(now)
 	case Refused:
 		e.leaving = true
 	case Unsent:
@@ -90,23 +90,23 @@
 }
 
 // recordSuccess clears the failures and restores one slot.
-func (e *Endpoint) served(latency time.Duration) {
+func (e *Endpoint) recordSuccess(latency time.Duration) {
 	e.failures, e.ejections = 0, 0
 	e.limit = min(e.limit+1, e.slots)
 	if e.latency == 0 {
 		e.latency = latency
 		return
 	}
-	e.latency += (latency - e.latency) / latencyWeight
+	e.latency += (latency - e.latency) / latencySmoothing
 }
 
 // recordFailure reduces the usable slots and ejects the endpoint after too many consecutive
 // failures, or after a single one if it has been ejected and has not succeeded since.
-func (e *Endpoint) faulted(now clock.Time) {
+func (e *Endpoint) recordFailure(now clock.Time) {
 	e.failures++
-	e.limit = max(e.limit*shrinkNumerat/shrinkDenomina, 1)
-	if e.failures >= ejectAfter || e.ejections > 0 {
-		e.ejectedUntil = now.Add(min(ejectFirst<<min(e.ejections, 10), ejectMost))
+	e.limit = max(e.limit*limitDecreaseNumerator/limitDecreaseDenominator, 1)
+	if e.failures >= ejectionThreshold || e.ejections > 0 {
+		e.ejectedUntil = now.Add(min(minEjection<<min(e.ejections, 10), maxEjection))
 		e.ejections++
 	}
 }
--- a/pkg/routing/queue.go
+++ b/pkg/routing/queue.go
@@ -6,8 +6,8 @@
 	byCaller map[string]*callerQueue
 	// nextCaller is the caller to serve next. It is an element of a ring of all callers
 	// that have waiting requests.
-	turns *callerQueue
-	size  int
+	nextCaller *callerQueue
+	size       int
 }
 
 // callerQueue holds the requests of one caller in the order of arrival.
@@ -29,13 +29,13 @@
 func (q *queue) push(r *Request) {
 	c, ok := q.byCaller[r.Caller]
 	if !ok {
-		q.dropIdle()
+		q.forgetIdleCallers()
 		c = &callerQueue{caller: r.Caller}
 		q.byCaller[r.Caller] = c
 	}
 	if c.size == 0 {
 		c.head = r
-		q.link(c)
+		q.addToRing(c)
 	} else {
 		c.tail.next = r
 	}
@@ -47,7 +47,7 @@
 
 // pop removes and returns the oldest request of the next caller, or nil if the queue is empty.
 func (q *queue) pop() *Request {
-	c := q.turns
+	c := q.nextCaller
 	if c == nil {
 		return nil
 	}
@@ -56,20 +56,20 @@
 	r.next = nil
 	c.size--
 	q.size--
-	q.turns = c.next
+	q.nextCaller = c.next
 	if c.size == 0 {
-		q.unlink(c)
+		q.removeFromRing(c)
 	}
 	return r
 }
 
 // largestCaller returns the caller with the most requests and their number.
-func (q *queue) heaviest() (*callerQueue, int) {
-	if q.turns == nil {
+func (q *queue) largestCaller() (*callerQueue, int) {
+	if q.nextCaller == nil {
 		return nil, 0
 	}
-	largest := q.turns
-	for c := q.turns.next; c != q.turns; c = c.next {
+	largest := q.nextCaller
+	for c := q.nextCaller.next; c != q.nextCaller; c = c.next {
 		if c.size > largest.size {
 			largest = c
 		}
@@ -78,7 +78,7 @@
 }
 
 // removeNewestOfMany removes and returns the newest request of a caller that has at least two.
-func (q *queue) dropNewest(c *callerQueue) *Request {
+func (q *queue) removeNewestOfMany(c *callerQueue) *Request {
 	secondNewest := c.head
 	for secondNewest.next != c.tail {
 		secondNewest = secondNewest.next
@@ -126,30 +126,30 @@
 	c.size = kept
 	q.size -= len(removed)
 	if kept == 0 {
-		q.unlink(c)
+		q.removeFromRing(c)
 	}
 	return removed
 }
 
 // addToRing inserts a caller so that it is served after all others in the ring.
-func (q *queue) link(c *callerQueue) {
-	if q.turns == nil {
+func (q *queue) addToRing(c *callerQueue) {
+	if q.nextCaller == nil {
 		c.prev, c.next = c, c
-		q.turns = c
+		q.nextCaller = c
 		return
 	}
-	last := q.turns.prev
+	last := q.nextCaller.prev
 	last.next, c.prev = c, last
-	c.next, q.turns.prev = q.turns, c
+	c.next, q.nextCaller.prev = q.nextCaller, c
 }
 
-func (q *queue) unlink(c *callerQueue) {
+func (q *queue) removeFromRing(c *callerQueue) {
 	if c.next == c {
-		q.turns = nil
+		q.nextCaller = nil
 	} else {
 		c.prev.next, c.next.prev = c.next, c.prev
-		if q.turns == c {
-			q.turns = c.next
+		if q.nextCaller == c {
+			q.nextCaller = c.next
 		}
 	}
 	c.prev, c.next = nil, nil
@@ -157,7 +157,7 @@
 
 // forgetIdleCallers removes the callers without waiting requests once maxIdleCallers callers
 // are known.
-func (q *queue) dropIdle() {
+func (q *queue) forgetIdleCallers() {
 	if len(q.byCaller) < maxIdleCallers {
 		return
 	}
--- a/pkg/routing/request.go
+++ b/pkg/routing/request.go
@@ -14,7 +14,7 @@
 	Urgent Class = iota
 	Normal
 	Background
-	nClasses
+	classCount
 )
 
 // Request is one request to route. The caller must not reuse it before it has received a
@@ -27,37 +27,37 @@
 	// Tag is for use by the caller of this package, which does not read it.
 	Tag any
 
-	arrived clock.Time
-	next    *Request // of the same caller in the queue
+	arrivedAt clock.Time
+	next      *Request // of the same caller in the queue
 }
 
 // ArrivedAt returns when the request was passed to Router.Route.
-func (r *Request) Arrived() clock.Time {
-	return r.arrived
+func (r *Request) ArrivedAt() clock.Time {
+	return r.arrivedAt
 }
 
 // DecisionKind says what was decided about a request.
-type Kind int
+type DecisionKind int
 
 // The kinds of decision.
 const (
-	Send      Kind = iota // call the endpoint now
-	Queued                // the request waits; another decision follows
-	QueueFull             // refused: the queue, or the caller's share of it, is full
-	Expired               // refused: the deadline has passed
-	NoService             // refused: the shard has no such service
-	NoSlots               // refused: every endpoint of the service, if any, is leaving or ejected
-	Stopped               // refused: this process no longer owns the shard
+	Send      DecisionKind = iota // call the endpoint now
+	Queued                        // the request waits; another decision follows
+	QueueFull                     // refused: the queue, or the caller's share of it, is full
+	Expired                       // refused: the deadline has passed
+	NoService                     // refused: the shard has no such service
+	NoSlots                       // refused: every endpoint of the service, if any, is leaving or ejected
+	Stopped                       // refused: this process no longer owns the shard
 )
 
 // String returns the kind's name for logs.
-func (k Kind) String() string {
+func (k DecisionKind) String() string {
 	return [...]string{"send", "queued", "queue_full", "expired", "no_service", "no_slots", "stopped"}[k]
 }
 
 // Decision is what was decided about a request.
 type Decision struct {
-	Kind     Kind
+	Kind     DecisionKind
 	Request  *Request
 	Endpoint *Endpoint // set if Kind is Send
 	// RetryAfter is how long a refused caller should wait before it retries; 0 means that a
--- a/pkg/routing/router.go
+++ b/pkg/routing/router.go
@@ -9,7 +9,7 @@
 
 // defaultRetryAfter is the retry delay for callers of a service that has not answered yet, so
 // that its latency is unknown, or that has no usable slots.
-const firstRetry = 200 * time.Millisecond
+const defaultRetryAfter = 200 * time.Millisecond
 
 // Service holds the limits of a service.
 type Service struct {
@@ -25,7 +25,7 @@
 type service struct {
 	Service
 	endpoints []*Endpoint // sorted by id
-	queues    [nClasses]*queue
+	queues    [classCount]*queue
 	latency   time.Duration // moving average over all endpoints
 }
 
@@ -59,7 +59,7 @@
 		e.removed = true
 		delete(r.endpoints, e.ID)
 	}
-	return s.drain(func(*Request) bool { return true })
+	return s.removeQueuedIf(func(*Request) bool { return true })
 }
 
 // PutEndpoint adds an endpoint or changes the number of its slots. An inherited endpoint may
@@ -77,7 +77,7 @@
 	}
 	e := &Endpoint{ID: id, service: s, slots: slots, limit: slots}
 	if inherited {
-		e.foreign = slots
+		e.orphans = slots
 	}
 	r.endpoints[id] = e
 	s.endpoints = append(s.endpoints, e)
@@ -108,7 +108,7 @@
 }
 
 // MarkLeaving excludes an endpoint from new requests because it is about to stop.
-func (r *Router) Leaving(id string) {
+func (r *Router) MarkLeaving(id string) {
 	if e, ok := r.endpoints[id]; ok {
 		e.leaving = true
 	}
@@ -119,21 +119,21 @@
 // waiting requests that can be sent now. It never raises the number of orphaned requests,
 // because the number of running requests that an endpoint reports includes those whose
 // outcome is still awaited.
-func (r *Router) Foreign(id string, maxOrphans int, now clock.Time) []Decision {
+func (r *Router) UpdateOrphans(id string, maxOrphans int, now clock.Time) []Decision {
 	e, ok := r.endpoints[id]
 	if !ok {
 		return nil
 	}
-	e.foreign = min(e.foreign, max(maxOrphans, 0))
-	return r.pull(e.service, now)
+	e.orphans = min(e.orphans, max(maxOrphans, 0))
+	return r.dispatch(e.service, now)
 }
 
 // EndpointsWithOrphans lists the endpoints that may run requests whose outcome is not awaited:
 // those that a previous owner sent, and those that got no answer.
-func (r *Router) HasForeign() []string {
+func (r *Router) EndpointsWithOrphans() []string {
 	var ids []string
 	for id, e := range r.endpoints {
-		if e.foreign > 0 {
+		if e.orphans > 0 {
 			ids = append(ids, id)
 		}
 	}
@@ -142,19 +142,19 @@
 }
 
 // Route decides whether a new request is sent, queued or refused.
-func (r *Router) Arrive(request *Request, now clock.Time) Decision {
+func (r *Router) Route(request *Request, now clock.Time) Decision {
 	s, ok := r.services[request.Service]
-	request.arrived = now
+	request.arrivedAt = now
 	switch {
 	case !ok:
 		return Decision{Kind: NoService, Request: request}
 	case now >= request.Deadline:
 		return Decision{Kind: Expired, Request: request}
-	case !s.hasTakers(now):
+	case !s.hasActiveEndpoint(now):
 		return Decision{Kind: NoSlots, Request: request, RetryAfter: s.retryAfter()}
 	}
-	if s.waiting() == 0 {
-		if e := s.choose(now); e != nil {
+	if s.queuedCount() == 0 {
+		if e := s.chooseEndpoint(now); e != nil {
 			e.inUse++
 			return Decision{Kind: Send, Request: request, Endpoint: e}
 		}
@@ -167,16 +167,16 @@
 func (r *Router) Release(e *Endpoint, outcome Outcome, latency time.Duration, now clock.Time) []Decision {
 	e.release(outcome, latency, now)
 	if outcome == Served {
-		e.service.observe(latency)
+		e.service.recordLatency(latency)
 	}
-	return r.pull(e.service, now)
+	return r.dispatch(e.service, now)
 }
 
 // Expire removes and returns the waiting requests whose deadline has passed.
 func (r *Router) Expire(now clock.Time) []Decision {
 	var out []Decision
 	for _, s := range r.services {
-		for _, request := range s.drain(func(request *Request) bool { return now >= request.Deadline }) {
+		for _, request := range s.removeQueuedIf(func(request *Request) bool { return now >= request.Deadline }) {
 			out = append(out, Decision{Kind: Expired, Request: request})
 		}
 	}
@@ -184,30 +184,30 @@
 }
 
 // RemoveQueued removes and returns all waiting requests.
-func (r *Router) Drain() []*Request {
+func (r *Router) RemoveQueued() []*Request {
 	var all []*Request
 	for _, s := range r.services {
-		all = append(all, s.drain(func(*Request) bool { return true })...)
+		all = append(all, s.removeQueuedIf(func(*Request) bool { return true })...)
 	}
 	return all
 }
 
 // DispatchAll returns the waiting requests of all services that can be sent now. It is to be
 // called after endpoints were added, and regularly for those whose ejection has ended.
-func (r *Router) PullAll(now clock.Time) []Decision {
+func (r *Router) DispatchAll(now clock.Time) []Decision {
 	var out []Decision
 	for _, s := range r.services {
-		out = append(out, r.pull(s, now)...)
+		out = append(out, r.dispatch(s, now)...)
 	}
 	return out
 }
 
 // dispatch returns the waiting requests of one service that can be sent now, and those that
 // turned out to have expired.
-func (r *Router) pull(s *service, now clock.Time) []Decision {
+func (r *Router) dispatch(s *service, now clock.Time) []Decision {
 	var out []Decision
-	for s.waiting() > 0 {
-		e := s.choose(now)
+	for s.queuedCount() > 0 {
+		e := s.chooseEndpoint(now)
 		if e == nil {
 			break
 		}
@@ -233,11 +233,11 @@
 func (r *Router) Loads() map[string]Load {
 	loads := make(map[string]Load, len(r.services))
 	for name, s := range r.services {
-		l := Load{Queued: s.waiting()}
+		l := Load{Queued: s.queuedCount()}
 		for _, e := range s.endpoints {
 			if !e.leaving {
 				l.Slots += e.limit
-				l.InUse += e.inUse + e.foreign
+				l.InUse += e.inUse + e.orphans
 			}
 		}
 		loads[name] = l
@@ -246,11 +246,11 @@
 }
 
 // EndpointCount returns how many endpoints the shard has.
-func (r *Router) Endpoints() int {
+func (r *Router) EndpointCount() int {
 	return len(r.endpoints)
 }
 
-func (s *service) waiting() int {
+func (s *service) queuedCount() int {
 	n := 0
 	for _, q := range s.queues {
 		n += q.size
@@ -260,7 +260,7 @@
 
 // hasActiveEndpoint reports whether any endpoint is neither leaving nor ejected. Without one,
 // a request is refused instead of queued.
-func (s *service) hasTakers(now clock.Time) bool {
+func (s *service) hasActiveEndpoint(now clock.Time) bool {
 	for _, e := range s.endpoints {
 		if !e.leaving && now >= e.ejectedUntil {
 			return true
@@ -270,10 +270,10 @@
 }
 
 // chooseEndpoint returns the preferred endpoint among those that are available, or nil.
-func (s *service) choose(now clock.Time) *Endpoint {
+func (s *service) chooseEndpoint(now clock.Time) *Endpoint {
 	var best *Endpoint
 	for _, e := range s.endpoints {
-		if e.takes(now) && (best == nil || e.better(best)) {
+		if e.isAvailable(now) && (best == nil || e.preferredOver(best)) {
 			best = e
 		}
 	}
@@ -294,7 +294,7 @@
 // refuses the request unless evictFor finds another one to remove.
 func (s *service) enqueue(r *Request) Decision {
 	q := s.queues[r.Class]
-	if s.waiting() < s.QueueLimit {
+	if s.queuedCount() < s.QueueLimit {
 		q.push(r)
 		return Decision{Kind: Queued, Request: r}
 	}
@@ -311,39 +311,39 @@
 // takes the newest request of the caller with the most requests. In the class of r it does so
 // only if that caller has at least two more requests than the caller of r.
 func (s *service) evictFor(r *Request) *Request {
-	for class := nClasses - 1; class >= r.Class; class-- {
+	for class := classCount - 1; class >= r.Class; class-- {
 		q := s.queues[class]
-		c, size := q.heaviest()
+		c, size := q.largestCaller()
 		if c == nil {
 			continue
 		}
 		if class > r.Class {
-			return q.takeNewest(c)
+			return q.removeNewest(c)
 		}
 		ownSize := 0
 		if own, ok := q.byCaller[r.Caller]; ok {
 			ownSize = own.size
 		}
 		if size > ownSize+1 {
-			return q.takeNewest(c)
+			return q.removeNewest(c)
 		}
 	}
 	return nil
 }
 
 // removeNewest removes and returns the newest request of a caller.
-func (q *queue) takeNewest(c *callerQueue) *Request {
+func (q *queue) removeNewest(c *callerQueue) *Request {
 	if c.size > 1 {
-		return q.dropNewest(c)
+		return q.removeNewestOfMany(c)
 	}
 	r := c.head
 	c.head, c.tail, c.size = nil, nil, 0
 	q.size--
-	q.unlink(c)
+	q.removeFromRing(c)
 	return r
 }
 
-func (s *service) drain(match func(*Request) bool) []*Request {
+func (s *service) removeQueuedIf(match func(*Request) bool) []*Request {
 	var removed []*Request
 	for _, q := range s.queues {
 		removed = append(removed, q.removeIf(match)...)
@@ -351,12 +351,12 @@
 	return removed
 }
 
-func (s *service) observe(latency time.Duration) {
+func (s *service) recordLatency(latency time.Duration) {
 	if s.latency == 0 {
 		s.latency = latency
 		return
 	}
-	s.latency += (latency - s.latency) / latencyWeight
+	s.latency += (latency - s.latency) / latencySmoothing
 }
 
 // retryAfter estimates how long the usable slots take to serve the waiting requests.
@@ -368,7 +368,7 @@
 		}
 	}
 	if slots == 0 || s.latency == 0 {
-		return firstRetry
+		return defaultRetryAfter
 	}
-	return max(s.latency*time.Duration(s.waiting()+1)/time.Duration(slots), time.Millisecond)
+	return max(s.latency*time.Duration(s.queuedCount()+1)/time.Duration(slots), time.Millisecond)
 }
--- a/pkg/runend/runend_test.go
+++ b/pkg/runend/runend_test.go
@@ -13,7 +13,7 @@
 
 // Guards against an end that is predicted from too little progress, or from the progress that a
 // checkpoint brought.
-func TestEndIsToldByTheSpeedSinceTheFirstReport(t *testing.T) {
+func TestEndIsPredictedFromSpeedSinceFirstReport(t *testing.T) {
 	now := begun.Add(4 * time.Second)
 	for name, c := range map[string]struct {
 		first, last int
@@ -36,7 +36,7 @@
 }
 
 // Guards against a step that waits for ever for the room of a run that makes no progress.
-func TestRunThatShouldHaveEndedLongAgoIsNotExpectedToEndSoon(t *testing.T) {
+func TestLongOverdueRunIsNotExpectedToEndSoon(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(EndsWithin(time.Second, time.Second)).To(BeTrue())
 	g.Expect(EndsWithin(time.Second+1, time.Second)).To(BeFalse())
@@ -45,7 +45,7 @@
 }
 
 // Guards against room that is expected before enough runs have ended, or where there will never be any.
-func TestRoomIsThereWhenEnoughRunsHaveEnded(t *testing.T) {
+func TestTimeUntilRoom(t *testing.T) {
 	g := NewWithT(t)
 	cores := func(n int64) cell.Resources { return cell.Resources{CPUMillis: 1000 * n} }
 	ends := []ExpectedEnd{{3 * time.Second, cores(1)}, {time.Second, cores(1)}}
--- a/pkg/settings/check.go
+++ b/pkg/settings/check.go
@@ -19,9 +19,9 @@
 		}
 		for _, h := range b.tree.Layout.Halls {
 			site := Site{Region: h.Region, Hall: h.Name}
-			allowed := len(c.Allow) > 0 && c.refusal(site, true) == ""
-			if reason := upper.refusal(site, true); allowed && reason != "" {
-				b.faultOnce(c.Level, "rules.place.allow",
+			allowed := len(c.Allow) > 0 && c.rejection(site, true) == ""
+			if reason := upper.rejection(site, true); allowed && reason != "" {
+				b.addFaultOnce(c.Level, "rules.place.allow",
 					fmt.Sprintf("hall %s widens a final place rule: %s", h.Name, reason))
 			}
 		}
@@ -29,13 +29,13 @@
 }
 
 // workloadCheck is a condition that each workload must satisfy.
-type check struct {
+type workloadCheck struct {
 	key  string
 	ok   func(Workload) bool
 	text string
 }
 
-var workloadChecks = []check{
+var workloadChecks = []workloadCheck{
 	{"kind", func(w Workload) bool { return w.Kind == KindService || w.Kind == KindBatch }, `must be "service" or "batch"`},
 	{"team", func(w Workload) bool { return w.Team != "" }, "is required"},
 	{"instances", func(w Workload) bool { return (w.Kind == KindService) == (w.Instances > 0) }, "a service needs one or more, a batch workload none"},
@@ -53,22 +53,22 @@
 func (b *builder) checkWorkload(w Workload) {
 	for _, c := range workloadChecks {
 		if !c.ok(w) {
-			b.faultOnce(levelOf(w, c.key), c.key, c.text)
+			b.addFaultOnce(sourceFile(w, c.key), c.key, c.text)
 		}
 	}
 	if _, ok := b.root.Teams[w.Team]; w.Team != "" && !ok {
-		b.fault(w.File, "team", "the cell has no team "+w.Team)
+		b.addFault(w.File, "team", "the cell has no team "+w.Team)
 	}
 	b.checkPlace(w)
 	if b.tree.LargestWorker != (cell.Resources{}) && !w.Resources.Fits(b.tree.LargestWorker) {
-		b.fault(levelOf(w, "rules.resources"), "rules.resources",
+		b.addFault(sourceFile(w, "rules.resources"), "rules.resources",
 			fmt.Sprintf("%s: %s is larger than the largest worker (%s)", w.Name, w.Resources, b.tree.LargestWorker))
 	}
 }
 
 // sourceFile returns the file that sets the value of a key, or the workload's own file for a default.
-func levelOf(w Workload, key string) string {
-	if level, ok := w.From[key]; ok {
+func sourceFile(w Workload, key string) string {
+	if level, ok := w.SourceFiles[key]; ok {
 		return level
 	}
 	return w.File
@@ -82,7 +82,7 @@
 		}
 	}
 	if len(b.tree.Layout.Halls) > 0 {
-		b.fault(levelOf(w, "rules.place"), "rules.place", w.Name+": no hall satisfies "+w.Place.String())
+		b.addFault(sourceFile(w, "rules.place"), "rules.place", w.Name+": no hall satisfies "+w.Place.String())
 	}
 }
 
@@ -98,7 +98,7 @@
 	for _, team := range slices.Sorted(maps.Keys(used)) {
 		quota, limited := b.tree.Quotas[team]
 		if limited && !used[team].Fits(quota) {
-			b.fault(rootFile, "team."+team+".quota",
+			b.addFault(rootFile, "team."+team+".quota",
 				fmt.Sprintf("the services of team %s need %s, over its quota %s", team, used[team], quota))
 		}
 	}
--- a/pkg/settings/difference.go
+++ b/pkg/settings/difference.go
@@ -10,15 +10,15 @@
 
 // DocumentChange describes a file that differs between two sets of documents.
 type DocumentChange struct {
-	File string
-	What string // "added", "removed" or "changed"
+	File       string
+	ChangeType string // "added", "removed" or "changed"
 }
 
 // WorkloadChange describes a workload whose effective settings differ between two trees.
 type WorkloadChange struct {
-	Workload string
-	What     string   // "added", "removed" or "changed"
-	Details  []string // only if changed: "key: old -> new" for each key
+	Workload   string
+	ChangeType string   // "added", "removed" or "changed"
+	Details    []string // only if changed: "key: old -> new" for each key
 }
 
 // Difference is the set of changes between two sets of settings.
@@ -33,7 +33,7 @@
 	for _, file := range unionOfKeys(old, new) {
 		before, had := old[file]
 		after, has := new[file]
-		if kind := whatHappened(had, has, before == after); kind != "" {
+		if kind := changeType(had, has, before == after); kind != "" {
 			changes = append(changes, DocumentChange{file, kind})
 		}
 	}
@@ -47,7 +47,7 @@
 		before, had := old.Workloads[name]
 		after, has := new.Workloads[name]
 		details := compareWorkloads(before, after)
-		kind := whatHappened(had, has, len(details) == 0)
+		kind := changeType(had, has, len(details) == 0)
 		if kind == "" {
 			continue
 		}
@@ -69,7 +69,7 @@
 }
 
 // changeType returns "added", "removed" or "changed", or "" if nothing changed.
-func whatHappened(had, has, same bool) string {
+func changeType(had, has, same bool) string {
 	switch {
 	case !had && has:
 		return "added"
--- a/pkg/settings/directory.go
+++ b/pkg/settings/directory.go
@@ -26,10 +26,10 @@
 			return nil
 		case entry.Type()&fs.ModeSymlink != 0:
 			return errors.Newf("%s is a symbolic link; a settings directory must not contain any", path)
-		case !strings.HasSuffix(path, suffix):
+		case !strings.HasSuffix(path, fileSuffix):
 			return nil
 		}
-		return readInto(docs, dir, path)
+		return readDocument(docs, dir, path)
 	})
 	if err != nil {
 		return nil, errors.Wrapf(err, "read settings directory %s", dir)
@@ -38,7 +38,7 @@
 }
 
 // readDocument reads one file into docs, under its path relative to dir.
-func readInto(docs map[string]string, dir, path string) error {
+func readDocument(docs map[string]string, dir, path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
--- a/pkg/settings/document.go
+++ b/pkg/settings/document.go
@@ -4,9 +4,9 @@
 
 // Reserved file names, and the suffix of all files that are read.
 const (
-	rootFile  = "cell.toml"
-	groupFile = "group.toml"
-	suffix    = ".toml"
+	rootFile   = "cell.toml"
+	groupFile  = "group.toml"
+	fileSuffix = ".toml"
 )
 
 type cellDocument struct {
--- a/pkg/settings/place.go
+++ b/pkg/settings/place.go
@@ -64,7 +64,7 @@
 }
 
 // isHallWide reports whether the selector matches either all sites of a hall or none of them.
-func (s Selector) ofHall() bool {
+func (s Selector) isHallWide() bool {
 	return s.Kind == ByRegion || s.Kind == ByHall
 }
 
@@ -85,7 +85,7 @@
 // Allows reports whether a task may run at a site and, if not, which clause rejects the site.
 func (p Place) Allows(site Site) (bool, string) {
 	for _, c := range p.Clauses {
-		if reason := c.refusal(site, false); reason != "" {
+		if reason := c.rejection(site, false); reason != "" {
 			return false, reason
 		}
 	}
@@ -97,7 +97,7 @@
 func (p Place) AllowsHall(h cell.HallLayout) (bool, string) {
 	site := Site{Region: h.Region, Hall: h.Name}
 	for _, c := range p.Clauses {
-		if reason := c.refusal(site, true); reason != "" {
+		if reason := c.rejection(site, true); reason != "" {
 			return false, reason
 		}
 	}
@@ -106,9 +106,9 @@
 
 // rejection returns why the clause rejects a site, or "" if it doesn't. With hallOnly, the site is a
 // whole hall, and selectors by rack or label can't lead to a rejection.
-func (c Clause) refusal(site Site, hallOnly bool) string {
+func (c Clause) rejection(site Site, hallOnly bool) string {
 	for _, s := range c.Forbid {
-		if s.matches(site) && (s.ofHall() || !hallOnly) {
+		if s.matches(site) && (s.isHallWide() || !hallOnly) {
 			return fmt.Sprintf("%s forbids %s", c.Level, s)
 		}
 	}
@@ -116,7 +116,7 @@
 		return ""
 	}
 	for _, s := range c.Allow {
-		if s.matches(site) || (hallOnly && !s.ofHall()) {
+		if s.matches(site) || (hallOnly && !s.isHallWide()) {
 			return ""
 		}
 	}
@@ -125,7 +125,7 @@
 
 // withClause returns the place rule that applies after a lower level adds its clause: final clauses of
 // higher levels are kept, the others are replaced.
-func (p Place) below(c Clause) Place {
+func (p Place) withClause(c Clause) Place {
 	var kept []Clause
 	for _, upper := range p.Clauses {
 		if upper.Final {
--- a/pkg/settings/settings_test.go
+++ b/pkg/settings/settings_test.go
@@ -35,7 +35,7 @@
 memory_mb = 100
 `
 
-func TestRulesFlowDownAndTellTheirLevel(t *testing.T) {
+func TestRulesAreInheritedWithTheirSourceFile(t *testing.T) {
 	g := NewWithT(t)
 	tree, faults := Parse(map[string]string{
 		"cell.toml":    rootText,
@@ -46,13 +46,13 @@
 	w := tree.Workloads["x"]
 	g.Expect(w.Class).To(Equal(ClassService))
 	g.Expect(w.Queue).To(Equal(9))
-	g.Expect(w.From).To(HaveKeyWithValue("rules.class", "g/group.toml"))
-	g.Expect(w.From).To(HaveKeyWithValue("rules.queue", "g/x.toml"))
-	g.Expect(w.From).To(HaveKeyWithValue("rules.resources", "cell.toml"))
-	g.Expect(w.From).NotTo(HaveKey("rules.drain"))
+	g.Expect(w.SourceFiles).To(HaveKeyWithValue("rules.class", "g/group.toml"))
+	g.Expect(w.SourceFiles).To(HaveKeyWithValue("rules.queue", "g/x.toml"))
+	g.Expect(w.SourceFiles).To(HaveKeyWithValue("rules.resources", "cell.toml"))
+	g.Expect(w.SourceFiles).NotTo(HaveKey("rules.drain"))
 }
 
-func TestInstancesAreDividedOverHallsAndShards(t *testing.T) {
+func TestInstancesAreDistributedOverHallsAndShards(t *testing.T) {
 	g := NewWithT(t)
 	tree, faults := Parse(map[string]string{
 		"cell.toml": rootText,
@@ -60,7 +60,7 @@
 	})
 	g.Expect(faults).To(BeEmpty())
 	var got []string
-	for _, i := range InstancesOf(tree.Workloads["x"], tree.Layout) {
+	for _, i := range DistributeInstances(tree.Workloads["x"], tree.Layout) {
 		got = append(got, i.Task+" at "+i.Shard.String())
 	}
 	g.Expect(got).To(Equal([]string{
@@ -70,13 +70,13 @@
 
 // A workload must never be allowed in a hall that a final place rule of a higher level excludes, whatever
 // the lower levels declare.
-func TestNoLowerLevelWidensAFinalRule(t *testing.T) {
+func TestLowerLevelsCannotWidenAFinalPlaceRule(t *testing.T) {
 	selectors := []string{"region:r", "region:q", "hall:h1", "hall:h2", "hall:h3"}
 	rapid.Check(t, func(rt *rapid.T) {
 		pick := rapid.SliceOfNDistinct(rapid.SampledFrom(selectors), 0, 3, rapid.ID[string])
 		rule := func(label string, final bool) string {
 			return fmt.Sprintf("\n[rules.place]\nallow = %s\nforbid = %s\nfinal = %v\n",
-				list(pick.Draw(rt, label+" allow")), list(pick.Draw(rt, label+" forbid")), final)
+				tomlList(pick.Draw(rt, label+" allow")), tomlList(pick.Draw(rt, label+" forbid")), final)
 		}
 		upper := rule("root", true)
 		docs := map[string]string{
@@ -92,7 +92,7 @@
 		for _, h := range tree.Layout.Halls {
 			site := Site{Region: h.Region, Hall: h.Name}
 			allowed, _ := w.Place.Allows(site)
-			if allowed && w.Place.Clauses[0].refusal(site, false) != "" {
+			if allowed && w.Place.Clauses[0].rejection(site, false) != "" {
 				rt.Fatalf("hall %s is allowed although the final rule excludes it: %s", h.Name, w.Place)
 			}
 		}
@@ -100,7 +100,7 @@
 }
 
 // tomlList formats strings as a TOML array.
-func list(texts []string) string {
+func tomlList(texts []string) string {
 	quoted := make([]string, 0, len(texts))
 	for _, text := range texts {
 		quoted = append(quoted, strconv.Quote(text))
@@ -108,7 +108,7 @@
 	return "[" + strings.Join(quoted, ", ") + "]"
 }
 
-func TestLayoutOfARunningCellIsFixed(t *testing.T) {
+func TestLayoutOfARunningCellCannotChange(t *testing.T) {
 	g := NewWithT(t)
 	a := cell.Layout{Halls: []cell.HallLayout{{Name: "h", Shards: 1}}}
 	b := cell.Layout{Halls: []cell.HallLayout{{Name: "h", Shards: 2}}}
--- a/pkg/settings/tree.go
+++ b/pkg/settings/tree.go
@@ -55,7 +55,7 @@
 	faults []Fault
 }
 
-func (b *builder) fault(file, key, text string) {
+func (b *builder) addFault(file, key, text string) {
 	line := tomlfile.LineOf(b.docs[file], key)
 	b.faults = append(b.faults, Fault{File: file, Line: line, Key: key, Text: text})
 }
@@ -66,7 +66,7 @@
 	decoded := true
 	for _, p := range tomlfile.Decode(b.docs[file], target) {
 		b.faults = append(b.faults, Fault{File: file, Line: p.Line, Key: p.Key, Text: p.Text})
-		decoded = decoded && !p.Unread
+		decoded = decoded && !p.Fatal
 	}
 	return decoded
 }
@@ -93,19 +93,19 @@
 
 func (b *builder) readHalls() {
 	if len(b.root.Halls) == 0 {
-		b.fault(rootFile, "hall", "a cell needs at least one hall")
+		b.addFault(rootFile, "hall", "a cell needs at least one hall")
 	}
 	seen := map[string]bool{}
 	for _, h := range b.root.Halls {
 		switch {
 		case h.Name == "" || strings.Contains(h.Name, "/"):
-			b.fault(rootFile, "hall", "a hall needs a name without a slash")
+			b.addFault(rootFile, "hall", "a hall needs a name without a slash")
 		case seen[h.Name]:
-			b.fault(rootFile, "hall", "two halls are named "+h.Name)
+			b.addFault(rootFile, "hall", "two halls are named "+h.Name)
 		case h.Region == "":
-			b.fault(rootFile, "hall", "hall "+h.Name+" needs a region")
+			b.addFault(rootFile, "hall", "hall "+h.Name+" needs a region")
 		case h.Shards < 0:
-			b.fault(rootFile, "hall", "hall "+h.Name+": shards is below 1")
+			b.addFault(rootFile, "hall", "hall "+h.Name+": shards is below 1")
 		}
 		seen[h.Name] = true
 		b.tree.Layout.Halls = append(b.tree.Layout.Halls,
@@ -114,7 +114,7 @@
 }
 
 func (b *builder) readGroups() {
-	for _, file := range b.files() {
+	for _, file := range b.sortedFiles() {
 		if path.Base(file) != groupFile {
 			continue
 		}
@@ -126,7 +126,7 @@
 }
 
 func (b *builder) readWorkloads() {
-	for _, file := range b.files() {
+	for _, file := range b.sortedFiles() {
 		if file == rootFile || path.Base(file) == groupFile {
 			continue
 		}
@@ -141,16 +141,16 @@
 	}
 	w := b.newWorkload(file, doc)
 	if other, ok := b.tree.Workloads[w.Name]; ok {
-		b.fault(file, "name", "the workload "+w.Name+" is claimed by "+other.File+" too")
+		b.addFault(file, "name", "the workload "+w.Name+" is claimed by "+other.File+" too")
 		return
 	}
-	b.inherit(&w, rootFile, b.root.Rules)
+	b.applyRules(&w, rootFile, b.root.Rules)
 	for _, dir := range ancestors(path.Dir(file)) {
 		if group, ok := b.groups[dir]; ok {
-			b.inherit(&w, path.Join(dir, groupFile), group.Rules)
+			b.applyRules(&w, path.Join(dir, groupFile), group.Rules)
 		}
 	}
-	b.inherit(&w, file, doc.Rules)
+	b.applyRules(&w, file, doc.Rules)
 	b.checkWorkload(w)
 	b.tree.Workloads[w.Name] = w
 }
@@ -162,13 +162,13 @@
 		Policy: PolicySpread, Class: ClassService,
 		Repeatable: true, Window: DefaultWindow, TimeLimit: DefaultTimeLimit, Drain: DefaultDrain,
 		MaxBody: DefaultMaxBodyKB << 10, Queue: DefaultQueue,
-		From: map[string]string{},
+		SourceFiles: map[string]string{},
 	}
 	if w.Kind == KindBatch {
 		w.Policy, w.Class = PolicyPack, ClassBatch
 	}
 	if w.Name == "" {
-		w.Name = strings.TrimSuffix(path.Base(file), suffix)
+		w.Name = strings.TrimSuffix(path.Base(file), fileSuffix)
 	}
 	if w.Slots == 0 {
 		w.Slots = DefaultSlots
@@ -179,7 +179,7 @@
 	return w
 }
 
-func (b *builder) files() []string {
+func (b *builder) sortedFiles() []string {
 	return slices.Sorted(maps.Keys(b.docs))
 }
 
--- a/pkg/settings/workload.go
+++ b/pkg/settings/workload.go
@@ -86,7 +86,7 @@
 	Resources  cell.Resources
 
 	// SourceFiles maps each key to the file that sets its value. Keys with a default value are absent.
-	From map[string]string
+	SourceFiles map[string]string
 }
 
 // Instance is a task of a service and the shard that runs it.
@@ -98,7 +98,7 @@
 // DistributeInstances assigns the instances of a service round-robin to the halls where it may run, and
 // within a hall round-robin to its shards. The result depends on the settings only, so owners compute
 // the same assignment without coordination.
-func InstancesOf(w Workload, layout cell.Layout) []Instance {
+func DistributeInstances(w Workload, layout cell.Layout) []Instance {
 	var halls []cell.HallLayout
 	for _, h := range layout.Halls {
 		if ok, _ := w.Place.AllowsHall(h); ok {
--- a/pkg/shard/batch.go
+++ b/pkg/shard/batch.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	submitTimeout   = 5 * time.Second
-	storeDownRetry  = 2 * time.Second
-	recoverAttempts = 6 // number of failed reads after which the pause no longer grows
+	submitTimeout       = 5 * time.Second
+	storeDownRetryAfter = 2 * time.Second
+	maxPauseAttempt     = 6 // number of failed reads after which the pause no longer grows
 )
 
 // Submission is a batch request as a caller submits it.
@@ -30,14 +30,14 @@
 // repeat with the same key returns the record of the existing request.
 func (e *Engine) SubmitBatch(ctx context.Context, s Submission) (batch.Record, error) {
 	if !e.authorized() || e.stopped.Load() {
-		return batch.Record{}, result.New(result.NoOwner, "no authority over %s", e.cfg.Shard).WithRetryAfter(noOwnerRetry)
+		return batch.Record{}, result.New(result.NoOwner, "no authority over %s", e.cfg.Shard).WithRetryAfter(refusalRetryAfter)
 	}
 	request, known, err := e.admitBatch(s)
 	if err != nil || known.ID != "" {
 		return known, err
 	}
-	if !e.deps.StoreUp() {
-		return batch.Record{}, submitError(store.ErrDown)
+	if !e.deps.StoreAvailable() {
+		return batch.Record{}, submitError(store.ErrUnavailable)
 	}
 	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
@@ -46,7 +46,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	record, _ := e.book.Get(request.ID)
+	record, _ := e.batches.Get(request.ID)
 	return record, nil
 }
 
@@ -55,8 +55,8 @@
 func (e *Engine) admitBatch(s Submission) (batch.Request, batch.Record, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.tree == nil || !e.recovery.batchesIn {
-		return batch.Request{}, batch.Record{}, result.New(result.NotReady, "the owner has not read the batch requests yet").WithRetryAfter(noOwnerRetry)
+	if e.tree == nil || !e.recovery.batchesLoaded {
+		return batch.Request{}, batch.Record{}, result.New(result.NotReady, "the owner has not read the batch requests yet").WithRetryAfter(refusalRetryAfter)
 	}
 	w, ok := e.tree.Workloads[s.Workload]
 	switch {
@@ -68,7 +68,7 @@
 		return batch.Request{}, batch.Record{}, result.New(result.BodyTooLarge, "the payload is over %d bytes", w.MaxBody)
 	}
 	id := batch.NewID(e.cfg.Shard, s.Caller, s.Key)
-	if known, ok := e.book.Get(id); ok {
+	if known, ok := e.batches.Get(id); ok {
 		if known.Payload != s.Payload || known.Workload != s.Workload {
 			return batch.Request{}, batch.Record{}, result.New(result.KeyReused, "the key stands for another request")
 		}
@@ -84,25 +84,25 @@
 func submitError(err error) error {
 	if errors.Is(err, store.ErrUnsettled) {
 		return result.New(result.InProgress, "the store did not say whether the request is kept; submit it again with the same key").
-			WithRetryAfter(storeDownRetry)
+			WithRetryAfter(storeDownRetryAfter)
 	}
 	if errors.Is(err, store.ErrTooLarge) {
 		return result.New(result.BodyTooLarge, "the request does not fit into the store")
 	}
-	return result.New(result.StoreDown, "%s", result.StoreDown.Row().Text).WithRetryAfter(storeDownRetry)
+	return result.New(result.StoreDown, "%s", result.StoreDown.Info().Text).WithRetryAfter(storeDownRetryAfter)
 }
 
 // acceptBatch queues a stored request for placement. Two copies of one request may have
 // been stored at the same time; the second has no effect. The caller holds the engine's
 // lock.
 func (e *Engine) acceptBatch(r batch.Request) {
-	if _, ok := e.book.Get(r.ID); ok {
+	if _, ok := e.batches.Get(r.ID); ok {
 		return
 	}
-	e.book.Apply(batch.Entry{Submitted: &r})
-	record, _ := e.book.Get(r.ID)
+	e.batches.Apply(batch.Entry{Submitted: &r})
+	record, _ := e.batches.Get(r.ID)
 	if w, ok := e.tree.Workloads[r.Workload]; ok {
-		e.placer.Submit(e.batchTaskOf(record, w), e.now())
+		e.placer.Submit(e.newBatchTask(record, w), e.now())
 		e.wake()
 	}
 	e.log("batch_kept", logrus.Fields{"batch": r.ID, "caller": r.Caller, "workload": r.Workload})
@@ -111,34 +111,34 @@
 // storeBatchEnd stores the end of a request, and then has its worker, if w is not nil,
 // discard the result. Until the end is stored the worker keeps the result, so that a new
 // owner would find it there.
-func (e *Engine) endBatch(end batch.End, w *workerDuty) {
-	if e.ending[end.ID] {
+func (e *Engine) storeBatchEnd(end batch.End, w *workerController) {
+	if e.storingEnd[end.ID] {
 		return
 	}
-	e.ending[end.ID] = true
+	e.storingEnd[end.ID] = true
 	end.At = e.deps.Clock.Wall().UTC()
 	ctx := e.runCtx
-	e.duties.Go(func() {
+	e.goroutines.Go(func() {
 		err := e.journal.Append(ctx, batch.Entry{Ended: &end})
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		delete(e.ending, end.ID)
+		delete(e.storingEnd, end.ID)
 		if err != nil {
 			e.log("batch_end_not_stored", logrus.Fields{"batch": end.ID, "error": err})
 			return // the worker reports it again
 		}
-		e.concludeBatch(end, w)
+		e.applyBatchEnd(end, w)
 	})
 }
 
 // applyBatchEnd applies the stored end of a request to the engine's state. The caller holds
 // the engine's lock.
-func (e *Engine) concludeBatch(end batch.End, w *workerDuty) {
-	e.book.Apply(batch.Entry{Ended: &end})
+func (e *Engine) applyBatchEnd(end batch.End, w *workerController) {
+	e.batches.Apply(batch.Entry{Ended: &end})
 	e.placer.End(string(end.ID))
 	if w != nil {
-		w.drop(string(end.ID))
-		w.forget[string(end.ID)] = true
+		w.removeTask(string(end.ID))
+		w.pendingForgets[string(end.ID)] = true
 		w.wake()
 	}
 	e.log("batch_ended", logrus.Fields{"batch": end.ID, "state": end.State, "worker": end.Worker})
@@ -150,23 +150,23 @@
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		segments, err := e.deps.LoadBatches(ctx)
 		if err == nil {
-			e.takeBatches(segments)
+			e.applyLoadedSegments(segments)
 			return
 		}
-		_ = store.Pause(ctx, min(attempt, recoverAttempts))
+		_ = store.Backoff(ctx, min(attempt, maxPauseAttempt))
 	}
 }
 
-func (e *Engine) takeBatches(segments []batch.Segment) {
+func (e *Engine) applyLoadedSegments(segments []batch.Segment) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, segment := range segments {
 		e.segments.Add(segment)
 		for _, entry := range segment.Entries {
-			e.book.Apply(entry)
+			e.batches.Apply(entry)
 		}
 	}
-	e.recovery.batchesIn = true
+	e.recovery.batchesLoaded = true
 	for _, w := range e.workers {
 		w.wake()
 	}
@@ -177,10 +177,10 @@
 func (e *Engine) ReadBatch(caller string, id batch.ID) (batch.Record, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	r, ok := e.book.Get(id)
+	r, ok := e.batches.Get(id)
 	switch {
-	case !ok && !e.recovery.batchesIn:
-		return batch.Record{}, result.New(result.NotReady, "the owner has not read the batch requests yet").WithRetryAfter(noOwnerRetry)
+	case !ok && !e.recovery.batchesLoaded:
+		return batch.Record{}, result.New(result.NotReady, "the owner has not read the batch requests yet").WithRetryAfter(refusalRetryAfter)
 	case !ok:
 		return batch.Record{}, result.New(result.UnknownBatch, "no batch request %s", id)
 	case r.Caller != caller:
--- a/pkg/shard/call.go
+++ b/pkg/shard/call.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	expireEvery = 20 * time.Millisecond
+	expiryInterval = 20 * time.Millisecond
 	// refusalRetryAfter is the retry time that callers are told when a request is refused
 	// for a temporary reason, such as a missing owner, missing settings or a failed send.
-	noOwnerRetry = 500 * time.Millisecond
+	refusalRetryAfter = 500 * time.Millisecond
 	// maxResends is how often one call is sent again at most, whether it did not run or
 	// ran and failed.
-	resendMost = 3
+	maxResends = 3
 )
 
 // Call is a caller's request to a service.
@@ -47,13 +47,13 @@
 }
 
 // pendingCall is the state of a call that has no final answer yet.
-type ticket struct {
-	call     Call
-	workload settings.Workload
-	key      string // the key that is sent to the endpoint
-	request  routing.Request
-	decided  chan routing.Decision // of size 1
-	retries  int                   // further runs after a run that failed
+type pendingCall struct {
+	call        Call
+	workload    settings.Workload
+	endpointKey string // the key that is sent to the endpoint
+	request     routing.Request
+	decision    chan routing.Decision // of size 1
+	retries     int                   // further runs after a run that failed
 }
 
 func refusal(code result.Code, message string, retryAfter time.Duration) Answer {
@@ -64,26 +64,26 @@
 // was sent can't be taken back, and its answer is kept for a repeat with the same key.
 func (e *Engine) Call(ctx context.Context, c Call) Answer {
 	if !e.authorized() || e.stopped.Load() {
-		return refusal(result.NoOwner, "this process has no authority over "+e.cfg.Shard.String(), noOwnerRetry)
+		return refusal(result.NoOwner, "this process has no authority over "+e.cfg.Shard.String(), refusalRetryAfter)
 	}
 	p, refused := e.admit(c)
 	if refused != nil {
 		return *refused
 	}
-	answer := e.runHereOrElsewhere(p)
-	e.remember(p, answer)
+	answer := e.runOrDelegate(p)
+	e.recordAnswer(p, answer)
 	return answer
 }
 
 // runOrDelegate runs a request in this shard or, when the shard has no endpoint for the
 // service, has another shard run it. Only a request with a key is delegated, and only once;
 // its home shard keeps the answer.
-func (e *Engine) runHereOrElsewhere(p *ticket) Answer {
+func (e *Engine) runOrDelegate(p *pendingCall) Answer {
 	if p.call.Delegated || p.call.Key == "" || e.hasEndpoints(p.call.Service) {
-		return e.serve(p)
+		return e.sendWithRetries(p)
 	}
 	if !e.authorized() {
-		return refusal(result.NoOwner, result.NoOwner.Row().Text, noOwnerRetry)
+		return refusal(result.NoOwner, result.NoOwner.Info().Text, refusalRetryAfter)
 	}
 	c := p.call
 	c.Delegated = true
@@ -98,39 +98,39 @@
 
 // admit validates a call and looks its key up in the key table. It returns the call to run,
 // or the answer when the call must not run.
-func (e *Engine) admit(c Call) (*ticket, *Answer) {
+func (e *Engine) admit(c Call) (*pendingCall, *Answer) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	w, refused := e.lookUp(c)
+	w, refused := e.lookUpService(c)
 	if refused != nil {
 		return nil, refused
 	}
-	e.retries.earn()
+	e.retries.deposit()
 	c.NotRepeatable = c.NotRepeatable || !w.Repeatable
-	p := &ticket{call: c, workload: w, key: c.Caller + "/" + c.Key, decided: make(chan routing.Decision, 1)}
+	p := &pendingCall{call: c, workload: w, endpointKey: c.Caller + "/" + c.Key, decision: make(chan routing.Decision, 1)}
 	if c.Key == "" {
-		p.key = "once/" + uuid.NewString()
+		p.endpointKey = "once/" + uuid.NewString()
 		return p, nil
 	}
 	if c.Delegated {
 		return p, nil
 	}
-	request := keys.Use{
+	request := keys.Request{
 		Key:    keys.Key{Caller: c.Caller, Text: c.Key},
 		Digest: xxhash.Sum64String(c.Service) ^ xxhash.Sum64(c.Body), IssuedAt: c.IssuedAt,
 		NotRepeatable: c.NotRepeatable, TimeLimit: w.TimeLimit,
 	}
-	v := e.memory.Begin(request, e.deps.Clock.Wall())
+	v := e.keyTable.Begin(request, e.deps.Clock.Wall())
 	if v.Kind == keys.Fresh {
 		return p, nil
 	}
-	a := answerOf(v)
+	a := verdictAnswer(v)
 	return nil, &a
 }
 
-func (e *Engine) lookUp(c Call) (settings.Workload, *Answer) {
+func (e *Engine) lookUpService(c Call) (settings.Workload, *Answer) {
 	if e.tree == nil {
-		a := refusal(result.NotReady, "no settings in force", noOwnerRetry)
+		a := refusal(result.NotReady, "no settings in force", refusalRetryAfter)
 		return settings.Workload{}, &a
 	}
 	w, ok := e.tree.Workloads[c.Service]
@@ -157,36 +157,36 @@
 	keys.Full:           result.Overloaded,
 }
 
-func answerOf(v keys.Verdict) Answer {
+func verdictAnswer(v keys.Verdict) Answer {
 	if v.Kind == keys.Answered {
 		return Answer{Answer: v.Answer}
 	}
 	code := verdictCodes[v.Kind]
-	return refusal(code, code.Row().Text, v.RetryAfter)
+	return refusal(code, code.Info().Text, v.RetryAfter)
 }
 
 // recordAnswer keeps the answer for repeats, or frees the key when the request did not run.
-func (e *Engine) remember(p *ticket, a Answer) {
+func (e *Engine) recordAnswer(p *pendingCall, a Answer) {
 	if p.call.Key == "" || p.call.Delegated {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	key := keys.Key{Caller: p.call.Caller, Text: p.call.Key}
-	if a.Code.Row().Ran == result.RanNo {
-		e.memory.Forget(key)
+	if a.Code.Info().Ran == result.RanNo {
+		e.keyTable.Abort(key)
 		return
 	}
-	e.memory.Finish(key, a.Answer)
+	e.keyTable.Finish(key, a.Answer)
 }
 
 // sendWithRetries sends the request. It sends it again when the request certainly did not
 // run, or when it ran and failed and may be repeated, within the retry budget.
-func (e *Engine) serve(p *ticket) Answer {
+func (e *Engine) sendWithRetries(p *pendingCall) Answer {
 	var a Answer
-	for range resendMost + 1 {
+	for range maxResends + 1 {
 		var retry bool
-		if a, retry = e.try(p); !retry || !e.mayResend() {
+		if a, retry = e.attempt(p); !retry || !e.takeRetry() {
 			return a
 		}
 	}
@@ -194,23 +194,23 @@
 }
 
 // takeRetry takes one retry from the budget and says whether there was one.
-func (e *Engine) mayResend() bool {
+func (e *Engine) takeRetry() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.retries.take()
+	return e.retries.withdraw()
 }
 
 // attempt waits until an endpoint has a free slot and sends the request to it. retry says
 // whether the request may be sent again.
-func (e *Engine) try(p *ticket) (a Answer, retry bool) {
+func (e *Engine) attempt(p *pendingCall) (a Answer, retry bool) {
 	p.request = routing.Request{
 		Service: p.call.Service, Caller: p.call.Caller, Class: p.call.Class,
 		Deadline: p.call.Deadline, Tag: p,
 	}
 	e.mu.Lock()
-	e.decide(e.router.Arrive(&p.request, e.now()))
+	e.deliver(e.router.Route(&p.request, e.now()))
 	e.mu.Unlock()
-	d := <-p.decided
+	d := <-p.decision
 	e.logRoute(p, d)
 	if d.Kind != routing.Send {
 		return routeRefusal(d), false
@@ -220,9 +220,9 @@
 
 // deliver passes a routing decision to the call that waits for it. The caller holds the
 // engine's lock.
-func (e *Engine) decide(d routing.Decision) {
+func (e *Engine) deliver(d routing.Decision) {
 	if d.Evicted != nil {
-		e.decide(routing.Decision{Kind: routing.QueueFull, Request: d.Evicted, RetryAfter: d.RetryAfter})
+		e.deliver(routing.Decision{Kind: routing.QueueFull, Request: d.Evicted, RetryAfter: d.RetryAfter})
 	}
 	if d.Kind == routing.Queued {
 		if e.stopped.Load() {
@@ -235,16 +235,16 @@
 	if d.Kind == routing.Send {
 		e.inFlight++
 	}
-	d.Request.Tag.(*ticket).decided <- d
+	d.Request.Tag.(*pendingCall).decision <- d
 }
 
-func (e *Engine) decideAll(decisions []routing.Decision) {
+func (e *Engine) deliverAll(decisions []routing.Decision) {
 	for _, d := range decisions {
-		e.decide(d)
+		e.deliver(d)
 	}
 }
 
-var routeCodes = map[routing.Kind]result.Code{
+var routeCodes = map[routing.DecisionKind]result.Code{
 	routing.QueueFull: result.Overloaded,
 	routing.Expired:   result.Expired,
 	routing.NoService: result.UnknownService,
@@ -254,35 +254,35 @@
 
 func routeRefusal(d routing.Decision) Answer {
 	code := routeCodes[d.Kind]
-	return refusal(code, code.Row().Text, d.RetryAfter)
+	return refusal(code, code.Info().Text, d.RetryAfter)
 }
 
 // send calls the endpoint and waits for its answer, even when the caller no longer waits,
 // since a request that was sent can't be taken back.
-func (e *Engine) send(p *ticket, to *routing.Endpoint) (a Answer, retry bool) {
+func (e *Engine) send(p *pendingCall, to *routing.Endpoint) (a Answer, retry bool) {
 	e.mu.Lock()
 	state, ok := e.endpoints[to.ID]
 	e.mu.Unlock()
 	if !ok {
 		e.release(to, routing.Unreached, 0)
-		return refusal(result.SendFailed, "the endpoint has gone", noOwnerRetry), true
+		return refusal(result.SendFailed, "the endpoint has gone", refusalRetryAfter), true
 	}
 	began := e.now()
 	limit := min(p.call.Deadline.Sub(began), p.workload.TimeLimit)
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	got := e.deps.Endpoints.Call(ctx, state.address, endpoint.Request{
-		Key: p.key, Shard: e.cfg.Shard, Epoch: e.cfg.Epoch,
+		Key: p.endpointKey, Shard: e.cfg.Shard, Epoch: e.cfg.Epoch,
 		NotRepeatable: p.call.NotRepeatable, Body: p.call.Body, Authorized: e.authorized,
 	})
 	took := e.now().Sub(began)
-	e.release(to, e.outcomeOf(got), took)
+	e.release(to, e.routingOutcome(got), took)
 	e.logAnswer(p, to, got, took)
-	return e.conclude(p, to, got)
+	return e.attemptResult(p, to, got)
 }
 
 // routingOutcome converts the endpoint's answer to the outcome that the router counts.
-func (e *Engine) outcomeOf(got endpoint.Answer) routing.Outcome {
+func (e *Engine) routingOutcome(got endpoint.Answer) routing.Outcome {
 	switch got.Outcome {
 	case endpoint.Done:
 		return routing.Served
@@ -290,8 +290,8 @@
 		return routing.Failed
 	case endpoint.Leaving:
 		return routing.Refused
-	case endpoint.Lost:
-		return routing.Lost
+	case endpoint.NoAnswer:
+		return routing.NoAnswer
 	}
 	if errors.Is(got.Err, endpoint.ErrNoAuthority) {
 		return routing.Unsent
@@ -304,15 +304,15 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.inFlight--
-	if state, ok := e.endpoints[to.ID]; ok && outcome == routing.Lost {
-		state.doubtSince = e.now()
+	if state, ok := e.endpoints[to.ID]; ok && outcome == routing.NoAnswer {
+		state.foreignSince = e.now()
 	}
-	e.decideAll(e.router.Release(to, outcome, took, e.now()))
+	e.deliverAll(e.router.Release(to, outcome, took, e.now()))
 }
 
 // attemptResult converts the endpoint's answer to the answer of the call; retry says
 // whether the request may be sent again instead.
-func (e *Engine) conclude(p *ticket, to *routing.Endpoint, got endpoint.Answer) (a Answer, retry bool) {
+func (e *Engine) attemptResult(p *pendingCall, to *routing.Endpoint, got endpoint.Answer) (a Answer, retry bool) {
 	a.Endpoint = to.ID
 	switch got.Outcome {
 	case endpoint.Done:
@@ -320,20 +320,20 @@
 		return a, false
 	case endpoint.Failed:
 		a.Code, a.Message = result.EndpointFailed, got.Err.Error()
-		return a, e.mayRetry(p)
-	case endpoint.Lost:
+		return a, e.mayRunAgain(p)
+	case endpoint.NoAnswer:
 		a.Code, a.Message = result.AnswerLost, got.Err.Error()
 		return a, false
 	}
 	if !e.authorized() {
-		return refusal(result.NoOwner, result.NoOwner.Row().Text, noOwnerRetry), false
+		return refusal(result.NoOwner, result.NoOwner.Info().Text, refusalRetryAfter), false
 	}
-	return refusal(result.SendFailed, got.Err.Error(), noOwnerRetry), true
+	return refusal(result.SendFailed, got.Err.Error(), refusalRetryAfter), true
 }
 
 // mayRunAgain says whether a request that ran and failed may run once more, and counts the
 // retry.
-func (e *Engine) mayRetry(p *ticket) bool {
+func (e *Engine) mayRunAgain(p *pendingCall) bool {
 	if p.call.NotRepeatable || p.retries >= p.workload.Retries {
 		return false
 	}
@@ -343,12 +343,12 @@
 
 // runExpiry periodically refuses requests whose deadline has passed, and sends those for
 // which an endpoint has become available.
-func (e *Engine) expire(ctx context.Context) {
-	clock.Every(ctx, expireEvery, func() {
+func (e *Engine) runExpiry(ctx context.Context) {
+	clock.Every(ctx, expiryInterval, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.decideAll(e.router.Expire(e.now()))
-		e.decideAll(e.router.PullAll(e.now()))
+		e.deliverAll(e.router.Expire(e.now()))
+		e.deliverAll(e.router.DispatchAll(e.now()))
 	})
 }
 
@@ -360,15 +360,15 @@
 }
 
 func (e *Engine) refuseWaitingLocked() {
-	for _, request := range e.router.Drain() {
-		e.decide(routing.Decision{Kind: routing.Stopped, Request: request, RetryAfter: noOwnerRetry})
+	for _, request := range e.router.RemoveQueued() {
+		e.deliver(routing.Decision{Kind: routing.Stopped, Request: request, RetryAfter: refusalRetryAfter})
 	}
 }
 
-func (e *Engine) logRoute(p *ticket, d routing.Decision) {
+func (e *Engine) logRoute(p *pendingCall, d routing.Decision) {
 	fields := logrus.Fields{
-		"service": p.call.Service, "caller": p.call.Caller, "key": p.key,
-		"decision": d.Kind, "waited_ms": e.now().Sub(p.request.Arrived()).Milliseconds(),
+		"service": p.call.Service, "caller": p.call.Caller, "key": p.endpointKey,
+		"decision": d.Kind, "waited_ms": e.now().Sub(p.request.ArrivedAt()).Milliseconds(),
 	}
 	if d.Endpoint != nil {
 		fields["endpoint"] = d.Endpoint.ID
@@ -376,12 +376,12 @@
 	e.deps.Log.WithFields(fields).Info("route")
 }
 
-func (e *Engine) logAnswer(p *ticket, to *routing.Endpoint, got endpoint.Answer, took time.Duration) {
+func (e *Engine) logAnswer(p *pendingCall, to *routing.Endpoint, got endpoint.Answer, took time.Duration) {
 	if got.Outcome == endpoint.Done {
 		return
 	}
 	e.deps.Log.WithFields(logrus.Fields{
-		"service": p.call.Service, "key": p.key, "endpoint": to.ID,
+		"service": p.call.Service, "key": p.endpointKey, "endpoint": to.ID,
 		"outcome": got.Outcome, "took_ms": took.Milliseconds(), "error": got.Err,
 	}).Warn("call_failed")
 }
--- a/pkg/shard/engine.go
+++ b/pkg/shard/engine.go
@@ -30,7 +30,7 @@
 	ReportEvery time.Duration
 	// MaxTransitTime is the longest time for which something that the previous owner sent may
 	// still be in transit.
-	DispatchFlight time.Duration
+	MaxTransitTime time.Duration
 	// JournalInterval is the shortest time between two writes of the journal.
 	JournalInterval time.Duration
 	Keys            keys.Config
@@ -38,7 +38,7 @@
 
 // clockMargin is added to leases and time limits because clocks on different hosts run at
 // slightly different rates.
-const margin = 250 * time.Millisecond
+const clockMargin = 250 * time.Millisecond
 
 // Deps are the dependencies of an engine.
 type Deps struct {
@@ -50,8 +50,8 @@
 	Authority func() (cell.Epoch, clock.Time, bool)
 	// LoadBatches reads all batch segments of the shard from the store.
 	LoadBatches func(ctx context.Context) ([]batch.Segment, error)
-	// StoreUp says whether the store has answered recently.
-	StoreUp func() bool
+	// StoreAvailable says whether the store has answered recently.
+	StoreAvailable func() bool
 	// PutSegment writes a batch segment to the store.
 	PutSegment func(ctx context.Context, key, value string) (revision int64, err error)
 	// RemoveSegment removes a batch segment from the store if it still has the given revision.
@@ -63,60 +63,60 @@
 
 // Engine is the owner of one shard during one epoch. It is safe for concurrent use.
 type Engine struct {
-	cfg     Config
-	deps    Deps
-	journal *batch.Journal
-	kick    chan struct{} // wakes the placement goroutine
-	stopped atomic.Bool
-
-	mu        sync.Mutex
-	router    *routing.Router
-	placer    *placement.Placer
-	memory    *keys.Memory
-	book      *batch.Book
-	segments  *batch.Segments
-	tree      *settings.Tree
-	desired   map[string]settings.Workload // service tasks of this shard, by id
-	workers   map[string]*workerDuty
-	endpoints map[string]*endpointState
-	ending    map[batch.ID]bool // requests whose end is being stored
-	began     clock.Time
-	recovery  recoveryState
-	retries   retryBudget
-	duties    sync.WaitGroup
-	runCtx    context.Context
-	inFlight  int
+	cfg           Config
+	deps          Deps
+	journal       *batch.Journal
+	wakePlacement chan struct{} // wakes the placement goroutine
+	stopped       atomic.Bool
+
+	mu         sync.Mutex
+	router     *routing.Router
+	placer     *placement.Placer
+	keyTable   *keys.Table
+	batches    *batch.RequestTable
+	segments   *batch.SegmentIndex
+	tree       *settings.Tree
+	desired    map[string]settings.Workload // service tasks of this shard, by id
+	workers    map[string]*workerController
+	endpoints  map[string]*endpointState
+	storingEnd map[batch.ID]bool // requests whose end is being stored
+	startedAt  clock.Time
+	recovery   recoveryState
+	retries    retryBudget
+	goroutines sync.WaitGroup
+	runCtx     context.Context
+	inFlight   int
 }
 
 // recoveryState tells how much a new owner has learned of the state that the previous
 // owner left behind.
 type recoveryState struct {
-	inherited  bool // the shard had an owner before
-	hostsKnown bool // the platform's host list was received
-	batchesIn  bool // the batch requests were read from the store
-	// settled says that recovery is complete: hosts and batch requests are known, and all
+	inherited     bool // the shard had an owner before
+	hostsKnown    bool // the platform's host list was received
+	batchesLoaded bool // the batch requests were read from the store
+	// complete says that recovery is complete: hosts and batch requests are known, and all
 	// workers have reported or the leases that the previous owner gave them have expired.
-	settled bool
+	complete bool
 }
 
 // New returns an engine. Run starts its goroutines; they end with ctx. In the first epoch
 // of a shard there is no previous owner, so nothing has to be recovered from one.
 func New(ctx context.Context, cfg Config, deps Deps) *Engine {
 	e := &Engine{
-		runCtx: ctx, cfg: cfg, deps: deps, kick: make(chan struct{}, 1),
-		router: routing.New(), placer: placement.New(placement.DefaultConfig), book: batch.NewBook(),
-		desired: map[string]settings.Workload{}, workers: map[string]*workerDuty{},
-		endpoints: map[string]*endpointState{}, ending: map[batch.ID]bool{}, began: deps.Clock.Now(),
-		retries: newRetryBudget(), segments: batch.NewSegments(),
+		runCtx: ctx, cfg: cfg, deps: deps, wakePlacement: make(chan struct{}, 1),
+		router: routing.New(), placer: placement.New(placement.DefaultConfig), batches: batch.NewRequestTable(),
+		desired: map[string]settings.Workload{}, workers: map[string]*workerController{},
+		endpoints: map[string]*endpointState{}, storingEnd: map[batch.ID]bool{}, startedAt: deps.Clock.Now(),
+		retries: newRetryBudget(), segments: batch.NewSegmentIndex(),
 	}
 	e.recovery.inherited = cfg.Epoch > 1
 	takeoverTime := time.Time{}
 	if e.recovery.inherited {
 		takeoverTime = deps.Clock.Wall()
 	}
-	e.memory = keys.New(cfg.Keys, takeoverTime)
+	e.keyTable = keys.New(cfg.Keys, takeoverTime)
 	e.journal = batch.NewJournal(cfg.Shard, cfg.JournalInterval, batch.JournalDeps{
-		Put: deps.PutSegment, Authorized: e.authorized, Stored: e.segmentStored,
+		Put: deps.PutSegment, Authorized: e.authorized, Stored: e.handleStoredSegment,
 	})
 	return e
 }
@@ -126,16 +126,16 @@
 // sent finish in the goroutines of their callers.
 func (e *Engine) Run() {
 	ctx := e.runCtx
-	e.duties.Go(func() { e.journal.Run(ctx) })
-	e.duties.Go(func() { e.expire(ctx) })
-	e.duties.Go(func() { e.place(ctx) })
-	e.duties.Go(func() { e.watchHealth(ctx) })
-	e.duties.Go(func() { e.recoverBatches(ctx) })
-	e.duties.Go(func() { e.removeSegments(ctx) })
+	e.goroutines.Go(func() { e.journal.Run(ctx) })
+	e.goroutines.Go(func() { e.runExpiry(ctx) })
+	e.goroutines.Go(func() { e.runPlacement(ctx) })
+	e.goroutines.Go(func() { e.runHealthChecks(ctx) })
+	e.goroutines.Go(func() { e.recoverBatches(ctx) })
+	e.goroutines.Go(func() { e.runSegmentRemoval(ctx) })
 	<-ctx.Done()
 	e.stopped.Store(true)
 	e.refuseWaiting()
-	e.duties.Wait()
+	e.goroutines.Wait()
 }
 
 // authorized says whether this process still owns the shard in the engine's epoch. It is
@@ -151,15 +151,15 @@
 	defer e.mu.Unlock()
 	old := e.tree
 	e.tree = tree
-	e.putServices(old)
-	e.putQuotas()
-	e.putInstances()
+	e.updateServices(old)
+	e.updateQuotas()
+	e.updateInstances()
 	e.wake()
 }
 
 // updateServices passes the services of the new settings to the router, and refuses the
 // waiting requests of services that old contains and the new settings do not.
-func (e *Engine) putServices(old *settings.Tree) {
+func (e *Engine) updateServices(old *settings.Tree) {
 	for _, w := range e.tree.Sorted() {
 		if w.Kind == settings.KindService {
 			e.router.PutService(w.Name, routing.Service{QueueLimit: w.Queue})
@@ -173,14 +173,14 @@
 			continue
 		}
 		for _, request := range e.router.RemoveService(name) {
-			e.decide(routing.Decision{Kind: routing.NoService, Request: request})
+			e.deliver(routing.Decision{Kind: routing.NoService, Request: request})
 		}
 	}
 }
 
 // updateQuotas sets this shard's part of each team's quota: the quota divided by the number
 // of shards of the cell, rounded up.
-func (e *Engine) putQuotas() {
+func (e *Engine) updateQuotas() {
 	n := int64(max(len(e.tree.Layout.Shards()), 1))
 	quotas := make(map[string]cell.Resources, len(e.tree.Quotas))
 	for team, quota := range e.tree.Quotas {
@@ -204,7 +204,7 @@
 	for _, h := range hosts {
 		shard, ok := e.tree.Layout.ShardOf(h.Hall, h.ID)
 		if h.Worker && ok && shard == e.cfg.Shard {
-			e.putHost(h)
+			e.updateHost(h)
 		}
 	}
 	e.wake()
@@ -213,15 +213,15 @@
 // updateHost records the state of a worker host and starts a controller for a new one. A
 // worker whose host is leaving is drained; it takes tasks again when the host returns to
 // the state live.
-func (e *Engine) putHost(h store.Host) {
+func (e *Engine) updateHost(h store.Host) {
 	w, known := e.workers[h.ID]
 	if !known && h.State == store.HostGone {
 		return
 	}
 	if !known {
-		w = newWorkerDuty(e, h)
+		w = newWorkerController(e, h)
 		e.workers[h.ID] = w
-		e.duties.Go(func() { w.run(e.runCtx) })
+		e.goroutines.Go(func() { w.run(e.runCtx) })
 	}
 	w.leaving = w.leaving || h.State == store.HostLeaving
 	if h.State == store.HostLive && w.host.State != store.HostLive {
@@ -236,7 +236,7 @@
 // wake makes the placement goroutine run without waiting for its next interval.
 func (e *Engine) wake() {
 	select {
-	case e.kick <- struct{}{}:
+	case e.wakePlacement <- struct{}{}:
 	default:
 	}
 }
--- a/pkg/shard/queries.go
+++ b/pkg/shard/queries.go
@@ -27,8 +27,8 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s := Status{
-		Shard: e.cfg.Shard, Epoch: e.cfg.Epoch, Authority: e.authorized(), Recovered: e.recovery.settled,
-		Usage: e.placer.Usage(), Endpoints: e.router.Endpoints(), InFlight: e.inFlight, Keys: e.memory.Len(),
+		Shard: e.cfg.Shard, Epoch: e.cfg.Epoch, Authority: e.authorized(), Recovered: e.recovery.complete,
+		Usage: e.placer.Usage(), Endpoints: e.router.EndpointCount(), InFlight: e.inFlight, Keys: e.keyTable.Len(),
 	}
 	for _, l := range e.router.Loads() {
 		s.Queued += l.Queued
@@ -66,7 +66,7 @@
 			list = append(list, TaskDecision{id, e.placer.Explain(id)})
 		}
 	}
-	for _, r := range e.book.Open() {
+	for _, r := range e.batches.Unfinished() {
 		if r.Workload == workload {
 			list = append(list, TaskDecision{string(r.ID), e.placer.Explain(string(r.ID))})
 		}
--- a/pkg/shard/retry_budget.go
+++ b/pkg/shard/retry_budget.go
@@ -1,8 +1,8 @@
 package shard
 
 const (
-	retryPart  = 0.1 // tokens that each admitted request adds
-	retryBurst = 20  // largest number of tokens
+	tokensPerRequest = 0.1 // tokens that each admitted request adds
+	maxTokens        = 20  // largest number of tokens
 )
 
 // retryBudget is a token bucket that limits the retries of all callers together. A retry
@@ -13,16 +13,16 @@
 }
 
 func newRetryBudget() retryBudget {
-	return retryBudget{tokens: retryBurst}
+	return retryBudget{tokens: maxTokens}
 }
 
 // deposit adds the tokens of one admitted request.
-func (b *retryBudget) earn() {
-	b.tokens = min(b.tokens+retryPart, retryBurst)
+func (b *retryBudget) deposit() {
+	b.tokens = min(b.tokens+tokensPerRequest, maxTokens)
 }
 
 // withdraw takes one token and says whether there was one.
-func (b *retryBudget) take() bool {
+func (b *retryBudget) withdraw() bool {
 	if b.tokens < 1 {
 		return false
 	}
--- a/pkg/shard/retry_budget_test.go
+++ b/pkg/shard/retry_budget_test.go
@@ -6,19 +6,19 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestRetriesAddATenthAtMost(t *testing.T) {
+func TestRetryBudgetLimitsRetriesToATenth(t *testing.T) {
 	g := NewWithT(t)
 	b := newRetryBudget()
 	retries := 0
 	const requests = 10000
 	for range requests {
-		b.earn()
-		for range resendMost { // every try fails
-			if b.take() {
+		b.deposit()
+		for range maxResends { // every try fails
+			if b.withdraw() {
 				retries++
 			}
 		}
 	}
-	g.Expect(retries).To(BeNumerically("<=", requests/10+retryBurst))
+	g.Expect(retries).To(BeNumerically("<=", requests/10+maxTokens))
 	g.Expect(retries).To(BeNumerically(">", requests/11))
 }
--- a/pkg/shard/segment_removal.go
+++ b/pkg/shard/segment_removal.go
@@ -13,13 +13,13 @@
 )
 
 // removalInterval limits the load on the store: one removal per shard in this time.
-const removeEvery = 5 * time.Second
+const removalInterval = 5 * time.Second
 
 // handleStoredSegment records a segment that was written to the store and accepts the
 // requests that it contains. Both happen under one lock: otherwise the removal of segments
 // could run between them and find a segment whose requests are unknown. Requests in an
 // unsettled segment, which the store may not hold, are not accepted.
-func (e *Engine) segmentStored(s batch.Segment) {
+func (e *Engine) handleStoredSegment(s batch.Segment) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.segments.Add(s)
@@ -36,16 +36,16 @@
 
 // runSegmentRemoval periodically removes a batch segment whose requests all ended longer
 // ago than their window.
-func (e *Engine) removeSegments(ctx context.Context) {
-	clock.Every(ctx, removeEvery, func() { e.removeOne(ctx) })
+func (e *Engine) runSegmentRemoval(ctx context.Context) {
+	clock.Every(ctx, removalInterval, func() { e.removeSegment(ctx) })
 }
 
-func (e *Engine) removeOne(ctx context.Context) {
+func (e *Engine) removeSegment(ctx context.Context) {
 	e.mu.Lock()
 	var s batch.Segment
 	found := false
-	if e.recovery.settled && e.deps.StoreUp() {
-		s, found = e.segments.Removable(e.book, e.deps.Clock.Wall(), e.keepFor)
+	if e.recovery.complete && e.deps.StoreAvailable() {
+		s, found = e.segments.Removable(e.batches, e.deps.Clock.Wall(), e.retention)
 	}
 	e.mu.Unlock()
 	if !found || !e.authorized() {
@@ -59,12 +59,12 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.segments.Removed(s.Key, e.book)
+	e.segments.Remove(s.Key, e.batches)
 }
 
 // retention returns how long the result of a request is kept after its end, so that its
 // caller can read it: the window of the workload.
-func (e *Engine) keepFor(r batch.Record) time.Duration {
+func (e *Engine) retention(r batch.Record) time.Duration {
 	if w, ok := e.tree.Workloads[r.Workload]; ok {
 		return w.Window
 	}
--- a/pkg/shard/segment_removal_test.go
+++ b/pkg/shard/segment_removal_test.go
@@ -71,11 +71,11 @@
 // newRecoveredOwner returns an engine without workers that has read the store and whose
 // journal runs. The function authorized decides whether the engine has authority.
 func newRecoveredOwner(t *testing.T, s *segmentStore, epoch cell.Epoch, authorized func() bool) *Engine {
-	return newOwnerThatPuts(t, s, s.put, epoch, authorized)
+	return newOwnerWithPut(t, s, s.put, epoch, authorized)
 }
 
 // newOwnerWithPut is newRecoveredOwner with put as the function that writes segments.
-func newOwnerThatPuts(t *testing.T, s *segmentStore, put func(ctx context.Context, key, value string) (int64, error), epoch cell.Epoch, authorized func() bool) *Engine {
+func newOwnerWithPut(t *testing.T, s *segmentStore, put func(ctx context.Context, key, value string) (int64, error), epoch cell.Epoch, authorized func() bool) *Engine {
 	g := NewWithT(t)
 	tree, faults := settings.Parse(map[string]string{
 		"cell.toml":    "[[hall]]\nname = \"north\"\nregion = \"r\"\n[team.t]\n[rules.resources]\ncpu_millis = 1000\nmemory_mb = 1000\n",
@@ -89,7 +89,7 @@
 		Shard: cell.ShardID{Hall: "north"}, Epoch: epoch, TaskLease: time.Second, ReportEvery: time.Second,
 		JournalInterval: time.Microsecond, Keys: keys.DefaultConfig,
 	}, Deps{
-		Clock: clock.System(), Log: logrus.NewEntry(log), StoreUp: func() bool { return true },
+		Clock: clock.System(), Log: logrus.NewEntry(log), StoreAvailable: func() bool { return true },
 		Authority: func() (cell.Epoch, clock.Time, bool) {
 			return epoch, clock.System().Now().Add(time.Minute), authorized()
 		},
@@ -98,10 +98,10 @@
 	e.SetTree(tree)
 	e.SetHosts(nil)
 	e.recoverBatches(ctx)
-	e.placeOnce(ctx)
+	e.placeTasks(ctx)
 	g.Expect(e.Status().Recovered).To(BeTrue())
-	e.duties.Go(func() { e.journal.Run(ctx) })
-	t.Cleanup(func() { cancel(); e.duties.Wait() })
+	e.goroutines.Go(func() { e.journal.Run(ctx) })
+	t.Cleanup(func() { cancel(); e.goroutines.Wait() })
 	return e
 }
 
@@ -110,17 +110,17 @@
 // Guards against the loss of a request. If the removal of segments runs after the segment
 // is stored and before the submitting goroutine continues, it must not remove the segment:
 // the next owner would find nothing of the request, or only its end.
-func TestRemovalLeavesARequestThatWasStoredAMomentAgo(t *testing.T) {
+func TestRemovalKeepsJustStoredRequest(t *testing.T) {
 	t.Run("before its end", func(t *testing.T) {
 		g := NewWithT(t)
-		s, _, accepted := storedWhileRemoving(t)
+		s, _, accepted := storeDuringRemoval(t)
 		found, err := newRecoveredOwner(t, s, 2, always).ReadBatch("tester", accepted.ID)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(found).To(Equal(accepted))
 	})
 	t.Run("after its end", func(t *testing.T) {
 		g := NewWithT(t)
-		s, e, accepted := storedWhileRemoving(t)
+		s, e, accepted := storeDuringRemoval(t)
 		end := batch.Entry{Ended: &batch.End{ID: accepted.ID, State: batch.Done}}
 		g.Expect(e.journal.Append(e.runCtx, end)).To(Succeed())
 		found, err := newRecoveredOwner(t, s, 2, always).ReadBatch("tester", accepted.ID)
@@ -131,7 +131,7 @@
 
 // storeDuringRemoval submits a request to an engine that runs the removal of segments
 // after the request is stored and before its caller has an answer.
-func storedWhileRemoving(t *testing.T) (*segmentStore, *Engine, batch.Record) {
+func storeDuringRemoval(t *testing.T) (*segmentStore, *Engine, batch.Record) {
 	g := NewWithT(t)
 	s := newSegmentStore()
 	var e *Engine
@@ -139,7 +139,7 @@
 	e = newRecoveredOwner(t, s, 1, func() bool {
 		if s.len() > 0 && !removing { // the journal calls this between the write and its answer
 			removing = true
-			e.removeOne(e.runCtx)
+			e.removeSegment(e.runCtx)
 		}
 		return true
 	})
@@ -151,7 +151,7 @@
 
 // Guards against a stored request that its owner does not accept because its authority
 // ended during the write: the request would not run, and its segment would stay for ever.
-func TestRequestThatIsStoredWithoutAnAnswerIsKept(t *testing.T) {
+func TestRequestStoredWithoutAnswerIsAccepted(t *testing.T) {
 	g := NewWithT(t)
 	s := newSegmentStore()
 	lapsed := false
--- a/pkg/shard/unsettled_segment_test.go
+++ b/pkg/shard/unsettled_segment_test.go
@@ -15,7 +15,7 @@
 // first copy took effect but was not answered, so the owner does not know whether that
 // segment exists. After the request's window the owner must not remove the segment with
 // the end of the request while the first copy may remain.
-func TestRequestWhoseFirstCopyWasUnsettledDoesNotRunAgain(t *testing.T) {
+func TestRequestWithUnsettledFirstCopyDoesNotRunAgain(t *testing.T) {
 	g := NewWithT(t)
 	s := newSegmentStore()
 	puts := 0
@@ -27,7 +27,7 @@
 		}
 		return r, err
 	}
-	e := newOwnerThatPuts(t, s, loseFirstAnswer, 1, always)
+	e := newOwnerWithPut(t, s, loseFirstAnswer, 1, always)
 	submission := Submission{Caller: "tester", Key: "k", Workload: "publish", Payload: "p"}
 	_, err := e.SubmitBatch(e.runCtx, submission)
 	g.Expect(result.From(err).Code).To(Equal(result.InProgress))
@@ -36,10 +36,10 @@
 	end := batch.Entry{Ended: &batch.End{ID: accepted.ID, State: batch.Done, At: time.Now().Add(-2 * time.Hour)}}
 	g.Expect(e.journal.Append(e.runCtx, end)).To(Succeed())
 	e.mu.Lock()
-	e.book.Apply(end)
+	e.batches.Apply(end)
 	e.mu.Unlock()
 	for range 10 {
-		e.removeOne(e.runCtx)
+		e.removeSegment(e.runCtx)
 	}
 	next := newRecoveredOwner(t, s, 2, always)
 	g.Expect(next.Explain("publish")).To(BeEmpty())
@@ -58,7 +58,7 @@
 	g.Expect(e.journal.Append(e.runCtx, end)).To(Succeed())
 	next := newRecoveredOwner(t, s, 2, always)
 	for range 10 {
-		next.removeOne(next.runCtx)
+		next.removeSegment(next.runCtx)
 	}
 	g.Expect(s.len()).To(Equal(0))
 }
--- a/pkg/shard/worker_controller.go
+++ b/pkg/shard/worker_controller.go
@@ -17,59 +17,59 @@
 
 const (
 	// exchangeTimeout limits one exchange with a worker.
-	commandTimeout = time.Second
+	exchangeTimeout = time.Second
 	// pollDivisor sets how often a worker with batch tasks is polled: after the time since a
 	// batch task was last started on it, divided by pollDivisor. The end of that task is
 	// thus noticed late by at most a quarter of its run time.
-	pollPart = 4
+	pollDivisor = 4
 	// minPollInterval is the shortest interval that results from pollDivisor.
-	pollLeast = 100 * time.Millisecond
+	minPollInterval = 100 * time.Millisecond
 )
 
 // workerController sends commands to one worker and processes its reports. Its fields are
 // guarded by the engine's lock.
-type workerDuty struct {
-	engine *Engine
-	host   store.Host
-	wakeUp chan struct{}
+type workerController struct {
+	engine       *Engine
+	host         store.Host
+	wakeExchange chan struct{}
 
-	leaving  bool // the worker is being drained and takes no new tasks
-	status   worker.Status
-	clocked  bool // status holds the worker's clock, so that commands can be sent
-	reported bool // the worker has answered a command of this epoch and was not lost since
-	sequence int64
-	started  clock.Time // when a batch task was last started
+	leaving        bool // the worker is being drained and takes no new tasks
+	status         worker.Status
+	clockKnown     bool // status holds the worker's clock, so that commands can be sent
+	reported       bool // the worker has answered a command of this epoch and was not lost since
+	sequence       int64
+	lastBatchStart clock.Time // when a batch task was last started
 	// leasesExpire is when all leases that were given to the worker have certainly expired.
-	lapse clock.Time
+	leasesExpire clock.Time
 
-	tasks map[string]progress // the tasks that are placed on the worker
+	tasks map[string]startState // the tasks that are placed on the worker
 
 	// The maps of pending commands, by task id, hold what the worker has not acknowledged yet.
-	starting map[string]worker.Task
-	draining map[string]bool
-	drained  map[string]bool // tasks for which a drain was requested, acknowledged or not
-	stopping map[string]bool
-	forget   map[string]bool // ended tasks whose result the worker need not keep
+	pendingStarts  map[string]worker.Task
+	pendingDrains  map[string]bool
+	drainRequested map[string]bool // tasks for which a drain was requested, acknowledged or not
+	pendingStops   map[string]bool
+	pendingForgets map[string]bool // ended tasks whose result the worker need not keep
 }
 
 // startState says how far the start of a task has come.
-type progress int
+type startState int
 
 const (
-	placedOnly   progress = iota // not sent to the worker: the task certainly does not run
-	sent                         // sent to the worker: the task may run
-	acknowledged                 // accepted by the worker
+	notSent      startState = iota // not sent to the worker: the task certainly does not run
+	sent                           // sent to the worker: the task may run
+	acknowledged                   // accepted by the worker
 )
 
-func newWorkerDuty(e *Engine, h store.Host) *workerDuty {
-	return &workerDuty{
-		engine: e, host: h, wakeUp: make(chan struct{}, 1),
-		tasks: map[string]progress{}, starting: map[string]worker.Task{}, draining: map[string]bool{},
-		drained: map[string]bool{}, stopping: map[string]bool{}, forget: map[string]bool{},
+func newWorkerController(e *Engine, h store.Host) *workerController {
+	return &workerController{
+		engine: e, host: h, wakeExchange: make(chan struct{}, 1),
+		tasks: map[string]startState{}, pendingStarts: map[string]worker.Task{}, pendingDrains: map[string]bool{},
+		drainRequested: map[string]bool{}, pendingStops: map[string]bool{}, pendingForgets: map[string]bool{},
 	}
 }
 
-func (w *workerDuty) site() settings.Site {
+func (w *workerController) site() settings.Site {
 	s := settings.Site{Hall: w.status.Hall, Rack: w.status.Rack, Labels: w.status.Labels}
 	if h, ok := w.engine.tree.Layout.Hall(s.Hall); ok {
 		s.Region = h.Region
@@ -77,51 +77,51 @@
 	return s
 }
 
-func (w *workerDuty) start(t worker.Task) {
-	w.tasks[t.ID] = placedOnly
+func (w *workerController) start(t worker.Task) {
+	w.tasks[t.ID] = notSent
 	if !t.Service {
-		w.started = w.engine.now()
+		w.lastBatchStart = w.engine.now()
 	}
-	w.starting[t.ID] = t
+	w.pendingStarts[t.ID] = t
 	w.wake()
 }
 
-func (w *workerDuty) drain(id string) {
-	w.engine.router.Leaving(id)
-	if w.drained[id] {
+func (w *workerController) drain(id string) {
+	w.engine.router.MarkLeaving(id)
+	if w.drainRequested[id] {
 		return
 	}
-	w.draining[id], w.drained[id] = true, true
+	w.pendingDrains[id], w.drainRequested[id] = true, true
 	w.wake()
 }
 
 // removeTask removes a task that no longer runs, and returns how far its start had come.
-func (w *workerDuty) drop(id string) progress {
+func (w *workerController) removeTask(id string) startState {
 	state := w.tasks[id]
 	delete(w.tasks, id)
-	delete(w.starting, id)
-	delete(w.draining, id)
-	delete(w.drained, id)
-	delete(w.stopping, id)
+	delete(w.pendingStarts, id)
+	delete(w.pendingDrains, id)
+	delete(w.drainRequested, id)
+	delete(w.pendingStops, id)
 	return state
 }
 
-func (w *workerDuty) stop(id string) {
-	w.stopping[id] = true
+func (w *workerController) stop(id string) {
+	w.pendingStops[id] = true
 	w.wake()
 }
 
 // wake makes the controller exchange commands and a report with the worker
 // without waiting for its next interval.
-func (w *workerDuty) wake() {
+func (w *workerController) wake() {
 	select {
-	case w.wakeUp <- struct{}{}:
+	case w.wakeExchange <- struct{}{}:
 	default:
 	}
 }
 
 // run exchanges commands and reports with the worker until ctx ends.
-func (w *workerDuty) run(ctx context.Context) {
+func (w *workerController) run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -129,31 +129,31 @@
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-		case <-w.wakeUp:
+		case <-w.wakeExchange:
 		}
 		err := w.exchange(ctx)
-		timer.Reset(w.nextExchange(err))
+		timer.Reset(w.exchangeDelay(err))
 	}
 }
 
 // exchangeDelay returns how long to wait until the next exchange; err is the error of the
 // last one. A batch task that was started recently may be short, so the worker is polled
 // soon, and less and less often the longer the task takes.
-func (w *workerDuty) nextExchange(err error) time.Duration {
+func (w *workerController) exchangeDelay(err error) time.Duration {
 	e := w.engine
 	longest := e.cfg.ReportEvery
 	if err != nil {
-		return min(longest, commandTimeout)
+		return min(longest, exchangeTimeout)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !w.runsBatch() {
+	if !w.hasBatchTask() {
 		return longest
 	}
-	return min(max(e.now().Sub(w.started)/pollPart, pollLeast), longest)
+	return min(max(e.now().Sub(w.lastBatchStart)/pollDivisor, minPollInterval), longest)
 }
 
-func (w *workerDuty) runsBatch() bool {
+func (w *workerController) hasBatchTask() bool {
 	for id := range w.tasks {
 		if !isServiceTask(id) {
 			return true
@@ -163,16 +163,16 @@
 }
 
 // exchange sends one set of commands to the worker and processes the report that it returns.
-func (w *workerDuty) exchange(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
+func (w *workerController) exchange(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	e := w.engine
 	if err := w.readClock(ctx); err != nil {
-		w.failed(err)
+		w.handleFailure(err)
 		return err
 	}
 	e.mu.Lock()
-	cmds, ok := w.commands()
+	cmds, ok := w.buildCommands()
 	address := w.host.Address
 	e.mu.Unlock()
 	if !ok || !e.authorized() {
@@ -180,20 +180,20 @@
 	}
 	status, err := e.deps.Workers.Command(ctx, address, cmds)
 	if err != nil {
-		w.failed(err)
+		w.handleFailure(err)
 		return err
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	w.answered(cmds, status)
+	w.handleStatus(cmds, status)
 	return nil
 }
 
 // readClock requests the worker's status when its clock is not known.
-func (w *workerDuty) readClock(ctx context.Context) error {
+func (w *workerController) readClock(ctx context.Context) error {
 	e := w.engine
 	e.mu.Lock()
-	clockKnown, address := w.clocked, w.host.Address
+	clockKnown, address := w.clockKnown, w.host.Address
 	e.mu.Unlock()
 	if clockKnown {
 		return nil
@@ -204,30 +204,30 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	w.status, w.clocked = status, true
+	w.status, w.clockKnown = status, true
 	return nil
 }
 
 // buildCommands returns the commands to be sent now. They are valid until the engine's
 // authority ends; there are none, and the result is false, once it has ended. The caller
 // holds the engine's lock.
-func (w *workerDuty) commands() (worker.Commands, bool) {
+func (w *workerController) buildCommands() (worker.Commands, bool) {
 	e := w.engine
 	epoch, until, ok := e.deps.Authority()
 	if !ok || epoch != e.cfg.Epoch {
 		return worker.Commands{}, false
 	}
 	w.sequence++
-	w.lapse = max(w.lapse, until.Add(e.cfg.TaskLease+margin))
+	w.leasesExpire = max(w.leasesExpire, until.Add(e.cfg.TaskLease+clockMargin))
 	cmds := worker.Commands{
 		Shard: e.cfg.Shard, Epoch: epoch, Sequence: w.sequence, ValidUntil: until,
 		Known: w.status, Lease: e.cfg.TaskLease,
-		Drain:  slices.Sorted(maps.Keys(w.draining)),
-		Stop:   slices.Sorted(maps.Keys(w.stopping)),
-		Forget: slices.Sorted(maps.Keys(w.forget)),
+		Drain:  slices.Sorted(maps.Keys(w.pendingDrains)),
+		Stop:   slices.Sorted(maps.Keys(w.pendingStops)),
+		Forget: slices.Sorted(maps.Keys(w.pendingForgets)),
 	}
-	for _, id := range slices.Sorted(maps.Keys(w.starting)) {
-		cmds.Start = append(cmds.Start, w.starting[id])
+	for _, id := range slices.Sorted(maps.Keys(w.pendingStarts)) {
+		cmds.Start = append(cmds.Start, w.pendingStarts[id])
 		w.tasks[id] = sent
 	}
 	for _, id := range slices.Sorted(maps.Keys(w.tasks)) {
@@ -240,29 +240,29 @@
 
 // handleFailure processes a failed exchange. Once all leases that were given to the worker
 // have expired, its tasks have certainly ended, and the worker is removed from placement.
-func (w *workerDuty) failed(err error) {
+func (w *workerController) handleFailure(err error) {
 	e := w.engine
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if errors.Is(err, worker.ErrStale) {
-		w.clocked = false // the worker may have restarted with another clock reading
+		w.clockKnown = false // the worker may have restarted with another clock reading
 	}
-	if !w.reported || e.now() <= w.lapse {
+	if !w.reported || e.now() <= w.leasesExpire {
 		return
 	}
 	e.log("worker_lost", logrus.Fields{"worker": w.host.ID, "tasks": len(w.tasks), "error": err})
-	w.reported, w.clocked = false, false
+	w.reported, w.clockKnown = false, false
 	for _, id := range slices.Sorted(maps.Keys(w.tasks)) {
 		e.removeEndpoint(id)
-		e.gone(id)
+		e.handleTaskGone(id)
 	}
 	e.placer.RemoveWorker(w.host.ID)
-	w.tasks, w.starting = map[string]progress{}, map[string]worker.Task{}
-	w.draining, w.drained, w.stopping = map[string]bool{}, map[string]bool{}, map[string]bool{}
+	w.tasks, w.pendingStarts = map[string]startState{}, map[string]worker.Task{}
+	w.pendingDrains, w.drainRequested, w.pendingStops = map[string]bool{}, map[string]bool{}, map[string]bool{}
 }
 
 // handleStatus processes the worker's answer to cmds. The caller holds the engine's lock.
-func (w *workerDuty) answered(cmds worker.Commands, status worker.Status) {
+func (w *workerController) handleStatus(cmds worker.Commands, status worker.Status) {
 	w.acknowledge(cmds)
 	w.status = status
 	e := w.engine
@@ -273,12 +273,12 @@
 	seen := make(map[string]bool, len(status.Tasks))
 	for _, r := range status.Tasks {
 		seen[r.ID] = true
-		e.reportedTask(w, r)
+		e.handleReport(w, r)
 	}
 	for _, id := range slices.Sorted(maps.Keys(w.tasks)) {
 		if w.tasks[id] == acknowledged && !seen[id] {
 			e.removeEndpoint(id)
-			e.gone(id)
+			e.handleTaskGone(id)
 		}
 	}
 	if w.leaving {
@@ -289,20 +289,20 @@
 
 // acknowledge removes the commands that the worker has answered from the pending ones, and
 // marks the started tasks as accepted.
-func (w *workerDuty) acknowledge(cmds worker.Commands) {
+func (w *workerController) acknowledge(cmds worker.Commands) {
 	for _, t := range cmds.Start {
-		delete(w.starting, t.ID)
+		delete(w.pendingStarts, t.ID)
 		if _, ok := w.tasks[t.ID]; ok {
 			w.tasks[t.ID] = acknowledged
 		}
 	}
 	for _, id := range cmds.Drain {
-		delete(w.draining, id)
+		delete(w.pendingDrains, id)
 	}
 	for _, id := range cmds.Stop {
-		delete(w.stopping, id)
+		delete(w.pendingStops, id)
 	}
 	for _, id := range cmds.Forget {
-		delete(w.forget, id)
+		delete(w.pendingForgets, id)
 	}
 }
--- a/pkg/standin/admin.go
+++ b/pkg/standin/admin.go
@@ -23,28 +23,28 @@
 //	GET  /verdict        CheckResult
 //	GET  /runs           []Run
 //	GET  /counts         StoreCounts
-func (e *Farm) AdminHandler() http.Handler {
+func (e *Environment) AdminHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /faults/store", func(w http.ResponseWriter, r *http.Request) {
 		var faults StoreFaults
-		if decode(w, r, &faults) {
+		if decodeBody(w, r, &faults) {
 			e.Store.SetFaults(faults)
 		}
 	})
 	mux.HandleFunc("POST /faults/worker", func(w http.ResponseWriter, r *http.Request) {
 		var fault WorkerFault
-		if decode(w, r, &fault) && !e.applyWorkerFault(fault) {
+		if decodeBody(w, r, &fault) && !e.applyWorkerFault(fault) {
 			http.Error(w, "no worker "+fault.Worker, http.StatusNotFound)
 		}
 	})
-	mux.HandleFunc("GET /verdict", func(w http.ResponseWriter, _ *http.Request) { answer(w, e.Ledger.Judge()) })
-	mux.HandleFunc("GET /runs", func(w http.ResponseWriter, _ *http.Request) { answer(w, e.Ledger.Runs()) })
-	mux.HandleFunc("GET /counts", func(w http.ResponseWriter, _ *http.Request) { answer(w, e.Store.Counts()) })
+	mux.HandleFunc("GET /verdict", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.RunLog.Check()) })
+	mux.HandleFunc("GET /runs", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.RunLog.Runs()) })
+	mux.HandleFunc("GET /counts", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Store.Counts()) })
 	return mux
 }
 
 // applyWorkerFault returns false if there is no such worker.
-func (e *Farm) applyWorkerFault(fault WorkerFault) bool {
+func (e *Environment) applyWorkerFault(fault WorkerFault) bool {
 	w, ok := e.Workers[fault.Worker]
 	if !ok {
 		return false
@@ -62,7 +62,7 @@
 }
 
 // decodeBody decodes a JSON body into target. If that fails, it answers with status 400 and returns false.
-func decode(w http.ResponseWriter, r *http.Request, target any) bool {
+func decodeBody(w http.ResponseWriter, r *http.Request, target any) bool {
 	if err := json.NewDecoder(r.Body).Decode(target); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return false
@@ -70,7 +70,7 @@
 	return true
 }
 
-func answer(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/pkg/standin/endpoint.go
+++ b/pkg/standin/endpoint.go
@@ -34,30 +34,30 @@
 // runs, but its connection is closed.
 type Endpoint struct {
 	cfg      EndpointConfig
-	ledger   *Ledger
+	runLog   *RunLog
 	listener net.Listener
 	server   *http.Server
 
-	mu       sync.Mutex
-	idle     *sync.Cond
-	inUse    int
-	epoch    int64
-	leaving  time.Time
-	stopped  bool
-	inFlight map[*Run]bool
+	mu           sync.Mutex
+	idle         *sync.Cond
+	inUse        int
+	epoch        int64
+	leavingSince time.Time
+	stopped      bool
+	inFlight     map[*Run]bool
 }
 
 // StartEndpoint starts an endpoint on a free port of the loopback interface.
-func StartEndpoint(cfg EndpointConfig, ledger *Ledger) (*Endpoint, error) {
+func StartEndpoint(cfg EndpointConfig, ledger *RunLog) (*Endpoint, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, errors.Wrapf(err, "endpoint %s", cfg.ID)
 	}
-	e := &Endpoint{cfg: cfg, ledger: ledger, listener: l, inFlight: map[*Run]bool{}}
+	e := &Endpoint{cfg: cfg, runLog: ledger, listener: l, inFlight: map[*Run]bool{}}
 	e.idle = sync.NewCond(&e.mu)
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+endpoint.HealthPath, e.health)
-	mux.HandleFunc("POST "+endpoint.CallPath, e.call)
+	mux.HandleFunc("GET "+endpoint.HealthPath, e.handleHealth)
+	mux.HandleFunc("POST "+endpoint.CallPath, e.handleCall)
 	e.server = &http.Server{Handler: mux}
 	go func() { _ = e.server.Serve(l) }()
 	return e, nil
@@ -72,7 +72,7 @@
 func (e *Endpoint) Leave() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.leaving = time.Now()
+	e.leavingSince = time.Now()
 }
 
 // WaitIdle returns when no call is in flight or the endpoint was stopped, but not before leavingGrace has
@@ -93,9 +93,9 @@
 	e.mu.Lock()
 	e.stopped = true
 	for run := range e.inFlight {
-		e.ledger.End(run, "cut")
+		e.runLog.End(run, "cut")
 		if outcome == "done" || outcome == "lapsed" {
-			e.ledger.Violation(PromiseNotCut, run.Key+" at "+e.cfg.ID+" ("+outcome+")")
+			e.runLog.AddViolation(InvariantNotCut, run.Key+" at "+e.cfg.ID+" ("+outcome+")")
 		}
 	}
 	e.idle.Broadcast()
@@ -103,28 +103,28 @@
 	_ = e.server.Close()
 }
 
-func (e *Endpoint) health(w http.ResponseWriter, _ *http.Request) {
+func (e *Endpoint) handleHealth(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	h := endpoint.Health{InUse: e.inUse, Leaving: !e.leaving.IsZero()}
+	h := endpoint.Health{InUse: e.inUse, Leaving: !e.leavingSince.IsZero()}
 	e.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(h)
 }
 
-func (e *Endpoint) call(w http.ResponseWriter, r *http.Request) {
+func (e *Endpoint) handleCall(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		http.Error(w, "body", http.StatusBadRequest)
 		return
 	}
-	run, refused := e.begin(r)
+	run, refused := e.beginCall(r)
 	if refused != "" {
 		w.Header().Set(endpoint.RefusedHeader, refused)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	work(r.Context(), durationOf(string(body)))
-	e.end(run)
+	simulateWork(r.Context(), payloadDuration(string(body)))
+	e.endCall(run)
 	if strings.Contains(string(body), "lose-answer") {
 		panic(http.ErrAbortHandler)
 	}
@@ -133,18 +133,18 @@
 
 // simulateWork takes the time d. It does not end early when the caller disconnects, since a real service may
 // not notice that either.
-func work(_ context.Context, d time.Duration) {
+func simulateWork(_ context.Context, d time.Duration) {
 	time.Sleep(d)
 }
 
 // beginCall starts to record a call, or returns the reason for which the endpoint refuses it. Calls beyond
 // the slots are accepted and counted as violations.
-func (e *Endpoint) begin(r *http.Request) (*Run, string) {
+func (e *Endpoint) beginCall(r *http.Request) (*Run, string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.leaving.IsZero() {
-		if time.Since(e.leaving) > leavingGrace {
-			e.ledger.Violation(PromiseLeaving, e.cfg.ID)
+	if !e.leavingSince.IsZero() {
+		if time.Since(e.leavingSince) > leavingGrace {
+			e.runLog.AddViolation(InvariantLeaving, e.cfg.ID)
 		}
 		return nil, endpoint.RefusedLeaving
 	}
@@ -155,9 +155,9 @@
 	e.epoch = max(e.epoch, epoch)
 	e.inUse++
 	if e.inUse > e.cfg.Slots {
-		e.ledger.Violation(PromiseCapacity, fmt.Sprintf("endpoint %s runs %d", e.cfg.ID, e.inUse))
+		e.runLog.AddViolation(InvariantCapacity, fmt.Sprintf("endpoint %s runs %d", e.cfg.ID, e.inUse))
 	}
-	run := e.ledger.Begin(Run{
+	run := e.runLog.Begin(Run{
 		Kind: "call", Key: r.Header.Get(endpoint.KeyHeader), Where: e.cfg.ID,
 		NotRepeatable: r.Header.Get(endpoint.NotRepeatableHeader) == "true",
 	})
@@ -165,17 +165,17 @@
 	return run, ""
 }
 
-func (e *Endpoint) end(run *Run) {
+func (e *Endpoint) endCall(run *Run) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	delete(e.inFlight, run)
-	e.ledger.End(run, "done")
+	e.runLog.End(run, "done")
 	e.inUse--
 	e.idle.Broadcast()
 }
 
 // payloadDuration returns the N milliseconds of a payload that begins with "ms=N", or 0 for another payload.
-func durationOf(payload string) time.Duration {
+func payloadDuration(payload string) time.Duration {
 	var ms int64
 	if _, err := fmt.Sscanf(payload, "ms=%d", &ms); err != nil {
 		return 0
--- a/pkg/standin/environment.go
+++ b/pkg/standin/environment.go
@@ -17,36 +17,36 @@
 )
 
 const (
-	tickEvery       = 50 * time.Millisecond
-	defaultHostLag  = 200 * time.Millisecond
-	loopbackAnyPort = "127.0.0.1:0"
+	tickInterval         = 50 * time.Millisecond
+	defaultHostListDelay = 200 * time.Millisecond
+	loopbackAnyPort      = "127.0.0.1:0"
 )
 
 // EnvironmentConfig describes the stand-ins of an Environment.
-type FarmConfig struct {
+type EnvironmentConfig struct {
 	// StoreAddress is where the store listens; the zero value means a free port of the loopback interface.
 	StoreAddress netip.AddrPort
 	Workers      []WorkerConfig
 	// HostListDelay is how long after a change of a worker's state the host list shows it; 0 means
 	// defaultHostListDelay.
-	HostLag time.Duration
+	HostListDelay time.Duration
 }
 
 // Environment is a stand-in store and a set of stand-in workers, each with a port of its own.
-type Farm struct {
+type Environment struct {
 	Store   *Store
-	Ledger  *Ledger
+	RunLog  *RunLog
 	Workers map[string]*Worker
 
 	storeAddress netip.AddrPort
 	addresses    map[string]netip.AddrPort
-	cfg          FarmConfig
+	cfg          EnvironmentConfig
 	servers      []*http.Server
 	cancel       context.CancelFunc
-	duties       sync.WaitGroup
+	background   sync.WaitGroup
 
-	mu     sync.Mutex
-	states map[string][]hostChange
+	mu          sync.Mutex
+	hostChanges map[string][]hostChange
 }
 
 // hostChange is a change of the state of a worker in the host list.
@@ -56,7 +56,7 @@
 }
 
 // UniformWorkers describes n workers of the same capacity in each hall, in racks of six.
-func Uniform(halls []cell.Hall, n int, capacity cell.Resources) []WorkerConfig {
+func UniformWorkers(halls []cell.Hall, n int, capacity cell.Resources) []WorkerConfig {
 	const perRack = 6
 	var list []WorkerConfig
 	for _, hall := range halls {
@@ -71,26 +71,26 @@
 }
 
 // StartEnvironment starts the stand-ins. The caller has to call Close.
-func StartFarm(cfg FarmConfig) (*Farm, error) {
-	if cfg.HostLag == 0 {
-		cfg.HostLag = defaultHostLag
+func StartEnvironment(cfg EnvironmentConfig) (*Environment, error) {
+	if cfg.HostListDelay == 0 {
+		cfg.HostListDelay = defaultHostListDelay
 	}
-	e := &Farm{
-		Ledger: NewLedger(), Workers: map[string]*Worker{}, cfg: cfg,
-		addresses: map[string]netip.AddrPort{}, states: map[string][]hostChange{},
+	e := &Environment{
+		RunLog: NewRunLog(), Workers: map[string]*Worker{}, cfg: cfg,
+		addresses: map[string]netip.AddrPort{}, hostChanges: map[string][]hostChange{},
 	}
-	e.Store = NewStore(e.hosts)
-	if err := e.listen(); err != nil {
+	e.Store = NewStore(e.delayedHostList)
+	if err := e.startServers(); err != nil {
 		e.Close()
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	e.cancel = cancel
-	e.duties.Go(func() { e.tick(ctx) })
+	e.background.Go(func() { e.runTicker(ctx) })
 	return e, nil
 }
 
-func (e *Farm) listen() error {
+func (e *Environment) startServers() error {
 	handler, err := e.Store.Handler()
 	if err != nil {
 		return err
@@ -99,23 +99,23 @@
 	if e.cfg.StoreAddress.IsValid() {
 		address = e.cfg.StoreAddress.String()
 	}
-	if e.storeAddress, err = e.serve(address, handler); err != nil {
+	if e.storeAddress, err = e.startServer(address, handler); err != nil {
 		return err
 	}
 	for _, wc := range e.cfg.Workers {
-		w := NewWorker(wc, e.Ledger)
+		w := NewWorker(wc, e.RunLog)
 		if handler, err = w.Handler(); err != nil {
 			return err
 		}
 		e.Workers[wc.ID] = w
-		if e.addresses[wc.ID], err = e.serve(loopbackAnyPort, handler); err != nil {
+		if e.addresses[wc.ID], err = e.startServer(loopbackAnyPort, handler); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (e *Farm) serve(address string, handler http.Handler) (netip.AddrPort, error) {
+func (e *Environment) startServer(address string, handler http.Handler) (netip.AddrPort, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return netip.AddrPort{}, errors.Wrap(err, "stand-in")
@@ -127,21 +127,21 @@
 }
 
 // StoreAddress returns the address of the store.
-func (e *Farm) StoreAddress() netip.AddrPort {
+func (e *Environment) StoreAddress() netip.AddrPort {
 	return e.storeAddress
 }
 
 // WorkerAddress returns the address of a worker.
-func (e *Farm) WorkerAddress(id string) netip.AddrPort {
+func (e *Environment) WorkerAddress(id string) netip.AddrPort {
 	return e.addresses[id]
 }
 
 // Close stops all stand-ins.
-func (e *Farm) Close() {
+func (e *Environment) Close() {
 	if e.cancel != nil {
 		e.cancel()
 	}
-	e.duties.Wait()
+	e.background.Wait()
 	for _, s := range e.servers {
 		_ = s.Close()
 	}
@@ -151,39 +151,39 @@
 }
 
 // KillWorker stops a worker as a loss of power would; the host list shows it as gone after HostListDelay.
-func (e *Farm) KillWorker(id string) {
+func (e *Environment) KillWorker(id string) {
 	e.Workers[id].Kill()
-	e.change(id, store.HostGone)
+	e.recordHostChange(id, store.HostGone)
 }
 
 // ReviveWorker makes a killed worker answer again, without tasks.
-func (e *Farm) ReviveWorker(id string) {
+func (e *Environment) ReviveWorker(id string) {
 	e.Workers[id].Revive()
-	e.change(id, store.HostLive)
+	e.recordHostChange(id, store.HostLive)
 }
 
 // DrainWorker makes a worker report that it is draining; the host list shows it as leaving after
 // HostListDelay.
-func (e *Farm) DrainWorker(id string) {
+func (e *Environment) DrainWorker(id string) {
 	e.Workers[id].Drain()
-	e.change(id, store.HostLeaving)
+	e.recordHostChange(id, store.HostLeaving)
 }
 
-func (e *Farm) change(id string, state store.HostState) {
+func (e *Environment) recordHostChange(id string, state store.HostState) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.states[id] = append(e.states[id], hostChange{time.Now(), state})
+	e.hostChanges[id] = append(e.hostChanges[id], hostChange{time.Now(), state})
 }
 
 // delayedHostList returns the host list as it was HostListDelay ago.
-func (e *Farm) hosts() []storeapi.Host {
+func (e *Environment) delayedHostList() []storeapi.Host {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	asOf := time.Now().Add(-e.cfg.HostLag)
+	asOf := time.Now().Add(-e.cfg.HostListDelay)
 	var list []storeapi.Host
 	for _, w := range e.cfg.Workers {
 		state := store.HostLive
-		for _, c := range e.states[w.ID] {
+		for _, c := range e.hostChanges[w.ID] {
 			if c.at.Before(asOf) {
 				state = c.state
 			}
@@ -198,8 +198,8 @@
 }
 
 // runTicker ends expired leases of the store and of tasks at every tickInterval until ctx ends.
-func (e *Farm) tick(ctx context.Context) {
-	clock.Every(ctx, tickEvery, func() {
+func (e *Environment) runTicker(ctx context.Context) {
+	clock.Every(ctx, tickInterval, func() {
 		e.Store.Tick()
 		for _, w := range e.Workers {
 			w.Tick()
--- a/pkg/standin/main.go
+++ b/pkg/standin/main.go
@@ -47,14 +47,14 @@
 			"Example: foldarch-standin --halls seoul-1,seoul-2 --workers 4\n"+
 			"Example: foldarch-standin platform --hosts 3 --dir /tmp/try"))
 	if err != nil {
-		return program.Complain(errOut, programName, err, program.ExitFault)
+		return program.ReportError(errOut, programName, err, program.ExitFailure)
 	}
 	ctx, err := parser.Parse(args)
 	if err != nil {
-		return program.Complain(errOut, programName, err, program.ExitUsage)
+		return program.ReportError(errOut, programName, err, program.ExitUsage)
 	}
 	if err := ctx.Run(streams{out}); err != nil {
-		return program.Complain(errOut, programName, err, program.ExitFault)
+		return program.ReportError(errOut, programName, err, program.ExitFailure)
 	}
 	return program.ExitOK
 }
@@ -70,11 +70,11 @@
 	for _, h := range c.Halls {
 		halls = append(halls, cell.Hall(h))
 	}
-	workers := Uniform(halls, c.Workers, cell.Resources{CPUMillis: c.CPUMillis, MemoryMB: c.MemoryMB, Accelerators: c.Accelerators})
+	workers := UniformWorkers(halls, c.Workers, cell.Resources{CPUMillis: c.CPUMillis, MemoryMB: c.MemoryMB, Accelerators: c.Accelerators})
 	for i := range workers {
 		workers[i].CheckEpochs = c.CheckEpochs
 	}
-	environment, err := StartFarm(FarmConfig{StoreAddress: c.Store, Workers: workers})
+	environment, err := StartEnvironment(EnvironmentConfig{StoreAddress: c.Store, Workers: workers})
 	if err != nil {
 		return err
 	}
@@ -87,12 +87,12 @@
 	go func() { _ = admin.Serve(l) }()
 	defer admin.Close()
 	fmt.Fprintf(s.out, "store %s admin %s workers %d\n", environment.StoreAddress(), l.Addr(), len(workers))
-	awaitSignal()
+	waitForSignal()
 	return nil
 }
 
 // waitForSignal returns on SIGINT or SIGTERM.
-func awaitSignal() {
+func waitForSignal() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	<-ctx.Done()
--- a/pkg/standin/platform.go
+++ b/pkg/standin/platform.go
@@ -22,15 +22,15 @@
 }
 
 // northQuotaMillis is the CPU quota of customer north, in thousandths of a processor.
-const northQuota = 4000
+const northQuotaMillis = 4000
 
 // Run starts the emulated platform and runs until SIGINT or SIGTERM. It returns an error if the emulator's
 // checker saw a violated invariant, such as a task that ran twice.
 func (c platformCommand) Run(s streams) error {
-	o := emulator.Options{Workers: c.Workers, OtherCallers: true}
+	o := emulator.Options{Workers: c.Workers, UnknownClients: true}
 	if c.Customers {
 		o.Customers = []emulator.Customer{
-			{Name: "north", Keys: []string{"north-key"}, Weight: 5, CPU: northQuota, MemoryMB: emulator.MemoryMB},
+			{Name: "north", Keys: []string{"north-key"}, Weight: 5, CPU: northQuotaMillis, MemoryMB: emulator.WorkerMemoryMB},
 			{Name: "south", Keys: []string{"south-key"}, Weight: 5},
 		}
 	}
@@ -45,10 +45,10 @@
 		if err != nil {
 			return errors.Wrap(err, "write settings of a host")
 		}
-		fmt.Fprintf(s.out, "host %s settings %s operators %s\n", h.Name, h.Settings, h.Figures)
+		fmt.Fprintf(s.out, "host %s settings %s operators %s\n", h.Name, h.Settings, h.Operator)
 	}
-	awaitSignal()
-	if violations := p.Ledger.Faults(); len(violations) > 0 {
+	waitForSignal()
+	if violations := p.Checker.Violations(); len(violations) > 0 {
 		return errors.Newf("invariants violated: %v", violations)
 	}
 	fmt.Fprintln(s.out, "no task ran twice")
--- a/pkg/standin/run_log.go
+++ b/pkg/standin/run_log.go
@@ -22,7 +22,7 @@
 }
 
 // RunLog records what ran on the stand-ins, and the violations that they saw. It is safe for concurrent use.
-type Ledger struct {
+type RunLog struct {
 	mu         sync.Mutex
 	runs       []*Run
 	violations map[string]int
@@ -30,12 +30,12 @@
 }
 
 // NewRunLog returns an empty run log.
-func NewLedger() *Ledger {
-	return &Ledger{violations: map[string]int{}}
+func NewRunLog() *RunLog {
+	return &RunLog{violations: map[string]int{}}
 }
 
 // Begin records the start of a run. The caller reports its end with End.
-func (l *Ledger) Begin(r Run) *Run {
+func (l *RunLog) Begin(r Run) *Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r.Start, r.Outcome = time.Now(), "running"
@@ -44,7 +44,7 @@
 }
 
 // End records the end of a run. It has no effect on a run that has already ended.
-func (l *Ledger) End(r *Run, outcome string) {
+func (l *RunLog) End(r *Run, outcome string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if r.Outcome == "running" {
@@ -53,7 +53,7 @@
 }
 
 // AddViolation counts a violation that a stand-in saw by itself.
-func (l *Ledger) Violation(invariant, note string) {
+func (l *RunLog) AddViolation(invariant, note string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.violations[invariant]++
@@ -67,25 +67,25 @@
 
 // The names of the invariants; they are the keys of CheckResult.Violations.
 const (
-	PromiseCapacity  = "capacity"     // no worker or endpoint is given more than its capacity
-	PromiseOnePlace  = "one_place"    // no two runs of a key overlap in time
-	PromiseOnce      = "at_most_once" // what is not repeatable runs at most once
-	PromiseLeaving   = "leaving"      // a leaving endpoint is sent no calls after leavingGrace
-	PromiseNotCut    = "not_cut"      // no call is in flight when an endpoint ends by draining or with its lease
-	PromiseNotRun    = "not_run"
-	PromiseWhole     = "whole_answer"
-	PromiseConfigure = "configuration"
+	InvariantCapacity      = "capacity"     // no worker or endpoint is given more than its capacity
+	InvariantOnePlace      = "one_place"    // no two runs of a key overlap in time
+	InvariantAtMostOnce    = "at_most_once" // what is not repeatable runs at most once
+	InvariantLeaving       = "leaving"      // a leaving endpoint is sent no calls after leavingGrace
+	InvariantNotCut        = "not_cut"      // no call is in flight when an endpoint ends by draining or with its lease
+	InvariantNotRun        = "not_run"
+	InvariantWholeAnswer   = "whole_answer"
+	InvariantConfiguration = "configuration"
 )
 
 // Invariants returns the names of the invariants in the order in which they are reported.
-func Promises() []string {
-	return []string{PromiseCapacity, PromiseOnePlace, PromiseWhole, PromiseNotRun,
-		PromiseOnce, PromiseLeaving, PromiseNotCut, PromiseConfigure}
+func Invariants() []string {
+	return []string{InvariantCapacity, InvariantOnePlace, InvariantWholeAnswer, InvariantNotRun,
+		InvariantAtMostOnce, InvariantLeaving, InvariantNotCut, InvariantConfiguration}
 }
 
 // CheckResult is the result of RunLog.Check: the number of runs, the number of violations of each invariant,
 // and notes about them.
-type Verdict struct {
+type CheckResult struct {
 	Runs       int            `json:"runs"`
 	Violations map[string]int `json:"violations"`
 	Notes      []string       `json:"notes"`
@@ -93,31 +93,31 @@
 
 // Check looks for runs of one key that overlap in time and for keys that are not repeatable but ran more than
 // once, and adds the violations that the stand-ins counted themselves.
-func (l *Ledger) Judge() Verdict {
+func (l *RunLog) Check() CheckResult {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	v := Verdict{Runs: len(l.runs), Violations: map[string]int{}, Notes: slices.Clone(l.notes)}
+	v := CheckResult{Runs: len(l.runs), Violations: map[string]int{}, Notes: slices.Clone(l.notes)}
 	for invariant, n := range l.violations {
 		v.Violations[invariant] = n
 	}
-	for key, runs := range l.byKey() {
-		if note := overlap(runs); note != "" {
-			v.add(PromiseOnePlace, key+" "+note)
+	for key, runs := range l.runsByKey() {
+		if note := describeOverlap(runs); note != "" {
+			v.addViolation(InvariantOnePlace, key+" "+note)
 		}
 		if runs[0].NotRepeatable && len(runs) > 1 {
-			v.add(PromiseOnce, fmt.Sprintf("%s ran %d times", key, len(runs)))
+			v.addViolation(InvariantAtMostOnce, fmt.Sprintf("%s ran %d times", key, len(runs)))
 		}
 	}
 	return v
 }
 
-func (v *Verdict) add(invariant, note string) {
+func (v *CheckResult) addViolation(invariant, note string) {
 	v.Violations[invariant]++
 	v.Notes = append(v.Notes, invariant+": "+note)
 }
 
 // RunCount returns how often a key ran.
-func (l *Ledger) Ran(key string) int {
+func (l *RunLog) RunCount(key string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
@@ -130,7 +130,7 @@
 }
 
 // Runs returns a copy of all runs.
-func (l *Ledger) Runs() []Run {
+func (l *RunLog) Runs() []Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	list := make([]Run, 0, len(l.runs))
@@ -140,7 +140,7 @@
 	return list
 }
 
-func (l *Ledger) byKey() map[string][]*Run {
+func (l *RunLog) runsByKey() map[string][]*Run {
 	index := map[string][]*Run{}
 	for _, r := range l.runs {
 		index[r.Key] = append(index[r.Key], r)
@@ -150,7 +150,7 @@
 
 // describeOverlap returns a text about the first two successive runs that overlap in time, or "" if none do.
 // The runs have to be in the order of their starts.
-func overlap(runs []*Run) string {
+func describeOverlap(runs []*Run) string {
 	for i := 1; i < len(runs); i++ {
 		before, after := runs[i-1], runs[i]
 		if before.End.IsZero() || before.End.After(after.Start) {
--- a/pkg/standin/store.go
+++ b/pkg/standin/store.go
@@ -33,23 +33,23 @@
 // Store is a stand-in for the key-value store and the host list of the platform. Items are kept in memory,
 // and deleted items stay as markers so that watchers learn of the deletion.
 type Store struct {
-	mu       sync.Mutex
-	items    map[string]storeapi.Item
-	revision int64
-	changed  chan struct{} // closed and replaced at each change, to wake up waiting ListValues calls
-	leases   map[int64]*storeLease
-	lastID   int64
-	faults   StoreFaults
-	counts   StoreCounts
-	nWrites  int
-	writes   *rate.Limiter
-	reads    *rate.Limiter
-	hosts    func() []storeapi.Host
+	mu           sync.Mutex
+	items        map[string]storeapi.Item
+	revision     int64
+	changed      chan struct{} // closed and replaced at each change, to wake up waiting ListValues calls
+	leases       map[int64]*storeLease
+	lastLeaseID  int64
+	faults       StoreFaults
+	counts       StoreCounts
+	writeCount   int
+	writeLimiter *rate.Limiter
+	readLimiter  *rate.Limiter
+	hosts        func() []storeapi.Host
 }
 
 type storeLease struct {
-	term time.Duration
-	ends time.Time
+	term      time.Duration
+	expiresAt time.Time
 }
 
 // NewStore returns an empty store that gets its host list from hosts.
@@ -57,7 +57,7 @@
 	return &Store{
 		items: map[string]storeapi.Item{}, changed: make(chan struct{}),
 		leases: map[int64]*storeLease{}, hosts: hosts,
-		writes: rate.NewLimiter(rate.Inf, 1), reads: rate.NewLimiter(rate.Inf, 1),
+		writeLimiter: rate.NewLimiter(rate.Inf, 1), readLimiter: rate.NewLimiter(rate.Inf, 1),
 	}
 }
 
@@ -67,12 +67,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
-	s.writes = limiter(f.WritesPerSecond)
-	s.reads = limiter(f.ReadsPerSecond)
-	s.notify()
+	s.writeLimiter = newLimiter(f.WritesPerSecond)
+	s.readLimiter = newLimiter(f.ReadsPerSecond)
+	s.notifyWatchers()
 }
 
-func limiter(callsPerSecond float64) *rate.Limiter {
+func newLimiter(callsPerSecond float64) *rate.Limiter {
 	if callsPerSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 1)
 	}
@@ -93,11 +93,11 @@
 		return nil, err
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s.serve(inner, w, r)
+		s.serveWithFaults(inner, w, r)
 	}), nil
 }
 
-func (s *Store) serve(inner http.Handler, w http.ResponseWriter, r *http.Request) {
+func (s *Store) serveWithFaults(inner http.Handler, w http.ResponseWriter, r *http.Request) {
 	isWrite := r.Method != http.MethodGet
 	faults, lose, allowed := s.admit(isWrite)
 	time.Sleep(faults.Delay)
@@ -107,7 +107,7 @@
 	case !allowed:
 		http.Error(w, `{"reason":"rate_limited"}`, http.StatusTooManyRequests)
 	case lose:
-		inner.ServeHTTP(discard{http.Header{}}, r)
+		inner.ServeHTTP(discardResponse{http.Header{}}, r)
 		panic(http.ErrAbortHandler)
 	default:
 		inner.ServeHTTP(w, r)
@@ -121,29 +121,29 @@
 	defer s.mu.Unlock()
 	if !isWrite {
 		s.counts.Reads++
-		return s.faults, false, s.reads.Allow()
+		return s.faults, false, s.readLimiter.Allow()
 	}
 	s.counts.Writes++
-	s.nWrites++
-	lose = s.faults.LoseAnswers > 0 && s.nWrites%s.faults.LoseAnswers == 0
-	return s.faults, lose, s.writes.Allow()
+	s.writeCount++
+	lose = s.faults.LoseAnswers > 0 && s.writeCount%s.faults.LoseAnswers == 0
+	return s.faults, lose, s.writeLimiter.Allow()
 }
 
 // discardResponse is a http.ResponseWriter that drops the response, for calls whose answer is lost.
-type discard struct{ header http.Header }
+type discardResponse struct{ header http.Header }
 
-func (d discard) Header() http.Header         { return d.header }
-func (d discard) Write(p []byte) (int, error) { return len(p), nil }
-func (d discard) WriteHeader(int)             {}
+func (d discardResponse) Header() http.Header         { return d.header }
+func (d discardResponse) Write(p []byte) (int, error) { return len(p), nil }
+func (d discardResponse) WriteHeader(int)             {}
 
 // ReadValue implements storeapi.Handler. It returns one item.
 func (s *Store) ReadValue(_ context.Context, p storeapi.ReadValueParams) (*storeapi.Item, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.expireLeases()
 	item, ok := s.items[p.Key]
 	if !ok || item.Deleted.Value {
-		return nil, refuse(http.StatusNotFound, storeapi.RefusalReasonAbsent)
+		return nil, newRefusal(http.StatusNotFound, storeapi.RefusalReasonAbsent)
 	}
 	return &item, nil
 }
@@ -153,15 +153,15 @@
 func (s *Store) SwapValue(_ context.Context, b *storeapi.Swap) (*storeapi.Written, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.expireLeases()
 	if len(b.Value) > store.MaxValueBytes {
-		return nil, refuse(http.StatusRequestEntityTooLarge, storeapi.RefusalReasonTooLarge)
+		return nil, newRefusal(http.StatusRequestEntityTooLarge, storeapi.RefusalReasonTooLarge)
 	}
 	if b.Lease.Set && s.leases[b.Lease.Value] == nil {
-		return nil, refuse(http.StatusConflict, storeapi.RefusalReasonNoLease)
+		return nil, newRefusal(http.StatusConflict, storeapi.RefusalReasonNoLease)
 	}
-	if s.standing(b.Key) != b.Expect {
-		return nil, refuse(http.StatusConflict, storeapi.RefusalReasonConflict)
+	if s.currentRevision(b.Key) != b.Expect {
+		return nil, newRefusal(http.StatusConflict, storeapi.RefusalReasonConflict)
 	}
 	s.put(storeapi.Item{Key: b.Key, Value: b.Value, Lease: b.Lease})
 	return &storeapi.Written{Revision: s.revision}, nil
@@ -171,9 +171,9 @@
 func (s *Store) DeleteValue(_ context.Context, p storeapi.DeleteValueParams) (*storeapi.Written, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
-	if s.standing(p.Key) != p.Expect || p.Expect == 0 {
-		return nil, refuse(http.StatusConflict, storeapi.RefusalReasonConflict)
+	s.expireLeases()
+	if s.currentRevision(p.Key) != p.Expect || p.Expect == 0 {
+		return nil, newRefusal(http.StatusConflict, storeapi.RefusalReasonConflict)
 	}
 	s.remove(p.Key)
 	return &storeapi.Written{Revision: s.revision}, nil
@@ -184,7 +184,7 @@
 func (s *Store) ListValues(ctx context.Context, p storeapi.ListValuesParams) (*storeapi.Listing, error) {
 	timeout := time.After(time.Duration(p.WaitMs.Value) * time.Millisecond)
 	for {
-		listing, changed, down := s.list(p)
+		listing, changed, down := s.listItems(p)
 		if down {
 			panic(http.ErrAbortHandler)
 		}
@@ -201,10 +201,10 @@
 	}
 }
 
-func (s *Store) list(p storeapi.ListValuesParams) (*storeapi.Listing, <-chan struct{}, bool) {
+func (s *Store) listItems(p storeapi.ListValuesParams) (*storeapi.Listing, <-chan struct{}, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.expireLeases()
 	listing := &storeapi.Listing{Revision: s.revision, Items: []storeapi.Item{}}
 	for key, item := range s.items {
 		skipDeleted := item.Deleted.Value && p.After.Value == 0
@@ -220,22 +220,22 @@
 func (s *Store) OpenLease(_ context.Context, b *storeapi.LeaseTerm) (*storeapi.Lease, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lastID++
+	s.lastLeaseID++
 	term := time.Duration(b.TTLMs) * time.Millisecond
-	s.leases[s.lastID] = &storeLease{term: term, ends: time.Now().Add(term)}
-	return &storeapi.Lease{ID: s.lastID, TTLMs: b.TTLMs}, nil
+	s.leases[s.lastLeaseID] = &storeLease{term: term, expiresAt: time.Now().Add(term)}
+	return &storeapi.Lease{ID: s.lastLeaseID, TTLMs: b.TTLMs}, nil
 }
 
 // RenewLease implements storeapi.Handler.
 func (s *Store) RenewLease(_ context.Context, p storeapi.RenewLeaseParams) (*storeapi.Lease, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.expireLeases()
 	lease, ok := s.leases[p.ID]
 	if !ok {
-		return nil, refuse(http.StatusConflict, storeapi.RefusalReasonNoLease)
+		return nil, newRefusal(http.StatusConflict, storeapi.RefusalReasonNoLease)
 	}
-	lease.ends = time.Now().Add(lease.term)
+	lease.expiresAt = time.Now().Add(lease.term)
 	return &storeapi.Lease{ID: p.ID, TTLMs: lease.term.Milliseconds()}, nil
 }
 
@@ -258,10 +258,10 @@
 	if refused, ok := err.(*storeapi.RefusedStatusCode); ok {
 		return refused
 	}
-	return refuse(http.StatusBadRequest, storeapi.RefusalReasonMalformed)
+	return newRefusal(http.StatusBadRequest, storeapi.RefusalReasonMalformed)
 }
 
-func refuse(status int, reason storeapi.RefusalReason) *storeapi.RefusedStatusCode {
+func newRefusal(status int, reason storeapi.RefusalReason) *storeapi.RefusedStatusCode {
 	return &storeapi.RefusedStatusCode{StatusCode: status, Response: storeapi.Refusal{Reason: reason}}
 }
 
@@ -269,13 +269,13 @@
 func (s *Store) Tick() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.expireLeases()
 }
 
-func (s *Store) expire() {
+func (s *Store) expireLeases() {
 	now := time.Now()
 	for id, lease := range s.leases {
-		if now.After(lease.ends) {
+		if now.After(lease.expiresAt) {
 			s.endLease(id)
 		}
 	}
@@ -292,7 +292,7 @@
 }
 
 // currentRevision returns the revision of an item, or 0 if there is none.
-func (s *Store) standing(key string) int64 {
+func (s *Store) currentRevision(key string) int64 {
 	item := s.items[key]
 	if item.Deleted.Value {
 		return 0
@@ -304,14 +304,14 @@
 	s.revision++
 	item.Revision = s.revision
 	s.items[item.Key] = item
-	s.notify()
+	s.notifyWatchers()
 }
 
 func (s *Store) remove(key string) {
 	s.put(storeapi.Item{Key: key, Deleted: storeapi.NewOptBool(true)})
 }
 
-func (s *Store) notify() {
+func (s *Store) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
--- a/pkg/standin/worker.go
+++ b/pkg/standin/worker.go
@@ -28,35 +28,35 @@
 // deadline, and ends a task when its lease expires.
 type Worker struct {
 	cfg         WorkerConfig
-	ledger      *Ledger
+	runLog      *RunLog
 	incarnation string
-	started     time.Time
+	startTime   time.Time
 
-	mu       sync.Mutex
-	tasks    map[string]*task
-	epochs   map[string]int64 // by shard: of the last commands
-	sequence map[string]int64 // by shard: of the last commands in the current epoch
-	draining bool
-	dead     bool
-	delay    time.Duration
-	loseNext int // commands that are still to lose their answer
+	mu            sync.Mutex
+	tasks         map[string]*task
+	epochs        map[string]int64 // by shard: of the last commands
+	sequence      map[string]int64 // by shard: of the last commands in the current epoch
+	draining      bool
+	dead          bool
+	delay         time.Duration
+	answersToLose int // commands that are still to lose their answer
 }
 
 type task struct {
-	spec     workerapi.TaskSpec
-	epoch    int64
-	state    workerapi.TaskState
-	result   string
-	leaseEnd time.Time
-	run      *Run
-	endpoint *Endpoint
-	stop     chan struct{}
+	spec        workerapi.TaskSpec
+	epoch       int64
+	state       workerapi.TaskState
+	result      string
+	leaseExpiry time.Time
+	run         *Run
+	endpoint    *Endpoint
+	stop        chan struct{}
 }
 
 // NewWorker returns a worker without tasks.
-func NewWorker(cfg WorkerConfig, ledger *Ledger) *Worker {
+func NewWorker(cfg WorkerConfig, ledger *RunLog) *Worker {
 	return &Worker{
-		cfg: cfg, ledger: ledger, incarnation: uuid.NewString(), started: time.Now(),
+		cfg: cfg, runLog: ledger, incarnation: uuid.NewString(), startTime: time.Now(),
 		tasks: map[string]*task{}, epochs: map[string]int64{}, sequence: map[string]int64{},
 	}
 }
@@ -74,7 +74,7 @@
 			panic(http.ErrAbortHandler)
 		}
 		if lose {
-			inner.ServeHTTP(discard{http.Header{}}, r)
+			inner.ServeHTTP(discardResponse{http.Header{}}, r)
 			panic(http.ErrAbortHandler)
 		}
 		inner.ServeHTTP(rw, r)
@@ -86,8 +86,8 @@
 func (w *Worker) admit(command bool) (delay time.Duration, lose, dead bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if command && w.loseNext > 0 {
-		w.loseNext--
+	if command && w.answersToLose > 0 {
+		w.answersToLose--
 		lose = true
 	}
 	return w.delay, lose, w.dead
@@ -97,7 +97,7 @@
 func (w *Worker) LoseAnswers(n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.loseNext = n
+	w.answersToLose = n
 }
 
 // Kill ends all tasks and makes the worker stop answering, like a host that lost its power.
@@ -130,7 +130,7 @@
 func (w *Worker) ReadStatus(context.Context) (*workerapi.Status, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.status(), nil
+	return w.buildStatus(), nil
 }
 
 // SendCommands implements workerapi.Handler. It carries out all commands of a call, or refuses all with
@@ -138,13 +138,13 @@
 func (w *Worker) SendCommands(_ context.Context, c *workerapi.Commands) (workerapi.SendCommandsRes, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.refuses(c) {
-		return &workerapi.Stale{Epoch: w.epochs[c.Shard], ClockMs: w.clock()}, nil
+	if w.isStale(c) {
+		return &workerapi.Stale{Epoch: w.epochs[c.Shard], ClockMs: w.uptimeMs()}, nil
 	}
 	w.epochs[c.Shard] = c.Epoch
 	w.sequence[c.Shard] = c.Sequence
 	for _, id := range c.Renew {
-		w.renew(id, c)
+		w.renewLease(id, c)
 	}
 	for _, id := range c.Drain {
 		w.drainTask(id)
@@ -155,20 +155,20 @@
 		}
 	}
 	for _, id := range c.Forget {
-		w.forget(id)
+		w.forgetTask(id)
 	}
 	for _, spec := range c.Start {
-		w.start(spec, c.Epoch)
+		w.startTask(spec, c.Epoch)
 	}
-	return w.status(), nil
+	return w.buildStatus(), nil
 }
 
 // isStale reports whether commands come from a previous owner (a lower epoch), are a repetition or older than
 // the last ones (the sequence), or arrive after their deadline.
-func (w *Worker) refuses(c *workerapi.Commands) bool {
+func (w *Worker) isStale(c *workerapi.Commands) bool {
 	known := w.epochs[c.Shard]
 	repeated := c.Epoch == known && c.Sequence <= w.sequence[c.Shard]
-	return c.Epoch < known || repeated || w.clock() > c.NotAfterMs
+	return c.Epoch < known || repeated || w.uptimeMs() > c.NotAfterMs
 }
 
 // Tick ends and forgets the tasks whose lease has expired.
@@ -177,7 +177,7 @@
 	defer w.mu.Unlock()
 	now := time.Now()
 	for id, t := range w.tasks {
-		if t.running() && now.After(t.leaseEnd) {
+		if t.running() && now.After(t.leaseExpiry) {
 			w.endTask(id, "lapsed")
 			delete(w.tasks, id)
 		}
@@ -189,18 +189,18 @@
 }
 
 // uptimeMs returns the clock of the worker: the milliseconds since it was created.
-func (w *Worker) clock() int64 {
-	return time.Since(w.started).Milliseconds()
+func (w *Worker) uptimeMs() int64 {
+	return time.Since(w.startTime).Milliseconds()
 }
 
-func (w *Worker) renew(id string, c *workerapi.Commands) {
+func (w *Worker) renewLease(id string, c *workerapi.Commands) {
 	if t, ok := w.tasks[id]; ok && t.running() {
 		t.epoch = c.Epoch
-		t.leaseEnd = time.Now().Add(time.Duration(c.LeaseMs) * time.Millisecond)
+		t.leaseExpiry = time.Now().Add(time.Duration(c.LeaseMs) * time.Millisecond)
 	}
 }
 
-func (w *Worker) forget(id string) {
+func (w *Worker) forgetTask(id string) {
 	if t, ok := w.tasks[id]; ok && !t.running() {
 		delete(w.tasks, id)
 	}
@@ -208,13 +208,13 @@
 
 // startTask starts a task, also beyond the capacity of the worker. A task that the worker already has is not
 // started again.
-func (w *Worker) start(spec workerapi.TaskSpec, epoch int64) {
+func (w *Worker) startTask(spec workerapi.TaskSpec, epoch int64) {
 	if _, ok := w.tasks[spec.ID]; ok {
 		return
 	}
 	t := &task{
 		spec: spec, epoch: epoch, state: workerapi.TaskStateRunning, stop: make(chan struct{}),
-		leaseEnd: time.Now().Add(time.Duration(spec.LeaseMs) * time.Millisecond),
+		leaseExpiry: time.Now().Add(time.Duration(spec.LeaseMs) * time.Millisecond),
 	}
 	w.tasks[spec.ID] = t
 	w.checkCapacity(spec.ID)
@@ -222,7 +222,7 @@
 		w.startService(t)
 		return
 	}
-	t.run = w.ledger.Begin(Run{
+	t.run = w.runLog.Begin(Run{
 		Kind: "batch", Key: spec.ID, Where: w.cfg.ID,
 		NotRepeatable: strings.Contains(spec.Payload, "not-repeatable"),
 	})
@@ -234,35 +234,35 @@
 	var used cell.Resources
 	for _, t := range w.tasks {
 		if t.running() {
-			used = used.Add(cell.Resources(resourcesOf(t.spec.Resources)))
+			used = used.Add(cell.Resources(convertResources(t.spec.Resources)))
 		}
 	}
 	if !used.Fits(w.cfg.Capacity) {
-		w.ledger.Violation(PromiseCapacity, "worker "+w.cfg.ID+" holds "+used.String()+" after "+id)
+		w.runLog.AddViolation(InvariantCapacity, "worker "+w.cfg.ID+" holds "+used.String()+" after "+id)
 	}
 }
 
-func resourcesOf(r workerapi.Resources) cell.Resources {
+func convertResources(r workerapi.Resources) cell.Resources {
 	return cell.Resources{CPUMillis: r.CPUMillis, MemoryMB: r.MemoryMB, Accelerators: r.Accelerators}
 }
 
 func (w *Worker) startService(t *task) {
 	e, err := StartEndpoint(EndpointConfig{
 		ID: t.spec.ID, Worker: w.cfg.ID, Slots: t.spec.Slots, CheckEpochs: w.cfg.CheckEpochs,
-	}, w.ledger)
+	}, w.runLog)
 	if err != nil {
 		t.state = workerapi.TaskStateFailed
 		t.result = err.Error()
 		return
 	}
 	t.endpoint = e
-	t.run = w.ledger.Begin(Run{Kind: "service", Key: t.spec.ID, Where: w.cfg.ID})
+	t.run = w.runLog.Begin(Run{Kind: "service", Key: t.spec.ID, Where: w.cfg.ID})
 }
 
 // runBatch runs a batch task. A payload such as "ms=50 text" takes 50 ms, and the result is "done: " and the
 // payload.
 func (w *Worker) runBatch(t *task) {
-	timer := time.NewTimer(durationOf(t.spec.Payload))
+	timer := time.NewTimer(payloadDuration(t.spec.Payload))
 	defer timer.Stop()
 	select {
 	case <-t.stop:
@@ -276,7 +276,7 @@
 	}
 	t.state = workerapi.TaskStateDone
 	t.result = "done: " + t.spec.Payload
-	w.ledger.End(t.run, "done")
+	w.runLog.End(t.run, "done")
 }
 
 // drainTask makes the endpoint of a service task leave, and ends the task when the endpoint has no more
@@ -315,27 +315,27 @@
 		t.endpoint.Stop(outcome)
 	}
 	if t.run != nil {
-		w.ledger.End(t.run, outcome)
+		w.runLog.End(t.run, outcome)
 	}
 }
 
-func (w *Worker) status() *workerapi.Status {
+func (w *Worker) buildStatus() *workerapi.Status {
 	s := &workerapi.Status{
 		Worker: w.cfg.ID, Incarnation: w.incarnation, Hall: string(w.cfg.Hall), Rack: w.cfg.Rack,
 		Labels:  append([]string{}, w.cfg.Labels...),
-		ClockMs: w.clock(), Draining: w.draining, Tasks: []workerapi.Task{},
+		ClockMs: w.uptimeMs(), Draining: w.draining, Tasks: []workerapi.Task{},
 		Capacity: workerapi.Resources{
 			CPUMillis: w.cfg.Capacity.CPUMillis, MemoryMB: w.cfg.Capacity.MemoryMB,
 			Accelerators: w.cfg.Capacity.Accelerators,
 		},
 	}
 	for _, t := range w.tasks {
-		s.Tasks = append(s.Tasks, t.report())
+		s.Tasks = append(s.Tasks, t.toAPI())
 	}
 	return s
 }
 
-func (t *task) report() workerapi.Task {
+func (t *task) toAPI() workerapi.Task {
 	r := workerapi.Task{
 		ID: t.spec.ID, Workload: t.spec.Workload, Kind: workerapi.TaskKind(t.spec.Kind),
 		Resources: t.spec.Resources, State: t.state, Epoch: t.epoch,
--- a/pkg/store/reads.go
+++ b/pkg/store/reads.go
@@ -18,7 +18,7 @@
 		if err != nil {
 			return err
 		}
-		item = itemOf(*got)
+		item = convertItem(*got)
 		return nil
 	})
 	return item, readError(err)
@@ -46,7 +46,7 @@
 		}
 		revision = got.Revision
 		for _, item := range got.Items {
-			items = append(items, itemOf(item))
+			items = append(items, convertItem(item))
 		}
 		return nil
 	})
@@ -56,7 +56,7 @@
 // readError turns ErrUnsettled into ErrUnavailable: a read has no effect, so nothing about it can be unknown.
 func readError(err error) error {
 	if errors.Is(err, ErrUnsettled) {
-		return errors.Mark(errors.Newf("read failed: %v", err), ErrDown)
+		return errors.Mark(errors.Newf("read failed: %v", err), ErrUnavailable)
 	}
 	return err
 }
@@ -105,6 +105,6 @@
 }
 
 // convertItem converts an item from its form in the protocol.
-func itemOf(i storeapi.Item) Item {
+func convertItem(i storeapi.Item) Item {
 	return Item{Key: i.Key, Value: i.Value, Revision: i.Revision, Deleted: i.Deleted.Value}
 }
--- a/pkg/store/store.go
+++ b/pkg/store/store.go
@@ -17,7 +17,7 @@
 )
 
 // maxIdleConnections is how many idle connections are kept open to each address of the service.
-const idleConnections = 4
+const maxIdleConnections = 4
 
 // MaxValueBytes is the largest value that the service accepts.
 const MaxValueBytes = 1 << 20
@@ -29,7 +29,7 @@
 	ErrTooLarge = errors.New("value exceeds the store's size limit")
 	ErrNoLease  = errors.New("store lease has ended")
 	// ErrUnavailable means that the call certainly had no effect.
-	ErrDown = errors.New("store is unavailable")
+	ErrUnavailable = errors.New("store is unavailable")
 	// ErrUnsettled means that a write may or may not have taken effect.
 	ErrUnsettled = errors.New("it is not known whether the write to the store took effect")
 )
@@ -55,30 +55,30 @@
 
 // Store is a client of the platform's service. It is safe for concurrent use.
 type Store struct {
-	cfg     Config
-	http    *http.Client
-	clients []*storeapi.Client
-	current atomic.Int64
-	reads   *rate.Limiter
-	writes  *rate.Limiter
-	clk     clock.Clock
-	lastOK  atomic.Int64
-	nReads  metrics.Counter
-	nWrites metrics.Counter
+	cfg        Config
+	http       *http.Client
+	clients    []*storeapi.Client
+	current    atomic.Int64
+	reads      *rate.Limiter
+	writes     *rate.Limiter
+	clk        clock.Clock
+	lastAnswer atomic.Int64
+	readCount  metrics.Counter
+	writeCount metrics.Counter
 }
 
 // New returns a client. It counts its calls in the metrics store.reads and store.writes of the registry.
 func New(cfg Config, d *dialer.Dialer, clk clock.Clock, registry metrics.Registry) (*Store, error) {
 	s := &Store{
-		cfg:     cfg,
-		clk:     clk,
-		reads:   rate.NewLimiter(rate.Limit(cfg.ReadsPerSecond), int(cfg.ReadsPerSecond)+1),
-		writes:  rate.NewLimiter(rate.Limit(cfg.WritesPerSecond), int(cfg.WritesPerSecond)+1),
-		nReads:  metrics.NewRegisteredCounter("store.reads", registry),
-		nWrites: metrics.NewRegisteredCounter("store.writes", registry),
+		cfg:        cfg,
+		clk:        clk,
+		reads:      rate.NewLimiter(rate.Limit(cfg.ReadsPerSecond), int(cfg.ReadsPerSecond)+1),
+		writes:     rate.NewLimiter(rate.Limit(cfg.WritesPerSecond), int(cfg.WritesPerSecond)+1),
+		readCount:  metrics.NewRegisteredCounter("store.reads", registry),
+		writeCount: metrics.NewRegisteredCounter("store.writes", registry),
 	}
-	s.lastOK.Store(-int64(time.Hour / time.Millisecond))
-	s.http = &http.Client{Transport: d.Transport(idleConnections)}
+	s.lastAnswer.Store(-int64(time.Hour / time.Millisecond))
+	s.http = &http.Client{Transport: d.Transport(maxIdleConnections)}
 	for _, address := range cfg.Addresses {
 		c, err := storeapi.NewClient(fmt.Sprintf("http://%s", address), storeapi.WithClient(s.http))
 		if err != nil {
@@ -94,11 +94,11 @@
 
 // LastAnswer returns when the store last answered this process.
 func (s *Store) LastAnswer() clock.Time {
-	return clock.Time(s.lastOK.Load())
+	return clock.Time(s.lastAnswer.Load())
 }
 
 // AnsweredWithin reports whether the store has answered this process within the given time before now.
-func (s *Store) Up(within time.Duration) bool {
+func (s *Store) AnsweredWithin(within time.Duration) bool {
 	return s.clk.Now().Sub(s.LastAnswer()) < within
 }
 
@@ -110,18 +110,18 @@
 // read makes a call that changes nothing, subject to the read rate and the given time limit.
 func (s *Store) read(ctx context.Context, limit time.Duration, call func(context.Context, *storeapi.Client) error) error {
 	if err := s.reads.Wait(ctx); err != nil {
-		return errors.Mark(err, ErrDown)
+		return errors.Mark(err, ErrUnavailable)
 	}
-	s.nReads.Inc(1)
+	s.readCount.Inc(1)
 	return s.call(ctx, limit, call)
 }
 
 // write makes a call that changes the store, subject to the write rate and the configured time limit.
 func (s *Store) write(ctx context.Context, call func(context.Context, *storeapi.Client) error) error {
 	if err := s.writes.Wait(ctx); err != nil {
-		return errors.Mark(err, ErrDown)
+		return errors.Mark(err, ErrUnavailable)
 	}
-	s.nWrites.Inc(1)
+	s.writeCount.Inc(1)
 	return s.call(ctx, s.cfg.CallTimeout, call)
 }
 
@@ -131,7 +131,7 @@
 	defer cancel()
 	err := call(ctx, s.client())
 	if err == nil {
-		s.lastOK.Store(int64(s.clk.Now()))
+		s.lastAnswer.Store(int64(s.clk.Now()))
 		return nil
 	}
 	return s.classify(err)
@@ -146,26 +146,26 @@
 		s.http.CloseIdleConnections()
 		s.current.Add(1)
 		if dialer.NotSent(err) {
-			return errors.Mark(err, ErrDown)
+			return errors.Mark(err, ErrUnavailable)
 		}
 		return errors.Mark(err, ErrUnsettled)
 	}
 	switch refused.Response.Reason {
 	case storeapi.RefusalReasonAbsent:
-		return s.answered(ErrAbsent)
+		return s.recordAnswer(ErrAbsent)
 	case storeapi.RefusalReasonConflict:
-		return s.answered(ErrConflict)
+		return s.recordAnswer(ErrConflict)
 	case storeapi.RefusalReasonTooLarge:
-		return s.answered(ErrTooLarge)
+		return s.recordAnswer(ErrTooLarge)
 	case storeapi.RefusalReasonNoLease:
-		return s.answered(ErrNoLease)
+		return s.recordAnswer(ErrNoLease)
 	default:
-		return errors.Mark(errors.Newf("store refused the call: %s", refused.Response.Reason), ErrDown)
+		return errors.Mark(errors.Newf("store refused the call: %s", refused.Response.Reason), ErrUnavailable)
 	}
 }
 
 // recordAnswer records that the store has answered, and returns err unchanged.
-func (s *Store) answered(err error) error {
-	s.lastOK.Store(int64(s.clk.Now()))
+func (s *Store) recordAnswer(err error) error {
+	s.lastAnswer.Store(int64(s.clk.Now()))
 	return err
 }
--- a/pkg/store/store_test.go
+++ b/pkg/store/store_test.go
@@ -40,7 +40,7 @@
 	return s
 }
 
-func TestSwapIsSettledAfterLostAnswers(t *testing.T) {
+func TestSwapDeterminesItsOutcomeAfterLostAnswers(t *testing.T) {
 	g := NewWithT(t)
 	s, fake := newStore(t)
 	fake.SetFaults(standin.StoreFaults{LoseAnswers: 2}) // loses the answer of every second write
@@ -78,13 +78,13 @@
 	g.Expect(errors.Is(err, store.ErrUnsettled)).To(BeTrue(), "%v", err)
 }
 
-func TestSwapIsDownWhenNothingListens(t *testing.T) {
+func TestSwapIsUnavailableWhenNothingListens(t *testing.T) {
 	g := NewWithT(t)
 	closed := httptest.NewServer(http.NotFoundHandler())
 	closed.Close()
 	s := clientOf(g, closed.URL)
 	_, err := s.Swap(context.Background(), store.Item{Key: "k", Value: "v"}, 0)
-	g.Expect(errors.Is(err, store.ErrDown)).To(BeTrue(), "%v", err)
+	g.Expect(errors.Is(err, store.ErrUnavailable)).To(BeTrue(), "%v", err)
 }
 
 func TestValueOverTheLimitIsRefusedBeforeItIsSent(t *testing.T) {
@@ -95,7 +95,7 @@
 	g.Expect(fake.Counts().Writes).To(BeZero())
 }
 
-func TestValuesUnderALeaseGoWithIt(t *testing.T) {
+func TestValuesAreDeletedWithTheirLease(t *testing.T) {
 	g := NewWithT(t)
 	s, _ := newStore(t)
 	ctx := context.Background()
@@ -110,7 +110,7 @@
 	g.Expect(errors.Is(s.RenewLease(ctx, lease), store.ErrNoLease)).To(BeTrue())
 }
 
-func TestWatchTellsOfAChange(t *testing.T) {
+func TestWatchReportsAChange(t *testing.T) {
 	g := NewWithT(t)
 	s, _ := newStore(t)
 	ctx := context.Background()
--- a/pkg/store/writes.go
+++ b/pkg/store/writes.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	retryFirst = 50 * time.Millisecond // upper bound of the delay before the first retry
-	retryMost  = 2 * time.Second       // upper bound of any delay
+	minRetryDelay = 50 * time.Millisecond // upper bound of the delay before the first retry
+	maxRetryDelay = 2 * time.Second       // upper bound of any delay
 )
 
 // Swap writes a value if its key still has the expected revision (0: the key does not exist) and
@@ -29,7 +29,7 @@
 	}
 	revision, err := s.swapOnce(ctx, item, expect, lease)
 	for attempt := 0; errors.Is(err, ErrUnsettled) && ctx.Err() == nil; attempt++ {
-		revision, err = s.settle(ctx, item, expect, lease, attempt)
+		revision, err = s.retryUnsettled(ctx, item, expect, lease, attempt)
 	}
 	return revision, err
 }
@@ -55,15 +55,15 @@
 // retryUnsettled repeats a write whose answer was lost. Reading the value alone would not show that the
 // write had no effect, since the first attempt may still be on its way. Writing again with the same
 // expected revision is conclusive, because only one of the two attempts can take effect.
-func (s *Store) settle(ctx context.Context, item Item, expect int64, lease LeaseID, attempt int) (int64, error) {
-	if err := Pause(ctx, attempt); err != nil {
+func (s *Store) retryUnsettled(ctx context.Context, item Item, expect int64, lease LeaseID, attempt int) (int64, error) {
+	if err := Backoff(ctx, attempt); err != nil {
 		return 0, errors.Wrapf(ErrUnsettled, "write of %s: context ended while the outcome was unknown", item.Key)
 	}
 	revision, err := s.swapOnce(ctx, item, expect, lease)
 	if errors.Is(err, ErrConflict) {
 		return s.readBack(ctx, item)
 	}
-	if errors.Is(err, ErrDown) {
+	if errors.Is(err, ErrUnavailable) {
 		return 0, errors.Wrapf(ErrUnsettled, "write of %s: store became unavailable after the answer was lost", item.Key)
 	}
 	return revision, err
@@ -124,8 +124,8 @@
 
 // Backoff waits before another attempt: exponentially longer with each attempt, with random jitter so
 // that many processes do not retry at the same moment. It returns early, with an error, when ctx ends.
-func Pause(ctx context.Context, attempt int) error {
-	most := min(retryFirst<<min(attempt, 10), retryMost)
+func Backoff(ctx context.Context, attempt int) error {
+	most := min(minRetryDelay<<min(attempt, 10), maxRetryDelay)
 	t := time.NewTimer(most/2 + rand.N(most/2))
 	defer t.Stop()
 	select {
--- a/pkg/takeover/blocked_jobs_test.go
+++ b/pkg/takeover/blocked_jobs_test.go
@@ -8,7 +8,7 @@
 )
 
 // A few workers that never report again must not block jobs that have no run there.
-func TestHolds(t *testing.T) {
+func TestIsBlocked(t *testing.T) {
 	retired := SilentWorker{Worker: "retired", Retired: true, Jobs: []job.ID{"a", "b"}}
 	unrestricted := SilentWorker{Worker: "unrestricted"}
 	none, elsewhere, there := StoredWorkers{}, StoredWorkers{true, []string{"w1", "w2"}}, StoredWorkers{true, []string{"w1", "unrestricted"}}
--- a/pkg/tomlfile/decode.go
+++ b/pkg/tomlfile/decode.go
@@ -18,22 +18,22 @@
 	Key  string
 	Text string
 	// Fatal means that decoding stopped at this problem and the target must not be used.
-	Unread bool
+	Fatal bool
 }
 
 // typeErrorPattern extracts line, key and message from the TOML library's text for a value of a wrong
 // type. The library provides them in no other form.
-var typeFault = regexp.MustCompile(`line (\d+) \(last key "([^"]*)"\): (.*)`)
+var typeErrorPattern = regexp.MustCompile(`line (\d+) \(last key "([^"]*)"\): (.*)`)
 
 // Decode decodes text into the struct that target points to. It returns either all unknown keys, or the
 // single encoding, syntax or type error that stopped decoding.
 func Decode(text string, target any) []Problem {
 	if !utf8.ValidString(text) {
-		return []Problem{{Line: firstInvalidLine(text), Text: "the text is not UTF-8", Unread: true}}
+		return []Problem{{Line: firstInvalidLine(text), Text: "the text is not UTF-8", Fatal: true}}
 	}
 	meta, err := toml.Decode(text, target)
 	if err != nil {
-		return []Problem{problemOf(err)}
+		return []Problem{problemFromError(err)}
 	}
 	var problems []Problem
 	known := knownKeys(reflect.TypeOf(target))
@@ -47,16 +47,16 @@
 	return problems
 }
 
-func problemOf(err error) Problem {
+func problemFromError(err error) Problem {
 	var parse toml.ParseError
 	if errors.As(err, &parse) {
-		return Problem{Line: parse.Position.Line, Key: parse.LastKey, Text: parse.Message, Unread: true}
+		return Problem{Line: parse.Position.Line, Key: parse.LastKey, Text: parse.Message, Fatal: true}
 	}
-	if m := typeFault.FindStringSubmatch(err.Error()); m != nil {
+	if m := typeErrorPattern.FindStringSubmatch(err.Error()); m != nil {
 		line, _ := strconv.Atoi(m[1])
-		return Problem{Line: line, Key: m[2], Text: m[3], Unread: true}
+		return Problem{Line: line, Key: m[2], Text: m[3], Fatal: true}
 	}
-	return Problem{Line: 1, Text: err.Error(), Unread: true}
+	return Problem{Line: 1, Text: err.Error(), Fatal: true}
 }
 
 func firstInvalidLine(text string) int {
@@ -83,7 +83,7 @@
 			continue
 		}
 		name, _, found := strings.Cut(line, "=")
-		if found && join(table, strings.TrimSpace(name)) == dotted {
+		if found && joinKey(table, strings.TrimSpace(name)) == dotted {
 			return i + 1
 		}
 	}
@@ -93,7 +93,7 @@
 	return 1
 }
 
-func join(table, name string) string {
+func joinKey(table, name string) string {
 	if table == "" {
 		return name
 	}
--- a/pkg/trace/generate.go
+++ b/pkg/trace/generate.go
@@ -44,7 +44,7 @@
 }
 
 // skewedMS returns a random duration in milliseconds with the given mean and a long tail.
-func (g *generator) skewed(mean float64) int64 {
+func (g *generator) skewedMS(mean float64) int64 {
 	return int64(mean*0.6 + mean*0.4*g.rng.ExpFloat64())
 }
 
@@ -57,7 +57,7 @@
 
 func (g *generator) hanbit() {
 	g.poisson(0, hanbitLength, 6, func(at int64) {
-		g.add(Event{AtMS: at, Workload: "sheets", Caller: fmt.Sprintf("app-%d", g.rng.IntN(20)), Class: "background", WorkMS: g.skewed(12), LimitMS: 8000})
+		g.add(Event{AtMS: at, Workload: "sheets", Caller: fmt.Sprintf("app-%d", g.rng.IntN(20)), Class: "background", WorkMS: g.skewedMS(12), LimitMS: 8000})
 	})
 	for game := range hanbitGames {
 		begin := time.Duration(g.rng.IntN(60)) * time.Second
@@ -71,10 +71,10 @@
 	for goal := range goals {
 		at := begin + time.Duration(goal)*15*time.Second + time.Duration(g.rng.IntN(8000))*time.Millisecond
 		g.poisson(at, at+3*time.Second, 25, func(ms int64) {
-			g.add(Event{AtMS: ms, Workload: "ticks", Caller: fmt.Sprintf("app-%d", g.rng.IntN(20)), Class: "urgent", WorkMS: g.skewed(4), LimitMS: 2000, Once: true})
+			g.add(Event{AtMS: ms, Workload: "ticks", Caller: fmt.Sprintf("app-%d", g.rng.IntN(20)), Class: "urgent", WorkMS: g.skewedMS(4), LimitMS: 2000, NotRepeatable: true})
 		})
 		g.poisson(at+2*time.Second, at+10*time.Second, 1.5, func(ms int64) {
-			g.add(Event{AtMS: ms, Workload: "recaps", Caller: fmt.Sprintf("broadcaster-%d", game%3), Class: "normal", WorkMS: g.skewed(60), LimitMS: 8000})
+			g.add(Event{AtMS: ms, Workload: "recaps", Caller: fmt.Sprintf("broadcaster-%d", game%3), Class: "normal", WorkMS: g.skewedMS(60), LimitMS: 8000})
 		})
 	}
 }
@@ -87,19 +87,19 @@
 	members := []string{"foundry", "polymer", "testing"}
 	member := func() string { return members[g.rng.IntN(len(members))] }
 	g.poisson(0, associationLength, 0.8, func(at int64) {
-		g.add(Event{AtMS: at, Workload: "fit", Batch: true, Caller: member(), Team: "members", WorkMS: g.skewed(400), Size: 2000, Memory: 4096, Window: 60000})
+		g.add(Event{AtMS: at, Workload: "fit", Batch: true, Caller: member(), Team: "members", WorkMS: g.skewedMS(400), CPUMillis: 2000, MemoryMB: 4096, WindowMS: 60000})
 	})
 	for sweep := range 4 {
 		begin := time.Duration(20+sweep*50) * time.Second
 		caller := member()
 		g.poisson(begin, begin+8*time.Second, 5, func(at int64) {
-			g.add(Event{AtMS: at, Workload: "screen", Batch: true, Caller: caller, Team: "screens", WorkMS: g.skewed(250), Size: 1000, Memory: 2048, Window: 120000})
+			g.add(Event{AtMS: at, Workload: "screen", Batch: true, Caller: caller, Team: "screens", WorkMS: g.skewedMS(250), CPUMillis: 1000, MemoryMB: 2048, WindowMS: 120000})
 		})
 	}
 	g.poisson(0, associationLength, 0.15, func(at int64) {
-		g.add(Event{AtMS: at, Workload: "publish", Batch: true, Caller: member(), Team: "members", WorkMS: g.skewed(80), Once: true, Size: 500, Memory: 512, Window: 30000})
+		g.add(Event{AtMS: at, Workload: "publish", Batch: true, Caller: member(), Team: "members", WorkMS: g.skewedMS(80), NotRepeatable: true, CPUMillis: 500, MemoryMB: 512, WindowMS: 30000})
 	})
 	g.poisson(0, associationLength, 3, func(at int64) {
-		g.add(Event{AtMS: at, Workload: "lookup", Caller: member(), Class: "normal", WorkMS: g.skewed(8), LimitMS: 5000})
+		g.add(Event{AtMS: at, Workload: "lookup", Caller: member(), Class: "normal", WorkMS: g.skewedMS(8), LimitMS: 5000})
 	})
 }
--- a/pkg/trace/trace.go
+++ b/pkg/trace/trace.go
@@ -26,20 +26,20 @@
 
 // Event is one request of a trace.
 type Event struct {
-	AtMS     int64  `json:"at_ms"` // since the start of the trace
-	Workload string `json:"workload"`
-	Batch    bool   `json:"batch,omitempty"`
-	Caller   string `json:"caller"`
-	Key      string `json:"key,omitempty"`
-	Class    string `json:"class,omitempty"`
-	WorkMS   int64  `json:"work_ms"`               // how long the endpoint or task works on it
-	LimitMS  int64  `json:"limit_ms,omitempty"`    // time limit of a call
-	Once     bool   `json:"once,omitempty"`        // must not be executed more than once
-	Team     string `json:"team,omitempty"`        // batch requests only
-	Size     int64  `json:"cpu_millis,omitempty"`  // batch requests only
-	Memory   int64  `json:"memory_mb,omitempty"`   // batch requests only
-	Window   int64  `json:"window_ms,omitempty"`   // batch requests only
-	Accel    int64  `json:"accelerator,omitempty"` // batch requests only
+	AtMS          int64  `json:"at_ms"` // since the start of the trace
+	Workload      string `json:"workload"`
+	Batch         bool   `json:"batch,omitempty"`
+	Caller        string `json:"caller"`
+	Key           string `json:"key,omitempty"`
+	Class         string `json:"class,omitempty"`
+	WorkMS        int64  `json:"work_ms"`               // how long the endpoint or task works on it
+	LimitMS       int64  `json:"limit_ms,omitempty"`    // time limit of a call
+	NotRepeatable bool   `json:"once,omitempty"`        // must not be executed more than once
+	Team          string `json:"team,omitempty"`        // batch requests only
+	CPUMillis     int64  `json:"cpu_millis,omitempty"`  // batch requests only
+	MemoryMB      int64  `json:"memory_mb,omitempty"`   // batch requests only
+	WindowMS      int64  `json:"window_ms,omitempty"`   // batch requests only
+	Accelerators  int64  `json:"accelerator,omitempty"` // batch requests only
 }
 
 // At returns the time of the request since the start of the trace.
@@ -50,7 +50,7 @@
 // Body returns the request body. The stand-in services parse it to learn how long to work on the request.
 func (e Event) Body() string {
 	option := ""
-	if e.Once && e.Batch {
+	if e.NotRepeatable && e.Batch {
 		option = " not-repeatable"
 	}
 	return fmt.Sprintf("ms=%d%s %s", e.WorkMS, option, e.Key)
--- a/pkg/trace/trace_test.go
+++ b/pkg/trace/trace_test.go
@@ -12,7 +12,7 @@
 
 var update = flag.Bool("update", false, "rewrite the bundled traces from the generator")
 
-func TestBundledTracesAreWhatTheGeneratorWrites(t *testing.T) {
+func TestBundledTracesMatchTheGenerator(t *testing.T) {
 	for _, name := range []Name{Hanbit, Association} {
 		t.Run(string(name), func(t *testing.T) {
 			g := NewWithT(t)
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestReadNamesTheLineOfAFault(t *testing.T) {
+func TestReadErrorNamesTheLine(t *testing.T) {
 	g := NewWithT(t)
 	_, err := Read(strings.NewReader("{\"at_ms\":1}\n{\"at_mss\":2}\n"))
 	g.Expect(err).To(MatchError(ContainSubstring("line 2")))
--- a/pkg/traffic/meter.go
+++ b/pkg/traffic/meter.go
@@ -24,7 +24,7 @@
 	if m == nil {
 		return c
 	}
-	return &conn{c, m}
+	return &meteredConn{c, m}
 }
 
 // Listener returns a listener that counts the bytes of all connections that l accepts.
@@ -32,35 +32,35 @@
 	if m == nil {
 		return l
 	}
-	return &listener{l, m}
+	return &meteredListener{l, m}
 }
 
-type conn struct {
+type meteredConn struct {
 	net.Conn
 	meter *Meter
 }
 
 // Read reads from the connection and counts the bytes.
-func (c *conn) Read(p []byte) (int, error) {
+func (c *meteredConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.meter.received.Inc(int64(n))
 	return n, err
 }
 
 // Write writes to the connection and counts the bytes.
-func (c *conn) Write(p []byte) (int, error) {
+func (c *meteredConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.meter.sent.Inc(int64(n))
 	return n, err
 }
 
-type listener struct {
+type meteredListener struct {
 	net.Listener
 	meter *Meter
 }
 
 // Accept accepts a connection whose bytes are counted.
-func (l *listener) Accept() (net.Conn, error) {
+func (l *meteredListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
--- a/pkg/traffic/meter_test.go
+++ b/pkg/traffic/meter_test.go
@@ -9,7 +9,7 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-func TestMeterCountsBothWays(t *testing.T) {
+func TestMeterCountsBothDirections(t *testing.T) {
 	g := NewWithT(t)
 	r := metrics.NewRegistry()
 	m := New("peers", r)
@@ -35,7 +35,7 @@
 	g.Expect(r.Get("bytes.peers.sent").(metrics.Counter).Count()).To(BeEquivalentTo(3))
 }
 
-func TestNoMeterCountsNothing(t *testing.T) {
+func TestNilMeterCountsNothing(t *testing.T) {
 	g := NewWithT(t)
 	var m *Meter
 	c, _ := net.Pipe()
--- a/pkg/upkeep/machine_list_test.go
+++ b/pkg/upkeep/machine_list_test.go
@@ -9,12 +9,12 @@
 // The pages of a machine list are read at different times, so one list may omit a machine that still
 // exists. If such a machine counted as removed, the wave would be completed without its upkeep although
 // the next list has it again.
-func TestMachineThatOneListMissesIsNotDone(t *testing.T) {
+func TestMachineMissingFromOneListIsNotDone(t *testing.T) {
 	g := NewWithT(t)
-	p := newPlanner(3)
-	p.SetMachines(machines(Up, Up)) // m3 is missing
+	p := newPlannerWithWave(3)
+	p.SetMachines(machinesInStates(StateUp, StateUp)) // m3 is missing
 	p.Plan(100)
-	p.SetMachines(machines(Up, Up, Up))
+	p.SetMachines(machinesInStates(StateUp, StateUp, StateUp))
 	var ordered []MachineID
 	for _, o := range p.Plan(200).Orders {
 		ordered = append(ordered, o.Machine.ID)
--- a/pkg/upkeep/plan.go
+++ b/pkg/upkeep/plan.go
@@ -16,10 +16,10 @@
 
 // Machine states; the values are the platform's.
 const (
-	Up     MachineState = "up"
-	Moving MachineState = "moving"
-	Down   MachineState = "down"
-	Upkeep MachineState = "upkeep"
+	StateUp     MachineState = "up"
+	StateMoving MachineState = "moving"
+	StateDown   MachineState = "down"
+	StateUpkeep MachineState = "upkeep"
 )
 
 // Machine is a machine as the platform lists it.
@@ -36,44 +36,44 @@
 	Machines []MachineID
 	Duration time.Duration
 	// MaxUnavailable is how many machines of the wave may be unavailable at the same time.
-	AtOnce int
+	MaxUnavailable int
 }
 
 // missingListsUntilGone is the number of consecutive lists without a machine after which it counts
 // as removed. The pages of a list are read at different times, so one list may omit a machine that
 // still exists.
-const goneAfter = 2
+const missingListsUntilGone = 2
 
 // orderSettleTime is how long a machine may still be listed as up after its order. If the platform
 // acknowledged the order, the machine then counts as maintained before; otherwise the order counts
 // as lost.
-const settleFor = 3 * time.Second
+const orderSettleTime = 3 * time.Second
 
 // drainShare is the fraction of a machine's share of the wave's duration that is left for its
 // running tasks to end; after that they are moved.
-const emptyShare = 0.5
+const drainShare = 0.5
 
 // Planner schedules the upkeep of all waves. It is not safe for concurrent use.
 type Planner struct {
-	waves    map[int64]*wave
-	machines map[MachineID]Machine
-	listed   bool
+	waves         map[int64]*wave
+	machines      map[MachineID]Machine
+	machinesKnown bool
 }
 
 type wave struct {
 	Wave
-	since    clock.Time
-	shown    string
-	progress map[MachineID]*progress
+	addedAt       clock.Time
+	recordedState string
+	progress      map[MachineID]*progress
 }
 
 type progress struct {
-	closedAt  clock.Time // 0 until the machine's worker is closed
-	orderedAt clock.Time // 0 while no order is outstanding
-	answered  bool       // the platform answered that it accepts the order or has carried it out before
-	wasDown   bool
-	missing   int // consecutive calls of Plan whose machine list lacked the machine
-	done      bool
+	closedAt     clock.Time // 0 until the machine's worker is closed
+	orderedAt    clock.Time // 0 while no order is outstanding
+	answered     bool       // the platform answered that it accepts the order or has carried it out before
+	wasDown      bool
+	missingLists int // consecutive calls of Plan whose machine list lacked the machine
+	done         bool
 }
 
 // New returns a planner that has no waves.
@@ -82,24 +82,24 @@
 }
 
 // AddWave adds a wave. A wave whose number is already known is ignored.
-func (p *Planner) PutWave(w Wave, now clock.Time) {
+func (p *Planner) AddWave(w Wave, now clock.Time) {
 	if _, ok := p.waves[w.Number]; ok {
 		return
 	}
-	p.waves[w.Number] = &wave{Wave: w, since: now, progress: map[MachineID]*progress{}}
+	p.waves[w.Number] = &wave{Wave: w, addedAt: now, progress: map[MachineID]*progress{}}
 }
 
 // MarkCompleted records that a previous owner has completed a wave.
-func (p *Planner) Finish(number int64) {
+func (p *Planner) MarkCompleted(number int64) {
 	if w, ok := p.waves[number]; ok {
-		w.shown = Completed
+		w.recordedState = WaveCompleted
 	}
 }
 
 // HasActiveWave reports whether any wave is not completed.
-func (p *Planner) Active() bool {
+func (p *Planner) HasActiveWave() bool {
 	for _, w := range p.waves {
-		if w.shown != Completed {
+		if w.recordedState != WaveCompleted {
 			return true
 		}
 	}
@@ -112,13 +112,13 @@
 	for _, m := range machines {
 		p.machines[m.ID] = m
 	}
-	p.listed = true
+	p.machinesKnown = true
 }
 
 // Wave states, as operators read them.
 const (
-	Running   = "running"
-	Completed = "completed"
+	WaveRunning   = "running"
+	WaveCompleted = "completed"
 )
 
 // Order is an order that sends a machine into upkeep.
@@ -130,7 +130,7 @@
 }
 
 // StateUpdate is a state of a wave that the caller has to store.
-type Show struct {
+type StateUpdate struct {
 	Wave  int64
 	State string
 }
@@ -138,21 +138,21 @@
 // Plan lists the actions that are due.
 type Plan struct {
 	// CloseWorkers lists the workers that must get no new tasks; their running tasks may end.
-	Close []string
+	CloseWorkers []string
 	// Orders are for machines whose workers are closed. The caller holds an order back until the
 	// machine is empty, unless the order is forced.
-	Orders []Order
-	Shows  []Show
+	Orders       []Order
+	StateUpdates []StateUpdate
 }
 
 // Plan returns the actions that are due. Before the first SetMachines there are none.
 func (p *Planner) Plan(now clock.Time) Plan {
 	var out Plan
-	if !p.listed {
+	if !p.machinesKnown {
 		return out
 	}
 	for _, number := range slices.Sorted(maps.Keys(p.waves)) {
-		if w := p.waves[number]; w.shown != Completed {
+		if w := p.waves[number]; w.recordedState != WaveCompleted {
 			p.planWave(w, now, &out)
 		}
 	}
@@ -163,16 +163,16 @@
 	unavailable, remaining := 0, 0
 	for _, id := range w.Machines {
 		m, listed := p.machines[id]
-		pr := w.of(id)
+		pr := w.progressOf(id)
 		if !listed {
-			if pr.missing++; pr.missing < goneAfter {
+			if pr.missingLists++; pr.missingLists < missingListsUntilGone {
 				remaining++
 			}
 			continue
 		}
-		pr.missing = 0
+		pr.missingLists = 0
 		pr.observe(m, now)
-		if m.State != Up || pr.orderedAt != 0 && !pr.done {
+		if m.State != StateUp || pr.orderedAt != 0 && !pr.done {
 			unavailable++
 		}
 		if !pr.done {
@@ -180,38 +180,38 @@
 		}
 	}
 	if remaining == 0 {
-		out.Shows = append(out.Shows, Show{w.Number, Completed})
+		out.StateUpdates = append(out.StateUpdates, StateUpdate{w.Number, WaveCompleted})
 		return
 	}
-	if w.shown == "" {
-		out.Shows = append(out.Shows, Show{w.Number, Running})
+	if w.recordedState == "" {
+		out.StateUpdates = append(out.StateUpdates, StateUpdate{w.Number, WaveRunning})
 	}
-	p.next(w, unavailable, now, out)
+	p.orderMachines(w, unavailable, now, out)
 }
 
 // orderMachines closes machines and orders them into upkeep until MaxUnavailable machines of the wave
 // are unavailable. The parameter unavailable counts those that already are.
-func (p *Planner) next(w *wave, unavailable int, now clock.Time, out *Plan) {
-	share := time.Duration(float64(w.Duration) * float64(max(w.AtOnce, 1)) / float64(len(w.Machines)))
+func (p *Planner) orderMachines(w *wave, unavailable int, now clock.Time, out *Plan) {
+	share := time.Duration(float64(w.Duration) * float64(max(w.MaxUnavailable, 1)) / float64(len(w.Machines)))
 	for _, id := range w.Machines {
-		pr, m := w.of(id), p.machines[id]
-		if pr.done || pr.orderedAt != 0 || m.State != Up { // a machine missing from the list has an empty state
+		pr, m := w.progressOf(id), p.machines[id]
+		if pr.done || pr.orderedAt != 0 || m.State != StateUp { // a machine missing from the list has an empty state
 			continue
 		}
-		if unavailable >= max(w.AtOnce, 1) {
+		if unavailable >= max(w.MaxUnavailable, 1) {
 			return
 		}
 		unavailable++
 		if pr.closedAt == 0 {
 			pr.closedAt = now
 		}
-		out.Close = append(out.Close, m.Worker)
-		force := now.Sub(pr.closedAt) > time.Duration(emptyShare*float64(share))
+		out.CloseWorkers = append(out.CloseWorkers, m.Worker)
+		force := now.Sub(pr.closedAt) > time.Duration(drainShare*float64(share))
 		out.Orders = append(out.Orders, Order{Machine: m, Wave: w.Number, Force: force})
 	}
 }
 
-func (w *wave) of(id MachineID) *progress {
+func (w *wave) progressOf(id MachineID) *progress {
 	pr, ok := w.progress[id]
 	if !ok {
 		pr = &progress{}
@@ -225,12 +225,12 @@
 	if pr.orderedAt == 0 {
 		return
 	}
-	if m.State == Upkeep || m.State == Down {
+	if m.State == StateUpkeep || m.State == StateDown {
 		pr.wasDown = true
 	}
-	settled := now.Sub(pr.orderedAt) > settleFor
+	settled := now.Sub(pr.orderedAt) > orderSettleTime
 	switch {
-	case m.State != Up:
+	case m.State != StateUp:
 	case pr.wasDown, settled && pr.answered:
 		pr.done = true
 	case settled:
@@ -240,18 +240,18 @@
 
 // RecordOrder records that an order was sent. answered is false if the platform did not answer or
 // answered with an error; the order may have been carried out even then.
-func (p *Planner) Ordered(o Order, answered bool, now clock.Time) {
+func (p *Planner) RecordOrder(o Order, answered bool, now clock.Time) {
 	w, ok := p.waves[o.Wave]
 	if !ok {
 		return
 	}
-	pr := w.of(o.Machine.ID)
+	pr := w.progressOf(o.Machine.ID)
 	pr.orderedAt, pr.answered = now, answered
 }
 
 // RecordState records that a wave's state has been stored.
-func (p *Planner) Shown(s Show) {
+func (p *Planner) RecordState(s StateUpdate) {
 	if w, ok := p.waves[s.Wave]; ok {
-		w.shown = s.State
+		w.recordedState = s.State
 	}
 }
--- a/pkg/upkeep/plan_test.go
+++ b/pkg/upkeep/plan_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func machines(states ...MachineState) []Machine {
+func machinesInStates(states ...MachineState) []Machine {
 	names := []MachineID{"m1", "m2", "m3"}
 	var out []Machine
 	for i, s := range states {
@@ -17,86 +17,86 @@
 	return out
 }
 
-func newPlanner(maxUnavailable int) *Planner {
+func newPlannerWithWave(maxUnavailable int) *Planner {
 	p := New()
-	p.PutWave(Wave{Number: 1, Machines: []MachineID{"m1", "m2", "m3"}, Duration: 30 * time.Second, AtOnce: maxUnavailable}, 0)
+	p.AddWave(Wave{Number: 1, Machines: []MachineID{"m1", "m2", "m3"}, Duration: 30 * time.Second, MaxUnavailable: maxUnavailable}, 0)
 	return p
 }
 
-func TestNothingIsPlannedBeforeTheMachinesAreKnown(t *testing.T) {
-	NewWithT(t).Expect(newPlanner(1).Plan(1)).To(Equal(Plan{}))
+func TestPlanIsEmptyBeforeTheFirstMachineList(t *testing.T) {
+	NewWithT(t).Expect(newPlannerWithWave(1).Plan(1)).To(Equal(Plan{}))
 }
 
-func TestMachinesGoOneByOne(t *testing.T) {
+func TestMachinesAreUpkeptOneAtATime(t *testing.T) {
 	g := NewWithT(t)
-	p := newPlanner(1)
-	p.SetMachines(machines(Up, Up, Up))
+	p := newPlannerWithWave(1)
+	p.SetMachines(machinesInStates(StateUp, StateUp, StateUp))
 	plan := p.Plan(100)
-	g.Expect(plan.Close).To(Equal([]string{"w-m1"}))
+	g.Expect(plan.CloseWorkers).To(Equal([]string{"w-m1"}))
 	g.Expect(plan.Orders).To(HaveLen(1))
-	g.Expect(plan.Shows).To(Equal([]Show{{1, Running}}))
-	p.Shown(plan.Shows[0])
-	p.Ordered(plan.Orders[0], true, 100)
+	g.Expect(plan.StateUpdates).To(Equal([]StateUpdate{{1, WaveRunning}}))
+	p.RecordState(plan.StateUpdates[0])
+	p.RecordOrder(plan.Orders[0], true, 100)
 	g.Expect(p.Plan(200).Orders).To(BeEmpty(), "the machine list may be older than the order")
-	p.SetMachines(machines(Upkeep, Up, Up))
+	p.SetMachines(machinesInStates(StateUpkeep, StateUp, StateUp))
 	g.Expect(p.Plan(300).Orders).To(BeEmpty())
-	p.SetMachines(machines(Up, Up, Up))
+	p.SetMachines(machinesInStates(StateUp, StateUp, StateUp))
 	g.Expect(p.Plan(400).Orders[0].Machine.ID).To(Equal(MachineID("m2")))
 }
 
-func TestMachineThatIsDownForAnotherReasonCounts(t *testing.T) {
+func TestMachineDownForAnotherReasonCountsAsUnavailable(t *testing.T) {
 	g := NewWithT(t)
-	p := newPlanner(1)
-	p.SetMachines(machines(Down, Up, Up))
+	p := newPlannerWithWave(1)
+	p.SetMachines(machinesInStates(StateDown, StateUp, StateUp))
 	g.Expect(p.Plan(100).Orders).To(BeEmpty())
 }
 
-func TestOrderIsForcedWhenItsTimeRunsOut(t *testing.T) {
+func TestOrderIsForcedAfterTheDrainTime(t *testing.T) {
 	g := NewWithT(t)
-	p := newPlanner(1)
-	p.SetMachines(machines(Up, Up, Up))
+	p := newPlannerWithWave(1)
+	p.SetMachines(machinesInStates(StateUp, StateUp, StateUp))
 	g.Expect(p.Plan(100).Orders[0].Force).To(BeFalse())
 	g.Expect(p.Plan(100 + 6000).Orders[0].Force).To(BeTrue(), "each machine has 10 s, and 5 s of them for draining")
 }
 
-func TestWaveIsCompletedWhenAllHadTheirUpkeepOrAreGone(t *testing.T) {
+func TestWaveIsCompletedWhenAllMachinesAreDoneOrGone(t *testing.T) {
 	g := NewWithT(t)
-	p := newPlanner(3)
-	p.SetMachines(machines(Up, Up))
+	p := newPlannerWithWave(3)
+	p.SetMachines(machinesInStates(StateUp, StateUp))
 	now := clock.Time(100)
 	for _, o := range p.Plan(now).Orders {
-		p.Ordered(o, true, now)
+		p.RecordOrder(o, true, now)
 	}
-	p.SetMachines(machines(Upkeep, Upkeep))
-	g.Expect(p.Plan(200).Shows).To(Equal([]Show{{1, Running}}))
-	p.SetMachines(machines(Up, Up))
-	g.Expect(p.Plan(300).Shows).To(Equal([]Show{{1, Completed}}))
-	p.Shown(Show{1, Completed})
-	g.Expect(p.Active()).To(BeFalse())
+	p.SetMachines(machinesInStates(StateUpkeep, StateUpkeep))
+	g.Expect(p.Plan(200).StateUpdates).To(Equal([]StateUpdate{{1, WaveRunning}}))
+	p.SetMachines(machinesInStates(StateUp, StateUp))
+	g.Expect(p.Plan(300).StateUpdates).To(Equal([]StateUpdate{{1, WaveCompleted}}))
+	p.RecordState(StateUpdate{1, WaveCompleted})
+	g.Expect(p.HasActiveWave()).To(BeFalse())
 }
 
-func TestMachineThatHadItsUpkeepBeforeATakeoverCountsAsDone(t *testing.T) {
+func TestMachineUpkeptBeforeATakeoverCountsAsDone(t *testing.T) {
 	g := NewWithT(t)
-	p := newPlanner(3)
-	p.SetMachines(machines(Up, Up, Up))
+	p := newPlannerWithWave(3)
+	p.SetMachines(machinesInStates(StateUp, StateUp, StateUp))
 	for _, o := range p.Plan(100).Orders {
-		p.Ordered(o, true, 100) // the platform answers that it was carried out before
+		p.RecordOrder(o, true, 100) // the platform answers that it was carried out before
 	}
-	g.Expect(p.Plan(100 + 3500).Shows).To(Equal([]Show{{1, Completed}}))
+	g.Expect(p.Plan(100 + 3500).StateUpdates).To(Equal([]StateUpdate{{1, WaveCompleted}}))
 }
 
 // An order without an answer may or may not have been carried out. It is repeated after orderSettleTime,
 // and its machine counts as unavailable until then.
-func TestOrderWithoutAnAnswerIsGivenAgain(t *testing.T) {
+func TestUnacknowledgedOrderIsRepeated(t *testing.T) {
 	g := NewWithT(t)
-	p := newPlanner(1)
-	p.SetMachines(machines(Up, Up, Up))
+	p := newPlannerWithWave(1)
+	p.SetMachines(machinesInStates(StateUp, StateUp, StateUp))
 	first := p.Plan(100).Orders[0]
-	p.Ordered(first, false, 100)
+	p.RecordOrder(first, false, 100)
 	g.Expect(p.Plan(200).Orders).To(BeEmpty(), "the order may still be carried out")
 	again := p.Plan(100 + 3500).Orders
 	g.Expect(again).To(HaveLen(1))
 	g.Expect(again[0].Machine.ID).To(Equal(first.Machine.ID))
-	p.Ordered(again[0], true, 3600)
+	p.RecordOrder(again[0], true, 3600)
 	g.Expect(p.Plan(3700).Orders).To(BeEmpty())
 }
--- a/pkg/worker/client.go
+++ b/pkg/worker/client.go
@@ -22,7 +22,7 @@
 	// ErrUnreachable means that the commands were not sent, or that a status could not be read.
 	ErrUnreachable = errors.New("worker is unreachable")
 	// ErrAnswerLost means that the commands may have been carried out.
-	ErrLost = errors.New("no answer from the worker: the commands may have been carried out")
+	ErrAnswerLost = errors.New("no answer from the worker: the commands may have been carried out")
 )
 
 // State is the state of a task on its worker.
@@ -137,7 +137,7 @@
 	if err != nil {
 		return Status{}, errors.Mark(err, ErrUnreachable)
 	}
-	return c.statusOf(got)
+	return c.convertStatus(got)
 }
 
 // Command sends commands to a worker and returns the worker's status after they were carried out.
@@ -151,25 +151,25 @@
 		if dialer.NotSent(err) {
 			return Status{}, errors.Mark(err, ErrUnreachable)
 		}
-		return Status{}, errors.Mark(err, ErrLost)
+		return Status{}, errors.Mark(err, ErrAnswerLost)
 	}
 	switch res := res.(type) {
 	case *workerapi.Status:
-		return c.statusOf(res)
+		return c.convertStatus(res)
 	case *workerapi.Stale:
 		return Status{}, errors.Wrapf(ErrStale, "worker has epoch %d", res.Epoch)
 	}
 	return Status{}, errors.Newf("unexpected answer from worker: %T", res)
 }
 
-func (c *Client) statusOf(s *workerapi.Status) (Status, error) {
+func (c *Client) convertStatus(s *workerapi.Status) (Status, error) {
 	status := Status{
 		Worker: s.Worker, Incarnation: s.Incarnation, Hall: cell.Hall(s.Hall), Rack: s.Rack,
-		Labels: s.Labels, Capacity: resourcesOf(s.Capacity), Draining: s.Draining,
+		Labels: s.Labels, Capacity: convertResources(s.Capacity), Draining: s.Draining,
 		clockMillis: s.ClockMs, received: c.clk.Now(),
 	}
 	for _, t := range s.Tasks {
-		report, err := reportOf(t)
+		report, err := convertReport(t)
 		if err != nil {
 			return Status{}, errors.Wrapf(err, "worker %s", s.Worker)
 		}
@@ -178,10 +178,10 @@
 	return status, nil
 }
 
-func reportOf(t workerapi.Task) (Report, error) {
+func convertReport(t workerapi.Task) (Report, error) {
 	r := Report{
 		ID: t.ID, Workload: t.Workload, Service: t.Kind == workerapi.TaskKindService,
-		Resources: resourcesOf(t.Resources), State: State(t.State), Slots: t.Slots.Value, Result: t.Result.Value,
+		Resources: convertResources(t.Resources), State: State(t.State), Slots: t.Slots.Value, Result: t.Result.Value,
 	}
 	if !t.Endpoint.Set {
 		return r, nil
@@ -229,6 +229,6 @@
 	}
 }
 
-func resourcesOf(r workerapi.Resources) cell.Resources {
+func convertResources(r workerapi.Resources) cell.Resources {
 	return cell.Resources{CPUMillis: r.CPUMillis, MemoryMB: r.MemoryMB, Accelerators: r.Accelerators}
 }
--- a/pkg/workerid/id_test.go
+++ b/pkg/workerid/id_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestIDIsMadeOfANameAndTheBeginningOfALife(t *testing.T) {
+func TestIDHasNameAndStartTime(t *testing.T) {
 	for _, c := range []struct {
 		id        ID
 		name      string
--- a/pkg/worth/objective_test.go
+++ b/pkg/worth/objective_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestChains(t *testing.T) {
+func TestChainEstimates(t *testing.T) {
 	steps := []job.Step{
 		{Estimate: time.Second},
 		{Estimate: 2 * time.Second, After: []int{0}},
--- a/pkg/worth/worth_test.go
+++ b/pkg/worth/worth_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestStanding(t *testing.T) {
+func TestValueClass(t *testing.T) {
 	const objective, latest = clock.Time(10_000), clock.Time(30_000)
 	batch := Work{Objective: objective, LatestUsefulEnd: latest, ReadySince: 1}
 	overShare, longRunning, both := batch, batch, batch
@@ -46,7 +46,7 @@
 	g.Expect(w.LatestStart()).To(Equal(clock.Time(5)))
 }
 
-func TestOrder(t *testing.T) {
+func TestRankOrder(t *testing.T) {
 	want := []Rank{
 		{Overdue, 3, 9, 9}, {InTime, 0, 5, 1}, {InTime, 0, 6, 2}, {InTime, 0, 6, 3}, {InTime, 1, 1, 0}, {Late, 0, 0, 4}, {OverShare, 0, 0, 5}, {NoValue, 0, 0, 6},
 	}
@@ -57,7 +57,7 @@
 }
 
 // The class stays the same until the time of the change, and is another one then.
-func TestStandingChanges(t *testing.T) {
+func TestNextClassChange(t *testing.T) {
 	batch := Work{Objective: 500, LatestUsefulEnd: 1500, ReadySince: 100}
 	overShare, longRunning, readyLate := batch, batch, batch
 	overShare.OverShare, longRunning.LongRunning = true, true
--- a/test/cases/cases_test.go
+++ b/test/cases/cases_test.go
@@ -40,17 +40,17 @@
 	t.Chdir(dir)
 	args, err := os.ReadFile("cmd")
 	g.Expect(err).NotTo(HaveOccurred())
-	first := run(args)
+	first := runFoldarch(args)
 	if *update {
 		g.Expect(os.WriteFile("expected", []byte(first), 0o600)).To(Succeed())
 	}
 	expected, err := os.ReadFile("expected")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(first).To(Equal(string(expected)))
-	g.Expect(run(args)).To(Equal(first), "a second run prints another output")
+	g.Expect(runFoldarch(args)).To(Equal(first), "a second run prints another output")
 }
 
-func run(args []byte) string {
+func runFoldarch(args []byte) string {
 	var out bytes.Buffer
 	if code := cli.Main(strings.Fields(string(args)), &out, &out); code != program.ExitOK {
 		out.WriteString("exit code " + string(rune('0'+code)) + "\n")
--- a/test/e2e/benchmarks_test.go
+++ b/test/e2e/benchmarks_test.go
@@ -17,13 +17,13 @@
 
 // figuresFileVariable names the environment variable with the path of the file that measured figures are
 // appended to, one "name value unit" per line. The script bench/run sets it.
-const figuresFile = "FOLDARCH_FIGURES"
+const figuresFileVariable = "FOLDARCH_FIGURES"
 
-func figure(b *testing.B, name string, value float64, unit string) {
+func recordFigure(b *testing.B, name string, value float64, unit string) {
 	b.Helper()
 	line := fmt.Sprintf("%s %.4g %s", name, value, unit)
 	b.Log(line)
-	path := os.Getenv(figuresFile)
+	path := os.Getenv(figuresFileVariable)
 	if path == "" {
 		return
 	}
@@ -52,7 +52,7 @@
 }
 
 // cpuTime returns the processor time that a process has used.
-func (p *process) cpu() time.Duration {
+func (p *process) cpuTime() time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	Expect(err).NotTo(HaveOccurred())
 	_, rest, _ := strings.Cut(string(text), ") ")
@@ -70,8 +70,8 @@
 	RegisterTestingT(b)
 	c := newCell(b, []string{"north"}, 2, 1, "")
 	c.apply()
-	c.ready(4)
-	e, err := standin.StartEndpoint(standin.EndpointConfig{ID: "direct", Slots: 100}, standin.NewLedger())
+	c.awaitEndpoints(4)
+	e, err := standin.StartEndpoint(standin.EndpointConfig{ID: "direct", Slots: 100}, standin.NewRunLog())
 	Expect(err).NotTo(HaveOccurred())
 	defer e.Stop("killed")
 	keepAliveClient := &http.Client{Timeout: time.Minute}
@@ -87,16 +87,16 @@
 		_ = resp.Body.Close()
 		return float64(time.Since(begin).Microseconds())
 	}
-	through := fmt.Sprintf("http://%s/v1/services/scoring/calls", c.entries["north-a"].callers)
+	through := fmt.Sprintf("http://%s/v1/services/scoring/calls", c.entries["north-a"].callersAddress)
 	for b.Loop() {
 		var direct, entry []float64
 		for range 2000 {
 			direct = append(direct, timed(fmt.Sprintf("http://%s/", e.Address())))
 			entry = append(entry, timed(through))
 		}
-		figure(b, "entry_overhead_ratio", median(entry)/median(direct), "x_direct")
-		figure(b, "entry_overhead_us", median(entry)-median(direct), "us")
-		figure(b, "entry_rss_mb", c.entries["north-a"].rssMB(), "MB")
+		recordFigure(b, "entry_overhead_ratio", median(entry)/median(direct), "x_direct")
+		recordFigure(b, "entry_overhead_us", median(entry)-median(direct), "us")
+		recordFigure(b, "entry_rss_mb", c.entries["north-a"].rssMB(), "MB")
 	}
 }
 
@@ -105,19 +105,19 @@
 	RegisterTestingT(b)
 	c := newCell(b, halls, 4, 2, "")
 	c.apply()
-	c.ready(4)
+	c.awaitEndpoints(4)
 	for b.Loop() {
 		time.Sleep(3 * time.Second) // until the start is complete
 		const window = 10 * time.Second
 		var before, after standin.StoreCounts
-		c.ledger("counts", &before)
-		cpu := c.entries["north-a"].cpu()
+		c.readRunLog("counts", &before)
+		cpu := c.entries["north-a"].cpuTime()
 		time.Sleep(window)
-		c.ledger("counts", &after)
-		figure(b, "store_writes_per_s_at_rest", float64(after.Writes-before.Writes)/window.Seconds(), "1/s")
-		figure(b, "store_reads_per_s_at_rest", float64(after.Reads-before.Reads)/window.Seconds(), "1/s")
-		figure(b, "control_cpu_pct_at_rest", 100*float64(c.entries["north-a"].cpu()-cpu)/float64(window), "pct_of_core")
-		figure(b, "node_control_rss_mb", c.entries["north-a"].rssMB(), "MB")
+		c.readRunLog("counts", &after)
+		recordFigure(b, "store_writes_per_s_at_rest", float64(after.Writes-before.Writes)/window.Seconds(), "1/s")
+		recordFigure(b, "store_reads_per_s_at_rest", float64(after.Reads-before.Reads)/window.Seconds(), "1/s")
+		recordFigure(b, "control_cpu_pct_at_rest", 100*float64(c.entries["north-a"].cpuTime()-cpu)/float64(window), "pct_of_core")
+		recordFigure(b, "node_control_rss_mb", c.entries["north-a"].rssMB(), "MB")
 	}
 }
 
@@ -127,11 +127,11 @@
 	RegisterTestingT(b)
 	c := newCell(b, halls, 4, 2, "")
 	c.apply()
-	c.ready(4)
+	c.awaitEndpoints(4)
 	for b.Loop() {
 		var killed []float64
 		for i := range 6 {
-			owner := c.ownerWithSuccessor("north-a")
+			owner := c.stableOwner("north-a")
 			other := "north-a"
 			if owner == other {
 				other = "north-b"
@@ -142,11 +142,11 @@
 			killed = append(killed, float64(time.Since(begin).Milliseconds()))
 			c.start(owner)
 		}
-		figure(b, "failover_ms", median(killed), "ms")
-		figure(b, "failover_ms_worst", quantile(killed, 1), "ms")
+		recordFigure(b, "failover_ms", median(killed), "ms")
+		recordFigure(b, "failover_ms_worst", quantile(killed, 1), "ms")
 		var paused []float64
 		for i := range 4 {
-			owner := c.ownerWithSuccessor("north-a")
+			owner := c.stableOwner("north-a")
 			other := "north-a"
 			if owner == other {
 				other = "north-b"
@@ -157,25 +157,25 @@
 			paused = append(paused, float64(time.Since(begin).Milliseconds()))
 			c.entries[owner].signal(syscall.SIGCONT)
 		}
-		figure(b, "failover_paused_ms", median(paused), "ms")
+		recordFigure(b, "failover_paused_ms", median(paused), "ms")
 	}
 }
 
 // stableOwner waits until the owner of a hall has a successor and returns the owner.
-func (c *cell) ownerWithSuccessor(seenBy string) string {
+func (c *cell) stableOwner(seenBy string) string {
 	var owner string
 	Eventually(func() string {
-		s, err := c.status(seenBy)
+		s, err := c.readStatus(seenBy)
 		if err != nil || len(s.Shards) == 0 || len(s.Peers) == 0 {
 			return ""
 		}
 		owner = s.Shards[0].Owner
-		o, err := c.status(owner)
+		o, err := c.readStatus(owner)
 		if err != nil || len(o.Shards) == 0 || !o.Shards[0].Authority {
 			return ""
 		}
 		return o.Shards[0].Successor
-	}, generous).ShouldNot(BeEmpty())
+	}, maxWait).ShouldNot(BeEmpty())
 	time.Sleep(1500 * time.Millisecond) // so that several grants follow, as in a steady state
 	return owner
 }
@@ -184,11 +184,11 @@
 func (c *cell) runBatch(via, key string) {
 	var id string
 	Eventually(func() int {
-		s, r := c.batch(via, "fit", key, "ms=1 x")
+		s, r := c.submitBatch(via, "fit", key, "ms=1 x")
 		id = s.ID
 		return r.status
-	}, generous, "5ms").Should(Equal(http.StatusAccepted))
-	Eventually(c.batchState(via, id), generous, "5ms").Should(Equal("done"))
+	}, maxWait, "5ms").Should(Equal(http.StatusAccepted))
+	Eventually(c.batchState(via, id), maxWait, "5ms").Should(Equal("done"))
 }
 
 // BenchmarkConfigInForce measures the time from the acceptance of a settings change until all processes use
@@ -197,31 +197,31 @@
 	RegisterTestingT(b)
 	c := newCell(b, halls, 2, 2, "")
 	c.apply()
-	c.ready(4)
+	c.awaitEndpoints(4)
 	for ends, r := range c.relays {
 		if hallOf(ends[0]) == "south" {
-			r.slow(300 * time.Millisecond) // in each direction, to the store and the other halls
+			r.setDelay(300 * time.Millisecond) // in each direction, to the store and the other halls
 		}
 	}
 	for b.Loop() {
 		var took []float64
 		for i := range 40 {
-			c.write("scoring.toml", fmt.Sprintf("kind = \"service\"\nteam = \"t\"\ninstances = 6\n[rules]\nqueue = %d\n", 100+i))
-			out, err := c.foldarch("apply", "--store", c.store.String(), c.decl)
+			c.writeDeclaration("scoring.toml", fmt.Sprintf("kind = \"service\"\nteam = \"t\"\ninstances = 6\n[rules]\nqueue = %d\n", 100+i))
+			out, err := c.foldarch("apply", "--store", c.store.String(), c.declDir)
 			Expect(err).NotTo(HaveOccurred(), out)
 			begin := time.Now()
-			for _, id := range c.order {
+			for _, id := range c.entryIDs {
 				Eventually(func() int64 {
-					s, err := c.status(id)
+					s, err := c.readStatus(id)
 					if err != nil {
 						return 0
 					}
 					return s.Revision
-				}, generous, "1ms").Should(Equal(int64(i + 2)))
+				}, maxWait, "1ms").Should(Equal(int64(i + 2)))
 			}
 			took = append(took, float64(time.Since(begin).Microseconds())/1000)
 		}
-		figure(b, "config_in_force_ms", quantile(took, 0.99), "ms_p99")
+		recordFigure(b, "config_in_force_ms", quantile(took, 0.99), "ms_p99")
 	}
 }
 
@@ -231,27 +231,27 @@
 	RegisterTestingT(b)
 	c := newCell(b, halls, 4, 2, "")
 	c.apply()
-	c.ready(4)
+	c.awaitEndpoints(4)
 	for b.Loop() {
 		t := c.startTraffic(12, 1)
 		rate := func() float64 {
 			const window = 8 * time.Second
-			begin := t.callsDone()
+			begin := t.answeredCalls()
 			time.Sleep(window)
-			return float64(t.callsDone()-begin) / window.Seconds()
+			return float64(t.answeredCalls()-begin) / window.Seconds()
 		}
 		time.Sleep(2 * time.Second)
 		var before, after standin.StoreCounts
-		c.ledger("counts", &before)
+		c.readRunLog("counts", &before)
 		up := rate()
-		c.ledger("counts", &after)
-		figure(b, "store_writes_per_s", float64(after.Writes-before.Writes)/8, "1/s")
-		figure(b, "store_reads_per_s", float64(after.Reads-before.Reads)/8, "1/s")
-		c.fault("store", standin.StoreFaults{Down: true})
+		c.readRunLog("counts", &after)
+		recordFigure(b, "store_writes_per_s", float64(after.Writes-before.Writes)/8, "1/s")
+		recordFigure(b, "store_reads_per_s", float64(after.Reads-before.Reads)/8, "1/s")
+		c.injectFault("store", standin.StoreFaults{Down: true})
 		down := rate()
-		figure(b, "outage_goodput_ratio", down/up, "x_before")
-		c.fault("store", standin.StoreFaults{})
-		t.finish()
+		recordFigure(b, "outage_goodput_ratio", down/up, "x_before")
+		c.injectFault("store", standin.StoreFaults{})
+		t.expectNoViolations()
 		b.Log(t.summary())
 	}
 }
@@ -262,7 +262,7 @@
 	RegisterTestingT(b)
 	c := newCell(b, halls, 4, 2, "")
 	c.apply()
-	c.ready(4)
+	c.awaitEndpoints(4)
 	for b.Loop() {
 		const window = 8 * time.Second
 		n := 0
@@ -284,14 +284,14 @@
 		c.cutHall("north", true, true, false, true)
 		ticksCut, repeatableCut := round()
 		c.cutHall("north", true, true, false, false)
-		figure(b, "cut_hall_goodput_ratio_ticks", ticksCut/ticksBefore, "x_before")
-		figure(b, "cut_hall_goodput_ratio_repeatable", repeatableCut/repeatableBefore, "x_before")
-		c.expectPromisesKept()
+		recordFigure(b, "cut_hall_goodput_ratio_ticks", ticksCut/ticksBefore, "x_before")
+		recordFigure(b, "cut_hall_goodput_ratio_repeatable", repeatableCut/repeatableBefore, "x_before")
+		c.expectNoViolations()
 	}
 }
 
 // answeredCalls returns the number of calls that succeeded.
-func (t *traffic) callsDone() int {
+func (t *traffic) answeredCalls() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
@@ -317,6 +317,6 @@
 	for b.Loop() {
 		info, err := os.Stat(filepath.Join(dir, "foldarch-entry"))
 		Expect(err).NotTo(HaveOccurred())
-		figure(b, "entry_program_mb", float64(info.Size())/(1<<20), "MB")
+		recordFigure(b, "entry_program_mb", float64(info.Size())/(1<<20), "MB")
 	}
 }
