--- a/test/e2e/cell_test.go
+++ b/test/e2e/cell_test.go
@@ -24,33 +24,33 @@
 
 // maxWait is the timeout for awaited events. It is far longer than any of them takes, so that an event that
 // is missing by then will never occur.
-const generous = "40s"
+const maxWait = "40s"
 
 // client opens a new connection for each call, so that no call depends on a connection of an earlier one.
 var client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 30 * time.Second}
 
 // cell is a cell whose entry hosts and stand-ins are separate processes.
 type cell struct {
-	dir     string
-	store   netip.AddrPort
-	admin   netip.AddrPort
-	entries map[string]*process
-	order   []string
-	farm    *process
-	decl    string
-	extra   string // further lines of the settings files of the entry hosts
-	relays  map[[2]string]*relay
+	dir           string
+	store         netip.AddrPort
+	admin         netip.AddrPort
+	entries       map[string]*process
+	entryIDs      []string
+	standIns      *process
+	declDir       string
+	extraSettings string // further lines of the settings files of the entry hosts
+	relays        map[[2]string]*relay
 }
 
 // process is a running program.
 type process struct {
-	id      string
-	cmd     *exec.Cmd
-	callers netip.AddrPort
-	peers   netip.AddrPort
-	config  string
-	exited  chan struct{}
-	log     *logBuffer
+	id             string
+	cmd            *exec.Cmd
+	callersAddress netip.AddrPort
+	peerAddress    netip.AddrPort
+	settingsFile   string
+	exited         chan struct{}
+	log            *logBuffer
 }
 
 // logBuffer collects the output of a process.
@@ -97,7 +97,7 @@
 }
 
 // testContext is the part of ginkgo.GinkgoT, testing.T and testing.B that a cell needs.
-type test interface {
+type testContext interface {
 	TempDir() string
 	Cleanup(func())
 	Failed() bool
@@ -106,24 +106,24 @@
 
 // newCell starts the stand-ins, with the given number of workers per hall, and the given number of entry
 // hosts in each hall. The lines of extra are added to the settings files of the entry hosts.
-func newCell(t test, halls []string, workers, hosts int, extra string) *cell {
-	c := &cell{dir: t.TempDir(), entries: map[string]*process{}, extra: extra}
+func newCell(t testContext, halls []string, workers, hosts int, extra string) *cell {
+	c := &cell{dir: t.TempDir(), entries: map[string]*process{}, extraSettings: extra}
 	ports := freePorts(2)
 	c.store, c.admin = ports[0], ports[1]
-	c.farm = c.spawn("standin", "foldarch-standin", "--store", c.store.String(), "--admin", c.admin.String(),
+	c.standIns = c.spawn("standin", "foldarch-standin", "--store", c.store.String(), "--admin", c.admin.String(),
 		"--halls", strings.Join(halls, ","), "--workers", fmt.Sprint(workers))
-	Eventually(c.farm.log.String, generous).Should(ContainSubstring("store 127"))
+	Eventually(c.standIns.log.String, maxWait).Should(ContainSubstring("store 127"))
 	addresses := freePorts(2 * len(halls) * hosts)
 	for _, hall := range halls {
 		for i := range hosts {
-			p := &process{id: fmt.Sprintf("%s-%c", hall, 'a'+i), callers: addresses[0], peers: addresses[1]}
+			p := &process{id: fmt.Sprintf("%s-%c", hall, 'a'+i), callersAddress: addresses[0], peerAddress: addresses[1]}
 			addresses = addresses[2:]
 			c.entries[p.id] = p
-			c.order = append(c.order, p.id)
+			c.entryIDs = append(c.entryIDs, p.id)
 		}
 	}
 	c.startRelays(t)
-	for _, id := range c.order {
+	for _, id := range c.entryIDs {
 		c.configure(id)
 		c.start(id)
 	}
@@ -137,33 +137,33 @@
 	var peers []string
 	for _, other := range c.entries {
 		if other.id != id {
-			peers = append(peers, fmt.Sprintf("%q", other.peers))
+			peers = append(peers, fmt.Sprintf("%q", other.peerAddress))
 		}
 	}
-	p.config = filepath.Join(c.dir, id+".toml")
+	p.settingsFile = filepath.Join(c.dir, id+".toml")
 	text := fmt.Sprintf("id = %q\nhall = %q\ncallers_address = %q\npeer_address = %q\nstore = [%q]\npeers = [%s]\n%s",
-		id, id[:len(id)-2], p.callers, p.peers, c.store, strings.Join(peers, ", "), c.extra+c.routesOf(id))
-	Expect(os.WriteFile(p.config, []byte(text), 0o600)).To(Succeed())
+		id, id[:len(id)-2], p.callersAddress, p.peerAddress, c.store, strings.Join(peers, ", "), c.extraSettings+c.routeSettings(id))
+	Expect(os.WriteFile(p.settingsFile, []byte(text), 0o600)).To(Succeed())
 }
 
 // declare writes declarations of a repeatable service (scoring), a service that is not repeatable (ticks) and
 // two batch workloads: fit, which is repeatable, and publish, which is not.
 func (c *cell) declare(halls []string) {
-	c.decl = filepath.Join(c.dir, "declarations")
+	c.declDir = filepath.Join(c.dir, "declarations")
 	text := ""
 	for _, h := range halls {
 		text += fmt.Sprintf("[[hall]]\nname = %q\nregion = \"r\"\n", h)
 	}
-	c.write("cell.toml", text+"[team.t]\n[rules]\ntime_limit = \"5s\"\n[rules.resources]\ncpu_millis = 1000\nmemory_mb = 1000\n")
+	c.writeDeclaration("cell.toml", text+"[team.t]\n[rules]\ntime_limit = \"5s\"\n[rules.resources]\ncpu_millis = 1000\nmemory_mb = 1000\n")
 	n := 2 * len(halls)
-	c.write("scoring.toml", fmt.Sprintf("kind = \"service\"\nteam = \"t\"\ninstances = %d\n", n))
-	c.write("ticks.toml", fmt.Sprintf("kind = \"service\"\nteam = \"t\"\ninstances = %d\n[rules]\nrepeatable = false\n", n))
-	c.write("fit.toml", "kind = \"batch\"\nteam = \"t\"\n")
-	c.write("publish.toml", "kind = \"batch\"\nteam = \"t\"\n[rules]\nrepeatable = false\n")
+	c.writeDeclaration("scoring.toml", fmt.Sprintf("kind = \"service\"\nteam = \"t\"\ninstances = %d\n", n))
+	c.writeDeclaration("ticks.toml", fmt.Sprintf("kind = \"service\"\nteam = \"t\"\ninstances = %d\n[rules]\nrepeatable = false\n", n))
+	c.writeDeclaration("fit.toml", "kind = \"batch\"\nteam = \"t\"\n")
+	c.writeDeclaration("publish.toml", "kind = \"batch\"\nteam = \"t\"\n[rules]\nrepeatable = false\n")
 }
 
-func (c *cell) write(file, text string) {
-	path := filepath.Join(c.decl, file)
+func (c *cell) writeDeclaration(file, text string) {
+	path := filepath.Join(c.declDir, file)
 	Expect(os.MkdirAll(filepath.Dir(path), 0o700)).To(Succeed())
 	Expect(os.WriteFile(path, []byte(text), 0o600)).To(Succeed())
 }
@@ -190,7 +190,7 @@
 }
 
 func (c *cell) start(id string) {
-	c.entries[id].run("foldarch-entry", c.entries[id].config)
+	c.entries[id].run("foldarch-entry", c.entries[id].settingsFile)
 }
 
 func (p *process) signal(s syscall.Signal) {
@@ -200,12 +200,12 @@
 // kill sends SIGKILL to a process and waits until it has exited.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
-	Eventually(p.exited, generous).Should(BeClosed())
+	Eventually(p.exited, maxWait).Should(BeClosed())
 }
 
-func (c *cell) close(t test) {
+func (c *cell) close(t testContext) {
 	if t.Failed() {
-		for _, id := range c.order {
+		for _, id := range c.entryIDs {
 			t.Logf("--- %s\n%s", id, c.entries[id].log)
 		}
 	}
@@ -213,7 +213,7 @@
 		_ = p.cmd.Process.Signal(syscall.SIGCONT)
 		_ = p.cmd.Process.Kill()
 	}
-	_ = c.farm.cmd.Process.Kill()
+	_ = c.standIns.cmd.Process.Kill()
 }
 
 // foldarch runs the command foldarch and returns its output.
@@ -230,21 +230,21 @@
 func (c *cell) apply() {
 	var last string
 	Eventually(func() error {
-		out, err := c.foldarch("apply", "--store", c.store.String(), "--entry", c.entries[c.order[0]].callers.String(), "--wait", c.decl)
+		out, err := c.foldarch("apply", "--store", c.store.String(), "--entry", c.entries[c.entryIDs[0]].callersAddress.String(), "--wait", c.declDir)
 		last = out
 		return err
-	}, generous).Should(Succeed(), func() string { return last })
+	}, maxWait).Should(Succeed(), func() string { return last })
 }
 
 // awaitEndpoints waits until the owner of every hall knows the given number of endpoints.
-func (c *cell) ready(endpoints int) {
-	for _, id := range c.order {
-		Eventually(func() (int, error) { return c.endpointsSeenBy(id) }, generous).Should(Equal(endpoints), id)
+func (c *cell) awaitEndpoints(endpoints int) {
+	for _, id := range c.entryIDs {
+		Eventually(func() (int, error) { return c.endpointsSeenBy(id) }, maxWait).Should(Equal(endpoints), id)
 	}
 }
 
-func (c *cell) status(id string) (*entryapi.ProcessStatus, error) {
-	api, err := entryapi.NewClient("http://"+c.entries[id].callers.String(), entryapi.WithClient(client))
+func (c *cell) readStatus(id string) (*entryapi.ProcessStatus, error) {
+	api, err := entryapi.NewClient("http://"+c.entries[id].callersAddress.String(), entryapi.WithClient(client))
 	if err != nil {
 		return nil, err
 	}
@@ -257,7 +257,7 @@
 	if err != nil {
 		return 0, err
 	}
-	s, err := c.status(owner)
+	s, err := c.readStatus(owner)
 	if err != nil || len(s.Shards) == 0 || !s.Shards[0].Authority {
 		return 0, err
 	}
@@ -266,7 +266,7 @@
 
 // ownerOf returns the owner of the hall of a process, according to that process.
 func (c *cell) ownerOf(id string) (string, error) {
-	s, err := c.status(id)
+	s, err := c.readStatus(id)
 	if err != nil {
 		return "", err
 	}
@@ -289,7 +289,7 @@
 // call sends a request to a service through one entry host.
 func (c *cell) call(id, service, key, body string, headers ...string) reply {
 	req, err := http.NewRequest(http.MethodPost,
-		fmt.Sprintf("http://%s/v1/services/%s/calls", c.entries[id].callers, service), strings.NewReader(body))
+		fmt.Sprintf("http://%s/v1/services/%s/calls", c.entries[id].callersAddress, service), strings.NewReader(body))
 	if err != nil {
 		return reply{err: err}
 	}
@@ -301,10 +301,10 @@
 	for i := 0; i+1 < len(headers); i += 2 {
 		req.Header.Set(headers[i], headers[i+1])
 	}
-	return do(req)
+	return send(req)
 }
 
-func do(req *http.Request) reply {
+func send(req *http.Request) reply {
 	resp, err := client.Do(req)
 	if err != nil {
 		return reply{err: err}
@@ -319,22 +319,22 @@
 }
 
 // submitBatch submits a batch request through one entry host.
-func (c *cell) batch(id, workload, key, payload string) (entryapi.BatchStatus, reply) {
+func (c *cell) submitBatch(id, workload, key, payload string) (entryapi.BatchStatus, reply) {
 	text, err := json.Marshal(map[string]string{"workload": workload, "payload": payload})
 	Expect(err).NotTo(HaveOccurred())
-	req, err := http.NewRequest(http.MethodPost, fmt.Sprintf("http://%s/v1/batches", c.entries[id].callers), bytes.NewReader(text))
+	req, err := http.NewRequest(http.MethodPost, fmt.Sprintf("http://%s/v1/batches", c.entries[id].callersAddress), bytes.NewReader(text))
 	Expect(err).NotTo(HaveOccurred())
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set("Foldarch-Caller", "tester")
 	req.Header.Set("Idempotency-Key", key)
-	return batchReply(do(req))
+	return batchReply(send(req))
 }
 
 func (c *cell) readBatch(id, batch, caller string) (entryapi.BatchStatus, reply) {
-	req, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/v1/batches/%s", c.entries[id].callers, batch), nil)
+	req, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/v1/batches/%s", c.entries[id].callersAddress, batch), nil)
 	Expect(err).NotTo(HaveOccurred())
 	req.Header.Set("Foldarch-Caller", caller)
-	return batchReply(do(req))
+	return batchReply(send(req))
 }
 
 func batchReply(r reply) (entryapi.BatchStatus, reply) {
@@ -358,7 +358,7 @@
 }
 
 // injectFault sets a fault of the stand-ins; a zero value ends it.
-func (c *cell) fault(what string, v any) {
+func (c *cell) injectFault(what string, v any) {
 	text, err := json.Marshal(v)
 	Expect(err).NotTo(HaveOccurred())
 	resp, err := client.Post(fmt.Sprintf("http://%s/faults/%s", c.admin, what), "application/json", bytes.NewReader(text))
@@ -368,7 +368,7 @@
 }
 
 // readRunLog decodes a part of the run log, or another document, of the stand-ins.
-func (c *cell) ledger(path string, v any) {
+func (c *cell) readRunLog(path string, v any) {
 	resp, err := client.Get(fmt.Sprintf("http://%s/%s", c.admin, path))
 	Expect(err).NotTo(HaveOccurred())
 	defer resp.Body.Close()
@@ -376,16 +376,16 @@
 }
 
 // expectNoViolations checks that the stand-ins have detected no violation.
-func (c *cell) expectPromisesKept() {
-	var v standin.Verdict
-	c.ledger("verdict", &v)
+func (c *cell) expectNoViolations() {
+	var v standin.CheckResult
+	c.readRunLog("verdict", &v)
 	Expect(v.Violations).To(BeEmpty(), strings.Join(v.Notes, "\n"))
 }
 
 // runCount returns how often workers and endpoints ran the request with a key.
-func (c *cell) runsOf(key string) int {
+func (c *cell) runCount(key string) int {
 	var runs []standin.Run
-	c.ledger("runs", &runs)
+	c.readRunLog("runs", &runs)
 	n := 0
 	for _, r := range runs {
 		if r.Key == key {
--- a/test/e2e/chaos_test.go
+++ b/test/e2e/chaos_test.go
@@ -25,39 +25,39 @@
 
 // fault is a kind of fault. The function inject starts it and returns a function that ends it.
 type fault struct {
-	name  string
-	begin func(x *chaos) (end func())
+	name   string
+	inject func(x *chaosRun) (end func())
 }
 
 // chaosRun injects random faults into a running cell.
-type chaos struct {
-	cell *cell
-	rng  *rand.Rand
-	busy map[string]bool // entry hosts and workers that have a fault
-	n    int             // number of settings changes so far
+type chaosRun struct {
+	cell            *cell
+	rng             *rand.Rand
+	busy            map[string]bool // entry hosts and workers that have a fault
+	settingsChanges int             // number of settings changes so far
 }
 
 var faults = []fault{
-	{"kill", func(x *chaos) func() {
-		id := x.entry()
+	{"kill", func(x *chaosRun) func() {
+		id := x.pickEntry()
 		x.cell.entries[id].kill()
 		return func() { x.cell.start(id); x.free(id) }
 	}},
-	{"pause", func(x *chaos) func() {
-		id := x.entry()
+	{"pause", func(x *chaosRun) func() {
+		id := x.pickEntry()
 		x.cell.entries[id].signal(syscall.SIGSTOP)
 		return func() { x.cell.entries[id].signal(syscall.SIGCONT); x.free(id) }
 	}},
-	{"planned stop", func(x *chaos) func() {
-		id := x.entry()
+	{"planned stop", func(x *chaosRun) func() {
+		id := x.pickEntry()
 		x.cell.entries[id].signal(syscall.SIGTERM)
 		return func() {
-			Eventually(x.cell.entries[id].exited, generous).Should(BeClosed())
+			Eventually(x.cell.entries[id].exited, maxWait).Should(BeClosed())
 			x.cell.start(id)
 			x.free(id)
 		}
 	}},
-	{"hall replaced", func(x *chaos) func() {
+	{"hall replaced", func(x *chaosRun) func() {
 		hall := halls[x.rng.IntN(len(halls))]
 		ids := []string{hall + "-a", hall + "-b"}
 		if x.busy[ids[0]] || x.busy[ids[1]] {
@@ -74,45 +74,47 @@
 			}
 		}
 	}},
-	{"store down", func(x *chaos) func() { return x.store(standin.StoreFaults{Down: true}) }},
-	{"store slow", func(x *chaos) func() { return x.store(standin.StoreFaults{Delay: 300 * time.Millisecond}) }},
-	{"store loses answers", func(x *chaos) func() { return x.store(standin.StoreFaults{LoseAnswers: 2}) }},
-	{"store limits rate", func(x *chaos) func() {
-		return x.store(standin.StoreFaults{WritesPerSecond: 5, ReadsPerSecond: 10})
+	{"store down", func(x *chaosRun) func() { return x.injectStoreFault(standin.StoreFaults{Down: true}) }},
+	{"store slow", func(x *chaosRun) func() {
+		return x.injectStoreFault(standin.StoreFaults{Delay: 300 * time.Millisecond})
 	}},
-	{"hall cut from store", func(x *chaos) func() { return x.cut(true, false, false) }},
-	{"hall cut from halls", func(x *chaos) func() { return x.cut(false, true, false) }},
-	{"hall cut off", func(x *chaos) func() { return x.cut(true, true, false) }},
-	{"hall cut one way", func(x *chaos) func() { return x.cut(false, true, true) }},
-	{"worker lost", func(x *chaos) func() {
-		w := x.worker()
-		x.cell.fault("worker", standin.WorkerFault{Worker: w, State: store.HostGone})
+	{"store loses answers", func(x *chaosRun) func() { return x.injectStoreFault(standin.StoreFaults{LoseAnswers: 2}) }},
+	{"store limits rate", func(x *chaosRun) func() {
+		return x.injectStoreFault(standin.StoreFaults{WritesPerSecond: 5, ReadsPerSecond: 10})
+	}},
+	{"hall cut from store", func(x *chaosRun) func() { return x.cutRandomHall(true, false, false) }},
+	{"hall cut from halls", func(x *chaosRun) func() { return x.cutRandomHall(false, true, false) }},
+	{"hall cut off", func(x *chaosRun) func() { return x.cutRandomHall(true, true, false) }},
+	{"hall cut one way", func(x *chaosRun) func() { return x.cutRandomHall(false, true, true) }},
+	{"worker lost", func(x *chaosRun) func() {
+		w := x.pickWorker()
+		x.cell.injectFault("worker", standin.WorkerFault{Worker: w, State: store.HostGone})
 		return func() {
-			x.cell.fault("worker", standin.WorkerFault{Worker: w, State: store.HostLive})
+			x.cell.injectFault("worker", standin.WorkerFault{Worker: w, State: store.HostLive})
 			x.free(w)
 		}
 	}},
-	{"worker loses answers", func(x *chaos) func() {
-		w := x.worker()
-		x.cell.fault("worker", standin.WorkerFault{Worker: w, LoseAnswers: 5})
+	{"worker loses answers", func(x *chaosRun) func() {
+		w := x.pickWorker()
+		x.cell.injectFault("worker", standin.WorkerFault{Worker: w, LoseAnswers: 5})
 		return func() { x.free(w) }
 	}},
-	{"settings change", func(x *chaos) func() {
-		x.n++
-		_, _ = x.cell.foldarch("apply", "--store", x.cell.store.String(), x.cell.variant(1000*int(*chaosSeed)+x.n))
+	{"settings change", func(x *chaosRun) func() {
+		x.settingsChanges++
+		_, _ = x.cell.foldarch("apply", "--store", x.cell.store.String(), x.cell.writeVariant(1000*int(*chaosSeed)+x.settingsChanges))
 		return func() {}
 	}},
 }
 
-func (x *chaos) free(id string) { delete(x.busy, id) }
+func (x *chaosRun) free(id string) { delete(x.busy, id) }
 
 // pickEntry reserves a random entry host without a fault. There always is one, since the other faults of a
 // round, two at most, occupy no more than four of the six hosts.
-func (x *chaos) entry() string {
-	return x.pick(x.cell.order)
+func (x *chaosRun) pickEntry() string {
+	return x.pick(x.cell.entryIDs)
 }
 
-func (x *chaos) worker() string {
+func (x *chaosRun) pickWorker() string {
 	var workers []string
 	for _, hall := range halls {
 		for i := range 3 {
@@ -122,7 +124,7 @@
 	return x.pick(workers)
 }
 
-func (x *chaos) pick(ids []string) string {
+func (x *chaosRun) pick(ids []string) string {
 	for {
 		id := ids[x.rng.IntN(len(ids))]
 		if !x.busy[id] {
@@ -132,12 +134,12 @@
 	}
 }
 
-func (x *chaos) store(f standin.StoreFaults) func() {
-	x.cell.fault("store", f)
-	return func() { x.cell.fault("store", standin.StoreFaults{}) }
+func (x *chaosRun) injectStoreFault(f standin.StoreFaults) func() {
+	x.cell.injectFault("store", f)
+	return func() { x.cell.injectFault("store", standin.StoreFaults{}) }
 }
 
-func (x *chaos) cut(fromStore, fromHalls, oneWay bool) func() {
+func (x *chaosRun) cutRandomHall(fromStore, fromHalls, oneWay bool) func() {
 	hall := halls[x.rng.IntN(len(halls))]
 	x.cell.cutHall(hall, fromStore, fromHalls, oneWay, true)
 	return func() { x.cell.cutHall(hall, fromStore, fromHalls, oneWay, false) }
@@ -145,12 +147,12 @@
 
 // injectRound injects one to three faults at a time and ends them in random order. It counts the faults by
 // name.
-func (x *chaos) round(names map[string]int) {
+func (x *chaosRun) injectRound(names map[string]int) {
 	var ends []func()
 	for range 1 + x.rng.IntN(3) {
 		f := faults[x.rng.IntN(len(faults))]
 		names[f.name]++
-		ends = append(ends, f.begin(x))
+		ends = append(ends, f.inject(x))
 		time.Sleep(time.Duration(x.rng.IntN(600)) * time.Millisecond)
 	}
 	time.Sleep(time.Duration(500+x.rng.IntN(5000)) * time.Millisecond)
@@ -168,26 +170,26 @@
 	RegisterTestingT(t)
 	c := newCell(t, halls, 3, 2, "[times]\ntask_lease = \"3s\"\nreport_every = \"500ms\"\n")
 	c.apply()
-	c.ready(4)
+	c.awaitEndpoints(4)
 	tr := c.startTraffic(12, *chaosSeed)
-	tr.done.Go(tr.watchRevisions)
-	x := &chaos{cell: c, rng: rand.New(rand.NewPCG(*chaosSeed, 77)), busy: map[string]bool{}}
+	tr.goroutines.Go(tr.watchRevisions)
+	x := &chaosRun{cell: c, rng: rand.New(rand.NewPCG(*chaosSeed, 77)), busy: map[string]bool{}}
 	names := map[string]int{}
 	for end := time.Now().Add(time.Duration(*chaosSeconds) * time.Second); time.Now().Before(end); {
-		x.round(names)
+		x.injectRound(names)
 	}
 	healed := time.Now()
 	for _, hall := range halls {
-		Eventually(tr.okSince(hall, healed), generous).Should(BeTrue(), "hall "+hall+" does not recover")
+		Eventually(tr.succeededSince(hall, healed), maxWait).Should(BeTrue(), "hall "+hall+" does not recover")
 	}
 	violations := tr.violations()
-	printChaos(tr, names, violations)
+	printSummary(tr, names, violations)
 	if len(violations) > 0 {
 		t.Errorf("seed %d: %d violations:\n%s", *chaosSeed, len(violations), strings.Join(violations, "\n"))
 	}
 }
 
-func printChaos(tr *traffic, names map[string]int, violations []string) {
+func printSummary(tr *traffic, names map[string]int, violations []string) {
 	outcomes := map[string]int{}
 	for _, s := range tr.sent {
 		switch {
--- a/test/e2e/relay_test.go
+++ b/test/e2e/relay_test.go
@@ -18,23 +18,23 @@
 	listener net.Listener
 	target   netip.AddrPort
 
-	mu     sync.Mutex
-	open   *sync.Cond
-	isCut  bool
-	delay  time.Duration // of each piece of data
-	taken  int           // number of connections so far
-	silent int           // connections up to this number carry no more data
+	mu         sync.Mutex
+	uncut      *sync.Cond
+	isCut      bool
+	delay      time.Duration // of each piece of data
+	connCount  int           // number of connections so far
+	silentUpTo int           // connections up to this number carry no more data
 }
 
-func startRelay(t test, target netip.AddrPort) *relay {
+func startRelay(t testContext, target netip.AddrPort) *relay {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	r := &relay{listener: l, target: target}
-	r.open = sync.NewCond(&r.mu)
+	r.uncut = sync.NewCond(&r.mu)
 	go r.serve()
 	t.Cleanup(func() {
 		_ = l.Close()
-		r.cut(false)
+		r.setCut(false)
 	})
 	return r
 }
@@ -50,7 +50,7 @@
 }
 
 func (r *relay) connect(in net.Conn) {
-	r.waitOpen()
+	r.awaitUncut()
 	out, err := net.Dial("tcp", r.target.String())
 	if err != nil {
 		// The kernel has accepted the connection already, so it can only be reset in place of being refused.
@@ -58,17 +58,17 @@
 		_ = in.Close()
 		return
 	}
-	number := r.take()
+	number := r.nextNumber()
 	go r.copy(out, in, number)
 	r.copy(in, out, number)
 }
 
 // nextNumber counts a new connection and returns its number.
-func (r *relay) take() (number int) {
+func (r *relay) nextNumber() (number int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.taken++
-	return r.taken
+	r.connCount++
+	return r.connCount
 }
 
 func (r *relay) copy(to, from net.Conn, number int) {
@@ -76,7 +76,7 @@
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		time.Sleep(r.waitOpen())
+		time.Sleep(r.awaitUncut())
 		if n > 0 && !r.isSilent(number) {
 			if _, werr := to.Write(buf[:n]); werr != nil {
 				return
@@ -89,16 +89,16 @@
 }
 
 // awaitUncut waits while the relay is cut and returns its delay.
-func (r *relay) waitOpen() time.Duration {
+func (r *relay) awaitUncut() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for r.isCut {
-		r.open.Wait()
+		r.uncut.Wait()
 	}
 	return r.delay
 }
 
-func (r *relay) slow(d time.Duration) {
+func (r *relay) setDelay(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.delay = d
@@ -109,20 +109,20 @@
 func (r *relay) silence() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.silent = r.taken
+	r.silentUpTo = r.connCount
 }
 
 func (r *relay) isSilent(number int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return number <= r.silent
+	return number <= r.silentUpTo
 }
 
-func (r *relay) cut(yes bool) {
+func (r *relay) setCut(yes bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.isCut = yes
-	r.open.Broadcast()
+	r.uncut.Broadcast()
 }
 
 // storeName denotes the store in the keys of cell.relays.
@@ -130,13 +130,13 @@
 
 // startRelays starts a relay from each entry host to the store and to each entry host of another hall. Within
 // a hall, hosts connect directly, since they must notice when a port is closed.
-func (c *cell) startRelays(t test) {
+func (c *cell) startRelays(t testContext) {
 	c.relays = map[[2]string]*relay{}
-	for _, from := range c.order {
+	for _, from := range c.entryIDs {
 		c.relays[[2]string{from, storeName}] = startRelay(t, c.store)
-		for _, to := range c.order {
+		for _, to := range c.entryIDs {
 			if hallOf(from) != hallOf(to) {
-				c.relays[[2]string{from, to}] = startRelay(t, c.entries[to].peers)
+				c.relays[[2]string{from, to}] = startRelay(t, c.entries[to].peerAddress)
 			}
 		}
 	}
@@ -147,7 +147,7 @@
 }
 
 // routeSettings returns the settings that make an entry host connect through its relays.
-func (c *cell) routesOf(from string) string {
+func (c *cell) routeSettings(from string) string {
 	text := "\n[routes]\n"
 	for ends, r := range c.relays {
 		if ends[0] != from {
@@ -155,7 +155,7 @@
 		}
 		target := c.store
 		if ends[1] != storeName {
-			target = c.entries[ends[1]].peers
+			target = c.entries[ends[1]].peerAddress
 		}
 		text += fmt.Sprintf("%q = %q\n", target, r.listener.Addr())
 	}
@@ -170,9 +170,9 @@
 		in := ends[1] != storeName && hallOf(ends[1]) == hall
 		switch {
 		case ends[1] == storeName && out && store:
-			r.cut(cut)
+			r.setCut(cut)
 		case ends[1] != storeName && others && (out || (in && !oneWay)):
-			r.cut(cut)
+			r.setCut(cut)
 		}
 	}
 }
--- a/test/e2e/traffic_test.go
+++ b/test/e2e/traffic_test.go
@@ -16,46 +16,46 @@
 
 // traffic sends requests through all entry hosts until it is stopped and records the answers.
 type traffic struct {
-	cell *cell
-	stop chan struct{}
-	done sync.WaitGroup
+	cell       *cell
+	stop       chan struct{}
+	goroutines sync.WaitGroup
 
-	mu    sync.Mutex
-	sent  []sent
-	okAt  map[string]time.Time // time of the last success, by hall of the entry host
-	codes map[int]int
+	mu          sync.Mutex
+	sent        []sentRequest
+	lastSuccess map[string]time.Time // time of the last success, by hall of the entry host
+	codes       map[int]int
 
 	reverted []string // descriptions of processes that went back to older settings
 }
 
 // sentRequest is a request and the answer to it.
-type sent struct {
-	key   string
-	body  string
-	tick  bool
-	batch string // ID of a batch request
-	via   string
-	at    time.Time
-	reply reply
+type sentRequest struct {
+	key           string
+	body          string
+	notRepeatable bool
+	batch         string // ID of a batch request
+	via           string
+	at            time.Time
+	reply         reply
 }
 
 // startTraffic starts n callers, each of which sends one request after the other.
 func (c *cell) startTraffic(n int, seed uint64) *traffic {
-	t := &traffic{cell: c, stop: make(chan struct{}), okAt: map[string]time.Time{}, codes: map[int]int{}}
+	t := &traffic{cell: c, stop: make(chan struct{}), lastSuccess: map[string]time.Time{}, codes: map[int]int{}}
 	for i := range n {
-		t.done.Go(func() { t.caller(i, rand.New(rand.NewPCG(seed, uint64(i)))) })
+		t.goroutines.Go(func() { t.runCaller(i, rand.New(rand.NewPCG(seed, uint64(i)))) })
 	}
 	return t
 }
 
-func (t *traffic) caller(i int, rng *rand.Rand) {
+func (t *traffic) runCaller(i int, rng *rand.Rand) {
 	for n := 0; ; n++ {
 		select {
 		case <-t.stop:
 			return
 		case <-time.After(time.Duration(rng.IntN(20)) * time.Millisecond):
 		}
-		via := t.cell.order[rng.IntN(len(t.cell.order))]
+		via := t.cell.entryIDs[rng.IntN(len(t.cell.entryIDs))]
 		key := fmt.Sprintf("c%d-%d", i, n)
 		if rng.IntN(8) == 0 {
 			t.sendBatch(via, key, rng)
@@ -77,11 +77,11 @@
 	for range 2 {
 		at := time.Now()
 		r := t.cell.call(via, service, key, body, "Foldarch-Issued-At", issued)
-		t.record(sent{key: "tester/" + key, body: body, tick: tick, via: via, at: at, reply: r})
+		t.record(sentRequest{key: "tester/" + key, body: body, notRepeatable: tick, via: via, at: at, reply: r})
 		if !again {
 			return
 		}
-		via = t.cell.order[rng.IntN(len(t.cell.order))]
+		via = t.cell.entryIDs[rng.IntN(len(t.cell.entryIDs))]
 	}
 }
 
@@ -91,33 +91,33 @@
 	if tick {
 		workload, payload = "publish", fmt.Sprintf("ms=%d not-repeatable %s", rng.IntN(200), key)
 	}
-	s, r := t.cell.batch(via, workload, key, payload)
-	t.record(sent{key: s.ID, tick: tick, batch: s.ID, via: via, at: time.Now(), reply: r})
+	s, r := t.cell.submitBatch(via, workload, key, payload)
+	t.record(sentRequest{key: s.ID, notRepeatable: tick, batch: s.ID, via: via, at: time.Now(), reply: r})
 }
 
-func (t *traffic) record(s sent) {
+func (t *traffic) record(s sentRequest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sent = append(t.sent, s)
 	t.codes[s.reply.problem.Code]++
 	if s.reply.ok() {
 		hall, _, _ := strings.Cut(s.via, "-")
-		t.okAt[hall] = time.Now()
+		t.lastSuccess[hall] = time.Now()
 	}
 }
 
 // succeededSince returns a function that reports whether a request through a hall has succeeded after the
 // given time.
-func (t *traffic) okSince(hall string, since time.Time) func() bool {
+func (t *traffic) succeededSince(hall string, since time.Time) func() bool {
 	return func() bool {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		return t.okAt[hall].After(since)
+		return t.lastSuccess[hall].After(since)
 	}
 }
 
 // expectNoViolations stops the traffic and checks that violations finds none.
-func (t *traffic) finish() {
+func (t *traffic) expectNoViolations() {
 	Expect(t.violations()).To(BeEmpty())
 }
 
@@ -125,27 +125,27 @@
 // violation.
 func (t *traffic) violations() []string {
 	close(t.stop)
-	t.done.Wait()
-	found := append(t.batchesLost(), t.reverted...)
+	t.goroutines.Wait()
+	found := append(t.lostBatches(), t.reverted...)
 	var runs []standin.Run
-	t.cell.ledger("runs", &runs)
+	t.cell.readRunLog("runs", &runs)
 	count := map[string]int{}
 	for _, r := range runs {
 		count[r.Key]++
 	}
 	for _, s := range t.sent {
-		if broken := t.judge(s, count[s.key]); broken != "" {
+		if broken := t.checkRequest(s, count[s.key]); broken != "" {
 			found = append(found, broken)
 		}
 	}
-	var v standin.Verdict
-	t.cell.ledger("verdict", &v)
+	var v standin.CheckResult
+	t.cell.readRunLog("verdict", &v)
 	return append(found, v.Notes...)
 }
 
 // checkRequest compares the answer to a request with the number of its runs. It describes the violation, if
 // any.
-func (t *traffic) judge(s sent, ran int) string {
+func (t *traffic) checkRequest(s sentRequest, ran int) string {
 	switch {
 	case s.batch != "":
 		return "" // lostBatches awaits its end, and the stand-ins check the number of its runs
@@ -153,9 +153,9 @@
 		return s.key + " was answered and never ran"
 	case s.reply.ok() && !strings.HasSuffix(s.reply.body, s.body):
 		return s.key + " was given the answer " + s.reply.body
-	case s.tick && ran > 1:
+	case s.notRepeatable && ran > 1:
 		return s.key + " ran twice"
-	case s.reply.problem.Ran == ranNo && ran > 0 && !t.answeredOtherwise(s.key):
+	case s.reply.problem.Ran == ranNo && ran > 0 && !t.mayHaveRun(s.key):
 		return s.key + " was called not run, and ran: " + s.reply.body
 	}
 	return ""
@@ -163,7 +163,7 @@
 
 // mayHaveRun reports whether a request with the key, such as a repeat, got an answer other than that it did
 // not run.
-func (t *traffic) answeredOtherwise(key string) bool {
+func (t *traffic) mayHaveRun(key string) bool {
 	for _, s := range t.sent {
 		if s.key == key && s.reply.problem.Ran != ranNo {
 			return true
@@ -180,10 +180,10 @@
 		select {
 		case <-t.stop:
 			return
-		case <-time.After(pollPause):
+		case <-time.After(pollInterval):
 		}
-		for _, id := range t.cell.order {
-			s, err := t.cell.status(id)
+		for _, id := range t.cell.entryIDs {
+			s, err := t.cell.readStatus(id)
 			if err != nil || s.Revision == 0 {
 				continue
 			}
@@ -196,9 +196,9 @@
 }
 
 // lostBatches waits for the end of every accepted batch request and describes those that do not end in time.
-func (t *traffic) batchesLost() []string {
+func (t *traffic) lostBatches() []string {
 	var lost []string
-	deadline := time.Now().Add(batchesWait)
+	deadline := time.Now().Add(maxBatchWait)
 	for _, s := range t.sent {
 		if s.batch == "" || s.reply.status != http.StatusAccepted {
 			continue
@@ -208,7 +208,7 @@
 				lost = append(lost, "batch request "+s.batch+" was acknowledged and has no end: "+t.cell.batchState(s.via, s.batch)())
 				break
 			}
-			time.Sleep(pollPause)
+			time.Sleep(pollInterval)
 		}
 	}
 	return lost
@@ -216,12 +216,12 @@
 
 const (
 	// maxBatchWait is how long lostBatches waits in total, from the end of the traffic.
-	batchesWait = 60 * time.Second
-	pollPause   = 20 * time.Millisecond
+	maxBatchWait = 60 * time.Second
+	pollInterval = 20 * time.Millisecond
 )
 
 func (t *traffic) batchEnded(id string) bool {
-	for _, via := range t.cell.order {
+	for _, via := range t.cell.entryIDs {
 		switch t.cell.batchState(via, id)() {
 		case "done", "failed", "unknown":
 			return true
--- a/test/platform/builds_test.go
+++ b/test/platform/builds_test.go
@@ -14,62 +14,62 @@
 
 // initialBuild returns the path of the executable that a host starts with. With -build.other, every second
 // host runs that one.
-func buildOf(n int) string {
+func initialBuild(n int) string {
 	if *otherBuild != "" && n%2 == 1 {
 		return *otherBuild
 	}
-	return binary
+	return defaultBuild
 }
 
 // switchBuild restarts a host with the other build, or with the same one if -build.other is not set.
-func (c *cell) changeBuild(n int) {
-	c.term(n)
+func (c *cell) switchBuild(n int) {
+	c.terminate(n)
 	c.mu.Lock()
 	p := c.hosts[n]
-	if *otherBuild != "" && p.binary == binary {
+	if *otherBuild != "" && p.binary == defaultBuild {
 		p.binary = *otherBuild
 	} else {
-		p.binary = binary
+		p.binary = defaultBuild
 	}
 	c.mu.Unlock()
 	c.start(n)
 }
 
 // buildFaults returns the faults that the soak injects in addition when -build.other is set.
-func buildTroubles() []trouble {
+func buildFaults() []soakFault {
 	if *otherBuild == "" {
 		return nil
 	}
-	return []trouble{{"build changes", hostTrouble(func(c *cell, _ *rand.Rand, n int) { c.changeBuild(n) })}}
+	return []soakFault{{"build changes", injectHostFault(func(c *cell, _ *rand.Rand, n int) { c.switchBuild(n) })}}
 }
 
 // Restarts the hosts one after the other while jobs run, each with the other build and in the next round with
 // its initial one again, the owner last in each round. With -build.other, each build has to own the pool at
 // some time.
-func TestRollingChangeOfBuildUnderLoad(t *testing.T) {
+func TestRollingBuildChangeUnderLoad(t *testing.T) {
 	const minRounds, maxRounds = 2, 6
 	c := newCell(t, 4, emulator.Options{Workers: 6, Advice: true})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	load := c.load(ctx, 20, quickJob, chainJob, quickJob, gangJob)
-	owners := map[string]bool{buildOf(0): false, buildOf(1): false}
+	load := c.startLoad(ctx, 20, quickJob, chainJob, quickJob, gangJob)
+	owners := map[string]bool{initialBuild(0): false, initialBuild(1): false}
 	for round := 0; round < minRounds || round < maxRounds && slices.Contains(slices.Collect(maps.Values(owners)), false); round++ {
 		last := c.owner()
 		owners[c.hosts[last].binary] = true
 		for n := range c.hosts {
 			if n != last {
-				c.changeBuild(n)
+				c.switchBuild(n)
 				c.awaitReady(n)
 			}
 		}
-		c.changeBuild(last)
+		c.switchBuild(last)
 		c.awaitReady(last)
 		c.Eventually(c.owner, "10s", "20ms").ShouldNot(BeElementOf(-1, last), "another host becomes the owner")
 		owners[c.hosts[c.owner()].binary] = true
 	}
 	cancel()
 	load.Wait()
-	counts := c.finish(30 * time.Second)
+	counts := c.awaitJobs(30 * time.Second)
 	c.Expect(counts.Accepted).To(BeNumerically(">", 0))
 	for build, owned := range owners {
 		c.Expect(owned).To(BeTrue(), "%s owns the pool at some time", build)
--- a/test/platform/cell_test.go
+++ b/test/platform/cell_test.go
@@ -32,7 +32,7 @@
 	otherBuild  = flag.String("build.other", "", "path of a foldarch-entry of another build, which every second host runs")
 )
 
-var binary string
+var defaultBuild string
 
 func TestMain(m *testing.M) {
 	flag.Parse()
@@ -40,8 +40,8 @@
 	if err != nil {
 		panic(err)
 	}
-	binary = filepath.Join(dir, "foldarch-entry")
-	build := exec.Command("go", "build", "-o", binary, "foldarch.dev/foldarch/cmd/foldarch-entry")
+	defaultBuild = filepath.Join(dir, "foldarch-entry")
+	build := exec.Command("go", "build", "-o", defaultBuild, "foldarch.dev/foldarch/cmd/foldarch-entry")
 	if out, err := build.CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "%s", out)
 		os.Exit(1)
@@ -65,13 +65,13 @@
 	*WithT
 	t       *testing.T
 	p       *emulator.Platform
-	callers *emulator.Callers
+	callers *emulator.LoadGenerator
 	dir     string
 
-	mu    sync.Mutex
-	hosts []*process
-	logs  []*bytes.Buffer
-	taken map[int]bool // hosts that a fault of the soak is being injected into
+	mu            sync.Mutex
+	hosts         []*process
+	logs          []*bytes.Buffer
+	reservedHosts map[int]bool // hosts that a fault of the soak is being injected into
 
 	storeLinks  []*link // one per host, to the store
 	workerLinks []*link // one per worker, shared by all hosts
@@ -86,28 +86,28 @@
 }
 
 // reserveHost reserves a host for one fault and reports false if another fault holds it.
-func (c *cell) take(n int) bool {
+func (c *cell) reserveHost(n int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.taken[n] {
+	if c.reservedHosts[n] {
 		return false
 	}
-	c.taken[n] = true
+	c.reservedHosts[n] = true
 	return true
 }
 
-func (c *cell) release(n int) {
+func (c *cell) releaseHost(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.taken, n)
+	delete(c.reservedHosts, n)
 }
 
 // newCell starts an emulated platform and the hosts and waits until all hosts are ready and one owns the
 // pool.
 func newCell(t *testing.T, hosts int, o emulator.Options) *cell {
 	t.Parallel()
-	c := &cell{WithT: NewWithT(t), t: t, dir: t.TempDir(), taken: map[int]bool{}}
-	o.Via = func(address string) string {
+	c := &cell{WithT: NewWithT(t), t: t, dir: t.TempDir(), reservedHosts: map[int]bool{}}
+	o.AdvertisedAddress = func(address string) string {
 		k := c.newLink(address)
 		c.workerLinks = append(c.workerLinks, k)
 		return k.address()
@@ -123,11 +123,11 @@
 		c.storeLinks = append(c.storeLinks, k)
 		h, err := p.WriteSettings(c.dir, fmt.Sprintf("host-%d", n), k.address())
 		c.Expect(err).NotTo(HaveOccurred())
-		c.hosts = append(c.hosts, &process{host: h, binary: buildOf(n)})
+		c.hosts = append(c.hosts, &process{host: h, binary: initialBuild(n)})
 		c.start(n)
-		frontends = append(frontends, h.Door)
+		frontends = append(frontends, h.Frontend)
 	}
-	c.callers = emulator.NewCallers(p, frontends)
+	c.callers = emulator.NewLoadGenerator(p, frontends)
 	t.Cleanup(c.stopAll)
 	for n := range hosts {
 		c.awaitReady(n)
@@ -143,7 +143,7 @@
 	p := c.hosts[n]
 	p.log = &bytes.Buffer{}
 	c.logs = append(c.logs, p.log)
-	p.cmd = exec.Command(p.binary, "platform", "--metrics", strconv.Itoa(emulator.FiguresPort))
+	p.cmd = exec.Command(p.binary, "platform", "--metrics", strconv.Itoa(emulator.OperatorPort))
 	p.cmd.Env = append(os.Environ(), "FOLDARCH_NODE_FILE="+p.host.Settings)
 	p.cmd.Stdout, p.cmd.Stderr = p.log, p.log
 	c.Expect(p.cmd.Start()).To(Succeed())
@@ -159,7 +159,7 @@
 }
 
 func (c *cell) ready(n int) bool {
-	res, err := http.Get("http://" + c.hosts[n].host.Ready + "/readyz")
+	res, err := http.Get("http://" + c.hosts[n].host.Readiness + "/readyz")
 	if err != nil {
 		return false
 	}
@@ -185,7 +185,7 @@
 }
 
 // terminate sends SIGTERM to the process of a host and waits until it has exited.
-func (c *cell) term(n int) {
+func (c *cell) terminate(n int) {
 	c.signal(n, syscall.SIGTERM)
 	c.mu.Lock()
 	done := c.hosts[n].done
@@ -213,8 +213,8 @@
 // owner returns the index of the host that owns the pool according to the store's record, or -1 if there is
 // none.
 func (c *cell) owner() int {
-	var holder jobstore.Holder
-	if json.Unmarshal(c.p.Store.Value(jobstore.HolderKey), &holder) != nil {
+	var holder jobstore.OwnerRecord
+	if json.Unmarshal(c.p.Store.Value(jobstore.OwnerRecordKey), &holder) != nil {
 		return -1
 	}
 	for n, h := range c.hosts {
@@ -226,7 +226,7 @@
 }
 
 // startLoad submits jobs at a constant rate until ctx ends. The result is done when all calls have returned.
-func (c *cell) load(ctx context.Context, perSecond int, jobs ...jobKind) *sync.WaitGroup {
+func (c *cell) startLoad(ctx context.Context, perSecond int, jobs ...jobKind) *sync.WaitGroup {
 	var submissions sync.WaitGroup
 	submissions.Go(func() {
 		tick := time.NewTicker(time.Second / time.Duration(perSecond))
@@ -261,13 +261,13 @@
 )
 
 // awaitJobs waits until all accepted jobs have ended and checks that the platform saw no violations.
-func (c *cell) finish(within time.Duration) emulator.Counts {
+func (c *cell) awaitJobs(within time.Duration) emulator.Counts {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
-	open := c.callers.Await(ctx)
+	open := c.callers.AwaitJobs(ctx)
 	counts := c.callers.Counts()
-	c.t.Logf("%+v, %d starts, %d done, %d store calls", counts, c.p.Ledger.Starts(), c.p.Ledger.Ends("done"), c.p.Store.Calls())
-	c.Expect(c.p.Ledger.Faults()).To(BeEmpty())
+	c.t.Logf("%+v, %d starts, %d done, %d store calls", counts, c.p.Checker.Starts(), c.p.Checker.Ends("done"), c.p.Store.Calls())
+	c.Expect(c.p.Checker.Violations()).To(BeEmpty())
 	c.Expect(open).To(BeEmpty(), "accepted jobs that have not ended")
 	return counts
 }
--- a/test/platform/configuration_test.go
+++ b/test/platform/configuration_test.go
@@ -12,14 +12,14 @@
 
 // configApplyLimit is the longest time from the acknowledgement of a configuration until all hosts apply it.
 // It is the shortest limit of the known deployments.
-const configBound = 2 * time.Second
+const configApplyLimit = 2 * time.Second
 
 // awaitStatusOnAllHosts waits until each host answers requests for the queue with the given HTTP status.
-func (c *cell) awaitOnAllHosts(status int, within time.Duration) {
+func (c *cell) awaitStatusOnAllHosts(status int, within time.Duration) {
 	start := time.Now()
 	deadline := start.Add(within)
 	for n := range c.hosts {
-		probe := emulator.NewCallers(c.p, []string{c.hosts[n].host.Door}).Probe
+		probe := emulator.NewLoadGenerator(c.p, []string{c.hosts[n].host.Frontend}).Probe
 		remaining := max(time.Until(deadline), time.Millisecond)
 		c.Eventually(func() int { return probe(c.t.Context()) }, remaining, "10ms").Should(Equal(status), "host %d", n)
 	}
@@ -34,7 +34,7 @@
 		interval = 12 * time.Millisecond // longer than a host waits to combine jobs into one write
 		delay    = 60 * time.Millisecond
 	)
-	callers := emulator.NewCallers(c.p, []string{c.hosts[n].host.Door})
+	callers := emulator.NewLoadGenerator(c.p, []string{c.hosts[n].host.Frontend})
 	c.p.Store.SetDelay(delay)
 	var submissions sync.WaitGroup
 	for range jobs {
@@ -51,7 +51,7 @@
 // out during the outage, and the host reads the configuration again. That read may be lost in the outage,
 // too. With a timeout of 4 s (that of a page of a list), a read sent just before the end of the outage
 // delayed the configuration beyond the limit.
-func TestConfigurationIsFollowedAfterAnOutage(t *testing.T) {
+func TestConfigurationIsAppliedAfterAnOutage(t *testing.T) {
 	c := newCell(t, 3, emulator.Options{Workers: 2})
 	c.p.Store.SetMode(emulator.StoreSilent)
 	// Open watches are still answered, up to 1 s later. The next watches time out after 1.4 s, and the reads
@@ -59,18 +59,18 @@
 	time.Sleep(2600 * time.Millisecond)
 	c.p.Store.SetMode(emulator.StoreUp)
 	c.p.PutEmptyConfig(2)
-	c.awaitOnAllHosts(http.StatusNotFound, configBound)
+	c.awaitStatusOnAllHosts(http.StatusNotFound, configApplyLimit)
 }
 
 // Guards against a host that applies a new configuration only after 2.5 to 5.8 s because all its open
 // connections have gone silent. The watch times out. The read that follows uses an idle connection that is
 // silent as well, times out after 1 s and uses the next one. If a call without an answer casts no doubt on
 // the other open connections, each of them costs a call its whole timeout.
-func TestConfigurationIsFollowedWhenAllOpenConnectionsGoSilent(t *testing.T) {
+func TestConfigurationIsAppliedWhenOpenConnectionsGoSilent(t *testing.T) {
 	c := newCell(t, 3, emulator.Options{Workers: 2})
 	host := (c.owner() + 1) % len(c.hosts) // not the owner, whose many calls would detect the silent connections
 	c.openStoreConnections(host)
 	c.storeLinks[host].silence()
 	c.p.PutEmptyConfig(2)
-	c.awaitOnAllHosts(http.StatusNotFound, configBound)
+	c.awaitStatusOnAllHosts(http.StatusNotFound, configApplyLimit)
 }
--- a/test/platform/crash_test.go
+++ b/test/platform/crash_test.go
@@ -24,13 +24,13 @@
 // causes: each owner is killed as soon as a worker has crashed while running the task, before the owner can
 // detect that. The starts recorded in the store have to suffice. The platform reports starts after the third
 // crash and jobs that are given up without a cause as violations.
-func TestOwnerIsKilledWithEachCrashUnderATask(t *testing.T) {
+func TestCrashLimitHoldsWhenEachOwnerIsKilled(t *testing.T) {
 	c := newCell(t, 3, emulator.Options{Workers: 8})
-	c.during(3*time.Second, func() {})
+	c.runUnderLoad(3*time.Second, func() {})
 	id, task := c.submit(crashJob)
 	for crashes := 1; crashes <= 5 && c.state(id)() != "failed"; crashes++ {
 		c.Eventually(func() bool {
-			return c.p.Ledger.Crashes(task) >= crashes || c.state(id)() == "failed"
+			return c.p.Checker.Crashes(task) >= crashes || c.state(id)() == "failed"
 		}, "30s", "5ms").Should(BeTrue())
 		n := c.owner()
 		c.kill(n)
@@ -38,13 +38,13 @@
 		c.start(n)
 	}
 	c.Eventually(c.state(id), "40s", "100ms").Should(Equal("failed"))
-	c.finish(40 * time.Second)
+	c.awaitJobs(40 * time.Second)
 }
 
-func TestCrashingTasksBesideOthers(t *testing.T) {
+func TestCrashingJobsFailWhileOthersComplete(t *testing.T) {
 	c := newCell(t, 3, emulator.Options{Workers: 8, Advice: true})
 	var failing []string
-	c.during(6*time.Second, func() {
+	c.runUnderLoad(6*time.Second, func() {
 		for _, k := range []jobKind{crashJob, crashJob, crashGang} {
 			id, _ := c.submit(k)
 			failing = append(failing, id)
@@ -54,26 +54,26 @@
 	for _, id := range failing {
 		c.Eventually(c.state(id), "40s", "100ms").Should(Equal("failed"))
 	}
-	c.finish(40 * time.Second)
+	c.awaitJobs(40 * time.Second)
 }
 
 // Changes the capacity of workers while they are full. The platform checks each start against the worker's
 // capacity.
-func TestWorkersThatShrinkAndGrow(t *testing.T) {
+func TestWorkerCapacityChanges(t *testing.T) {
 	c := newCell(t, 3, emulator.Options{Workers: 4})
-	c.during(12*time.Second, func() {
+	c.runUnderLoad(12*time.Second, func() {
 		for n := range 3 {
 			for _, w := range c.p.Workers {
-				w.SetCapacity(int64(1000*(1+n)), emulator.MemoryMB/4)
+				w.SetCapacity(int64(1000*(1+n)), emulator.WorkerMemoryMB/4)
 			}
 			time.Sleep(3600 * time.Millisecond)
 			for _, w := range c.p.Workers[:2] {
-				w.SetCapacity(emulator.CPU, emulator.MemoryMB)
+				w.SetCapacity(emulator.WorkerCPUMillis, emulator.WorkerMemoryMB)
 			}
 		}
 		for _, w := range c.p.Workers {
-			w.SetCapacity(emulator.CPU, emulator.MemoryMB)
+			w.SetCapacity(emulator.WorkerCPUMillis, emulator.WorkerMemoryMB)
 		}
 	})
-	c.finish(60 * time.Second)
+	c.awaitJobs(60 * time.Second)
 }
--- a/test/platform/cut_hall_test.go
+++ b/test/platform/cut_hall_test.go
@@ -12,8 +12,8 @@
 )
 
 // submitAt submits a job to one host and returns the status of the answer and how long it took.
-func (c *cell) handIn(n int, id string) (status int, took time.Duration) {
-	r, err := http.NewRequest(http.MethodPost, "http://"+c.hosts[n].host.Door+emulator.Prefix+id, strings.NewReader(`{"spec":"ms=10","steps":[{"count":1}]}`))
+func (c *cell) submitAt(n int, id string) (status int, took time.Duration) {
+	r, err := http.NewRequest(http.MethodPost, "http://"+c.hosts[n].host.Frontend+emulator.PathPrefix+id, strings.NewReader(`{"spec":"ms=10","steps":[{"count":1}]}`))
 	c.Expect(err).NotTo(HaveOccurred())
 	r.Host = emulator.QueueHost
 	r.Header.Set("X-Deadline-Ms", "3000")
@@ -25,14 +25,14 @@
 }
 
 // awaitOwnerLinks waits until all hosts are connected to the owner.
-func (c *cell) awaitLinks() {
+func (c *cell) awaitOwnerLinks() {
 	for _, p := range c.hosts {
-		c.Eventually(func() string { _, metrics := get("http://" + p.host.Figures + "/metrics"); return metrics }, "3s", "20ms").Should(ContainSubstring("owner.linked 1"))
+		c.Eventually(func() string { _, metrics := httpGet("http://" + p.host.Operator + "/metrics"); return metrics }, "3s", "20ms").Should(ContainSubstring("owner.linked 1"))
 	}
 }
 
 // hostsOfHall returns the hosts inside and outside a hall. Hosts are assigned to halls round robin.
-func (c *cell) inHall(hall, halls int) (inside, outside []int) {
+func (c *cell) hostsOfHall(hall, halls int) (inside, outside []int) {
 	for n := range c.hosts {
 		if n%halls == hall {
 			inside = append(inside, n)
@@ -46,20 +46,20 @@
 // Guards against hosts that count as connected because the owner is cut off together with them, in their own
 // hall: they reported ready and refused each job, while hosts of other halls would have accepted it. The
 // hosts of the other hall are frozen, since to the hall that is cut off they look unreachable.
-func TestHallThatIsCutOffWithTheOwnerIsNotReady(t *testing.T) {
+func TestHallCutOffWithTheOwnerIsNotReady(t *testing.T) {
 	const halls = 2
 	c := newCell(t, 4, emulator.Options{Workers: 2, HostHalls: halls})
-	c.awaitLinks()
-	inside, outside := c.inHall(c.owner()%halls, halls)
+	c.awaitOwnerLinks()
+	inside, outside := c.hostsOfHall(c.owner()%halls, halls)
 	for _, n := range inside {
-		c.storeLinks[n].set(linkFault{holdsOrders: true, holdsAnswers: true})
+		c.storeLinks[n].set(linkFault{holdsRequests: true, holdsAnswers: true})
 	}
 	for _, n := range outside {
 		c.signal(n, syscall.SIGSTOP)
 	}
 	for _, n := range inside {
 		c.Eventually(func() bool { return c.ready(n) }, "2500ms", "20ms").Should(BeFalse(), "host %d", n)
-		status, took := c.handIn(n, "5c0e7a21d94b36f8")
+		status, took := c.submitAt(n, "5c0e7a21d94b36f8")
 		c.Expect(status).To(Equal(http.StatusServiceUnavailable))
 		c.Expect(took).To(BeNumerically("<", 200*time.Millisecond))
 	}
@@ -74,7 +74,7 @@
 		c.awaitReady(n)
 	}
 	c.Expect(c.p.Store.Values("foldarch/jobs/5c0e7a21d94b36f8")).To(BeEmpty(), "a refused job is not stored")
-	c.finish(10 * time.Second)
+	c.awaitJobs(10 * time.Second)
 }
 
 // Guards against hosts that report not ready while the store is unavailable to all: no other host could serve
@@ -89,11 +89,11 @@
 		}
 	}
 	for n := range c.hosts {
-		status, took := c.handIn(n, "5c0e7a21d94b36f9")
+		status, took := c.submitAt(n, "5c0e7a21d94b36f9")
 		c.Expect(status).To(Equal(http.StatusServiceUnavailable))
 		c.Expect(took).To(BeNumerically("<", 200*time.Millisecond))
 	}
 	c.p.Store.SetMode(emulator.StoreUp)
-	c.Eventually(func() int { status, _ := c.handIn(0, "5c0e7a21d94b36fa"); return status }, "2s", "10ms").Should(Equal(http.StatusOK))
-	c.finish(10 * time.Second)
+	c.Eventually(func() int { status, _ := c.submitAt(0, "5c0e7a21d94b36fa"); return status }, "2s", "10ms").Should(Equal(http.StatusOK))
+	c.awaitJobs(10 * time.Second)
 }
--- a/test/platform/evacuation_test.go
+++ b/test/platform/evacuation_test.go
@@ -12,7 +12,7 @@
 // evacuation while the store rejects the hosts' calls. The platform checks the hall of each start.
 func TestEvacuationAcrossTakeovers(t *testing.T) {
 	c := newCell(t, 3, emulator.Options{Workers: 6, Halls: 3})
-	c.during(14*time.Second, func() {
+	c.runUnderLoad(14*time.Second, func() {
 		c.p.Evacuate(emulator.Hall(0))
 		time.Sleep(emulator.EvacuationBound)
 		for range 2 {
@@ -24,12 +24,12 @@
 		}
 		c.p.Evacuate(emulator.Hall(1))
 		c.p.Store.SetMode(emulator.StoreBusy)
-		c.p.TakeBack(emulator.Hall(0))
+		c.p.WithdrawEvacuation(emulator.Hall(0))
 		time.Sleep(700 * time.Millisecond)
 		c.p.Store.SetMode(emulator.StoreUp)
 	})
-	before := c.p.Ledger.StartsIn(emulator.Hall(0))
-	c.during(3*time.Second, func() {})
-	c.Expect(c.p.Ledger.StartsIn(emulator.Hall(0))).To(BeNumerically(">", before), "tasks start in the hall again after the evacuation was withdrawn")
-	c.finish(40 * time.Second)
+	before := c.p.Checker.StartsIn(emulator.Hall(0))
+	c.runUnderLoad(3*time.Second, func() {})
+	c.Expect(c.p.Checker.StartsIn(emulator.Hall(0))).To(BeNumerically(">", before), "tasks start in the hall again after the evacuation was withdrawn")
+	c.awaitJobs(40 * time.Second)
 }
--- a/test/platform/faults_test.go
+++ b/test/platform/faults_test.go
@@ -14,38 +14,38 @@
 )
 
 // runUnderLoad submits jobs for the time load and calls inject meanwhile. It returns when both have ended.
-func (c *cell) during(load time.Duration, inject func()) {
+func (c *cell) runUnderLoad(load time.Duration, inject func()) {
 	ctx, cancel := context.WithTimeout(context.Background(), load)
 	defer cancel()
-	submissions := c.load(ctx, 25, quickJob, chainJob, quickJob, gangJob)
+	submissions := c.startLoad(ctx, 25, quickJob, chainJob, quickJob, gangJob)
 	inject()
 	<-ctx.Done()
 	submissions.Wait()
 }
 
-func TestCalm(t *testing.T) {
+func TestNoFaults(t *testing.T) {
 	c := newCell(t, 3, emulator.Options{Workers: 6, Advice: true})
-	c.during(3*time.Second, func() {})
-	counts := c.finish(15 * time.Second)
-	c.Expect(counts.Accepted).To(Equal(counts.Sent))
+	c.runUnderLoad(3*time.Second, func() {})
+	counts := c.awaitJobs(15 * time.Second)
+	c.Expect(counts.Accepted).To(Equal(counts.Submitted))
 	c.Expect(counts.Completed).To(BeNumerically(">=", counts.Accepted*9/10))
 }
 
 func TestKilledOwner(t *testing.T) {
 	c := newCell(t, 3, emulator.Options{Workers: 6})
-	c.during(5*time.Second, func() {
+	c.runUnderLoad(5*time.Second, func() {
 		time.Sleep(time.Second)
 		n := c.owner()
 		c.kill(n)
 		c.Eventually(c.owner, "4s", "20ms").ShouldNot(Equal(n))
 		c.start(n)
 	})
-	c.finish(20 * time.Second)
+	c.awaitJobs(20 * time.Second)
 }
 
 func TestFrozenOwner(t *testing.T) {
 	c := newCell(t, 3, emulator.Options{Workers: 6})
-	c.during(6*time.Second, func() {
+	c.runUnderLoad(6*time.Second, func() {
 		time.Sleep(time.Second)
 		n := c.owner()
 		c.signal(n, syscall.SIGSTOP)
@@ -53,7 +53,7 @@
 		time.Sleep(time.Second)
 		c.signal(n, syscall.SIGCONT)
 	})
-	c.finish(20 * time.Second)
+	c.awaitJobs(20 * time.Second)
 }
 
 func TestAllHostsKilledRightAfterAnAcknowledgement(t *testing.T) {
@@ -71,7 +71,7 @@
 			c.awaitReady(n)
 		}
 	}
-	c.Expect(c.finish(20 * time.Second).Completed).To(Equal(2))
+	c.Expect(c.awaitJobs(20 * time.Second).Completed).To(Equal(2))
 }
 
 func TestStoreOutageOfEachKind(t *testing.T) {
@@ -80,7 +80,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := newCell(t, 3, emulator.Options{Workers: 6})
-			c.during(6*time.Second, func() {
+			c.runUnderLoad(6*time.Second, func() {
 				time.Sleep(time.Second)
 				owner := c.owner()
 				c.p.Store.SetMode(mode)
@@ -88,25 +88,25 @@
 				c.p.Store.SetMode(emulator.StoreUp)
 				c.Expect(c.owner()).To(Equal(owner), "the owner keeps the pool through an outage that affects all hosts")
 			})
-			c.finish(20 * time.Second)
-			c.Expect(c.p.Ledger.Ends("lapsed")).To(BeZero(), "tasks continue through the outage")
+			c.awaitJobs(20 * time.Second)
+			c.Expect(c.p.Checker.Ends("lapsed")).To(BeZero(), "tasks continue through the outage")
 		})
 	}
 }
 
 func TestLostAnswersOfTheStore(t *testing.T) {
 	c := newCell(t, 3, emulator.Options{Workers: 6})
-	c.during(5*time.Second, func() {
-		c.p.Store.SetLost(0.35)
+	c.runUnderLoad(5*time.Second, func() {
+		c.p.Store.SetLostAnswers(0.35)
 		time.Sleep(4 * time.Second)
-		c.p.Store.SetLost(0)
+		c.p.Store.SetLostAnswers(0)
 	})
-	c.finish(20 * time.Second)
+	c.awaitJobs(20 * time.Second)
 }
 
-func TestSlowStoreAndForgottenHistory(t *testing.T) {
+func TestSlowStoreWithCompaction(t *testing.T) {
 	c := newCell(t, 3, emulator.Options{Workers: 6})
-	c.during(5*time.Second, func() {
+	c.runUnderLoad(5*time.Second, func() {
 		c.p.Store.SetDelay(200 * time.Millisecond)
 		for range 4 {
 			time.Sleep(time.Second)
@@ -114,37 +114,37 @@
 		}
 		c.p.Store.SetDelay(0)
 	})
-	c.finish(20 * time.Second)
+	c.awaitJobs(20 * time.Second)
 }
 
 func TestRevokedLeases(t *testing.T) {
 	c := newCell(t, 3, emulator.Options{Workers: 6})
-	c.during(4*time.Second, func() {
+	c.runUnderLoad(4*time.Second, func() {
 		for range 3 {
 			time.Sleep(time.Second)
-			c.p.Store.Revoke()
+			c.p.Store.EndLeases()
 		}
 	})
-	c.finish(20 * time.Second)
+	c.awaitJobs(20 * time.Second)
 }
 
-func TestOrdersCarriedOutLate(t *testing.T) {
+func TestDelayedOrders(t *testing.T) {
 	c := newCell(t, 3, emulator.Options{Workers: 6})
-	c.during(6*time.Second, func() {
+	c.runUnderLoad(6*time.Second, func() {
 		for _, w := range c.p.Workers {
-			w.SetFault(emulator.WorkerFault{Late: 0.1, LateBy: 2500 * time.Millisecond})
+			w.SetFault(emulator.WorkerFault{LateShare: 0.1, LateDelay: 2500 * time.Millisecond})
 		}
 		time.Sleep(4 * time.Second)
 		for _, w := range c.p.Workers {
 			w.SetFault(emulator.WorkerFault{})
 		}
 	})
-	c.finish(30 * time.Second)
+	c.awaitJobs(30 * time.Second)
 }
 
 func TestWorkersThatCrashOrAreCutOff(t *testing.T) {
 	c := newCell(t, 3, emulator.Options{Workers: 6})
-	c.during(8*time.Second, func() {
+	c.runUnderLoad(8*time.Second, func() {
 		time.Sleep(time.Second)
 		c.p.Workers[0].Crash(2 * time.Second)
 		c.p.Workers[1].SetFault(emulator.WorkerFault{Silent: true})
@@ -152,44 +152,44 @@
 		c.p.Workers[1].SetFault(emulator.WorkerFault{})
 		c.p.Workers[2].Drain(2500 * time.Millisecond)
 	})
-	c.finish(30 * time.Second)
+	c.awaitJobs(30 * time.Second)
 }
 
 func TestWorkersThatFailOrStall(t *testing.T) {
 	c := newCell(t, 3, emulator.Options{Workers: 6})
-	c.during(6*time.Second, func() {
+	c.runUnderLoad(6*time.Second, func() {
 		c.p.Workers[0].SetFault(emulator.WorkerFault{Fail: true})
 		c.p.Workers[1].SetFault(emulator.WorkerFault{Stall: true})
 		time.Sleep(4 * time.Second)
 		c.p.Workers[0].SetFault(emulator.WorkerFault{})
 		c.p.Workers[1].SetFault(emulator.WorkerFault{})
 	})
-	c.finish(30 * time.Second)
+	c.awaitJobs(30 * time.Second)
 }
 
 func TestRollingStops(t *testing.T) {
 	c := newCell(t, 3, emulator.Options{Workers: 6})
-	c.during(14*time.Second, func() {
+	c.runUnderLoad(14*time.Second, func() {
 		for n := range c.hosts {
-			c.term(n)
+			c.terminate(n)
 			c.start(n)
 			c.awaitReady(n)
 		}
 	})
-	c.finish(20 * time.Second)
+	c.awaitJobs(20 * time.Second)
 }
 
-func TestSameJobHandedInAtOnceAtTwoHosts(t *testing.T) {
+func TestConcurrentResubmissionsRunOnce(t *testing.T) {
 	c := newCell(t, 3, emulator.Options{Workers: 6})
 	id, accepted := c.callers.Submit(context.Background(), quickJob.spec, quickJob.steps)
 	c.Expect(accepted).To(BeTrue())
 	var calls sync.WaitGroup
 	for range 8 {
-		calls.Go(func() { c.callers.Again(context.Background(), id) })
+		calls.Go(func() { c.callers.Resubmit(context.Background(), id) })
 	}
 	calls.Wait()
-	c.finish(10 * time.Second)
-	c.Expect(c.p.Ledger.Ends("done")).To(Equal(2))
+	c.awaitJobs(10 * time.Second)
+	c.Expect(c.p.Checker.Ends("done")).To(Equal(2))
 }
 
 func TestCancelledJobIsStopped(t *testing.T) {
@@ -200,13 +200,13 @@
 	c.Eventually(state, "5s", "50ms").Should(Equal("running"))
 	c.Expect(c.callers.Cancel(context.Background(), id)).To(Equal(http.StatusOK))
 	c.Eventually(state, "5s", "50ms").Should(Equal("cancelled"))
-	c.Eventually(func() int { return c.p.Ledger.Ends("stopped") }, "5s", "50ms").Should(Equal(2))
+	c.Eventually(func() int { return c.p.Checker.Ends("stopped") }, "5s", "50ms").Should(Equal(2))
 	c.Expect(c.callers.State(context.Background(), "0123456789abcdef")).To(Equal("gone"))
 }
 
-func TestPendingCountsJobsThatHaveNotBegun(t *testing.T) {
+func TestPendingCountsUnstartedJobs(t *testing.T) {
 	c := newCell(t, 3, emulator.Options{Workers: 1})
-	wholeWorker := []emulator.Step{{Count: 1, CPU: emulator.CPU, MemoryMB: 1000, Estimate: 60000}}
+	wholeWorker := []emulator.Step{{Count: 1, CPU: emulator.WorkerCPUMillis, MemoryMB: 1000, Estimate: 60000}}
 	for range 4 {
 		_, accepted := c.callers.Submit(context.Background(), "ms=60000", wholeWorker)
 		c.Expect(accepted).To(BeTrue())
@@ -217,7 +217,7 @@
 	}, "5s", "50ms").Should(Equal(3))
 }
 
-func TestConfigurationIsFollowed(t *testing.T) {
+func TestNewestConfigurationIsApplied(t *testing.T) {
 	c := newCell(t, 2, emulator.Options{Workers: 2})
 	c.p.Store.Compact()
 	c.p.PutEmptyConfig(2)
@@ -229,9 +229,9 @@
 	c.Eventually(status, "2s", "20ms").Should(Equal(http.StatusOK))
 }
 
-func TestWaveOfUpkeep(t *testing.T) {
+func TestMaintenanceWave(t *testing.T) {
 	c := newCell(t, 3, emulator.Options{Workers: 5})
-	c.during(9*time.Second, func() {
+	c.runUnderLoad(9*time.Second, func() {
 		time.Sleep(2 * time.Second)
 		c.p.PutWave(3, 1, 12*time.Second)
 		c.Eventually(c.p.WaveState, "3s", "50ms").Should(Equal("running"))
@@ -242,21 +242,21 @@
 		c.Expect(serviced).To(Equal(3))
 		c.Expect(maxAtOnce).To(Equal(1))
 	})
-	c.finish(20 * time.Second)
+	c.awaitJobs(20 * time.Second)
 }
 
-func TestFiguresAndExplanations(t *testing.T) {
+func TestMetricsAndJobStatus(t *testing.T) {
 	c := newCell(t, 2, emulator.Options{Workers: 1})
 	id, accepted := c.callers.Submit(context.Background(), "ms=60000", quickJob.steps)
 	c.Expect(accepted).To(BeTrue())
 	state := func() string { return c.callers.State(context.Background(), id) }
 	c.Eventually(state, "5s", "50ms").Should(Equal("running"))
 	for n := range c.hosts {
-		host := c.hosts[n].host.Figures
-		status, metrics := get("http://" + host + "/metrics")
+		host := c.hosts[n].host.Operator
+		status, metrics := httpGet("http://" + host + "/metrics")
 		c.Expect(status).To(Equal(http.StatusOK))
 		c.Expect(metrics).To(ContainSubstring("jobs.accept.p99_ms"))
-		status, answer := get("http://" + host + "/jobs/" + id)
+		status, answer := httpGet("http://" + host + "/jobs/" + id)
 		if n != c.owner() {
 			c.Expect(status).To(Equal(http.StatusMisdirectedRequest))
 			continue
@@ -267,7 +267,7 @@
 	}
 }
 
-func get(url string) (status int, body string) {
+func httpGet(url string) (status int, body string) {
 	res, err := http.Get(url)
 	if err != nil {
 		return 0, err.Error()
--- a/test/platform/gang_quota_test.go
+++ b/test/platform/gang_quota_test.go
@@ -12,7 +12,7 @@
 // Guards against a gang that never starts because smaller jobs keep using the quota it waits for. The gang
 // needs most of its customer's quota and is overdue when a new owner takes over. Smaller jobs that are on
 // time use part of the quota.
-func TestGangStandsStillBehindSmallerJobsAfterANewOwner(t *testing.T) {
+func TestOverdueGangCompletesDespiteSmallerJobsAfterTakeover(t *testing.T) {
 	const quota = 10_000
 	c := newCell(t, 3, emulator.Options{Workers: 9, Advice: true, Customers: []emulator.Customer{
 		{Name: "north", Keys: []string{northKey}, Weight: 100, CPU: quota, MemoryMB: 1 << 20},
@@ -26,7 +26,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
 	small := jobKind{"ms=400", []emulator.Step{{Count: 2, CPU: 500, MemoryMB: 100, Estimate: 400}}}
-	load := c.load(ctx, 12, small)
+	load := c.startLoad(ctx, 12, small)
 	time.Sleep(time.Second)
 	c.kill(c.owner())
 	c.Eventually(func() string { return north.State(ctx, gang) }, "15s", "50ms").Should(Equal("completed"))
@@ -34,6 +34,6 @@
 	load.Wait()
 	ctx, cancel = context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
-	c.Expect(north.Await(ctx)).To(BeEmpty())
-	c.Expect(c.p.Ledger.Faults()).To(BeEmpty())
+	c.Expect(north.AwaitJobs(ctx)).To(BeEmpty())
+	c.Expect(c.p.Checker.Violations()).To(BeEmpty())
 }
--- a/test/platform/jobapi_test.go
+++ b/test/platform/jobapi_test.go
@@ -19,23 +19,23 @@
 
 const (
 	apiQueue = "fits"
-	apiJob   = jobsapi.JobID("5c0e7a21d94b36f8")
+	apiJobID = jobsapi.JobID("5c0e7a21d94b36f8")
 )
 
 // jobsClient returns a client of foldarch's own job API at a host.
 func (c *cell) jobsClient(n int) *jobsapi.Client {
-	client, err := jobsapi.NewClient("http://" + c.hosts[n].host.Figures)
+	client, err := jobsapi.NewClient("http://" + c.hosts[n].host.Operator)
 	c.Expect(err).NotTo(HaveOccurred())
 	return client
 }
 
 // recordJob registers a job that is submitted through foldarch's own API with the checker of the platform.
-func (c *cell) expectJob(spec string, count int) {
-	c.p.Ledger.HandedIn(string(apiJob), spec, []emulator.Step{{Count: count, CPU: 1000, MemoryMB: 1000, Estimate: 150}})
+func (c *cell) recordJob(spec string, count int) {
+	c.p.Checker.RecordSubmission(string(apiJobID), spec, []emulator.Step{{Count: count, CPU: 1000, MemoryMB: 1000, Estimate: 150}})
 }
 
 // oneStepJob returns a request for a job of one step.
-func oneStep(spec string, count int) *jobsapi.JobRequest {
+func oneStepJob(spec string, count int) *jobsapi.JobRequest {
 	return &jobsapi.JobRequest{
 		Spec: jobsapi.NewOptString(spec),
 		Steps: []jobsapi.Step{{
@@ -44,35 +44,35 @@
 	}
 }
 
-func TestJobHandedInThroughFoldarchsOwnAPICompletes(t *testing.T) {
+func TestJobAPISubmitsJobs(t *testing.T) {
 	c := newCell(t, 2, emulator.Options{Workers: 2})
 	ctx := context.Background()
-	c.expectJob("ms=150", 3)
+	c.recordJob("ms=150", 3)
 	for n := range c.hosts { // the second submission changes nothing
-		status, err := c.jobsClient(n).SubmitJob(ctx, oneStep("ms=150", 3), jobsapi.SubmitJobParams{Queue: apiQueue, ID: apiJob})
+		status, err := c.jobsClient(n).SubmitJob(ctx, oneStepJob("ms=150", 3), jobsapi.SubmitJobParams{Queue: apiQueue, ID: apiJobID})
 		c.Expect(err).NotTo(HaveOccurred())
-		c.Expect(status.ID).To(Equal(apiJob))
+		c.Expect(status.ID).To(Equal(apiJobID))
 	}
 	for n := range c.hosts {
 		c.Eventually(func() (jobsapi.JobStatusState, error) {
-			status, err := c.jobsClient(n).ReadJob(ctx, jobsapi.ReadJobParams{ID: apiJob})
+			status, err := c.jobsClient(n).ReadJob(ctx, jobsapi.ReadJobParams{ID: apiJobID})
 			if err != nil {
 				return "", err
 			}
 			return status.State, nil
 		}, "10s", "50ms").Should(Equal(jobsapi.JobStatusStateCompleted))
 	}
-	c.Expect(c.p.Ledger.Ends("done")).To(Equal(3))
-	c.finish(5 * time.Second)
+	c.Expect(c.p.Checker.Ends("done")).To(Equal(3))
+	c.awaitJobs(5 * time.Second)
 }
 
-func TestJobIsCancelledThroughFoldarchsOwnAPI(t *testing.T) {
+func TestJobAPICancelsJobs(t *testing.T) {
 	c := newCell(t, 2, emulator.Options{Workers: 1})
 	ctx := context.Background()
-	c.expectJob("ms=60000", 1)
-	_, err := c.jobsClient(0).SubmitJob(ctx, oneStep("ms=60000", 1), jobsapi.SubmitJobParams{Queue: apiQueue, ID: apiJob})
+	c.recordJob("ms=60000", 1)
+	_, err := c.jobsClient(0).SubmitJob(ctx, oneStepJob("ms=60000", 1), jobsapi.SubmitJobParams{Queue: apiQueue, ID: apiJobID})
 	c.Expect(err).NotTo(HaveOccurred())
-	status, err := c.jobsClient(1).CancelJob(ctx, jobsapi.CancelJobParams{ID: apiJob})
+	status, err := c.jobsClient(1).CancelJob(ctx, jobsapi.CancelJobParams{ID: apiJobID})
 	c.Expect(err).NotTo(HaveOccurred())
 	c.Expect(status.State).To(Equal(jobsapi.JobStatusStateCancelled))
 	c.Eventually(func() int {
@@ -82,10 +82,10 @@
 		}
 		return queue.Pending
 	}, "5s", "50ms").Should(Equal(0))
-	c.finish(5 * time.Second)
+	c.awaitJobs(5 * time.Second)
 }
 
-func TestFoldarchsOwnAPISaysWhatIsWrong(t *testing.T) {
+func TestJobAPIReportsErrors(t *testing.T) {
 	c := newCell(t, 1, emulator.Options{Workers: 1})
 	ctx := context.Background()
 	client := c.jobsClient(0)
@@ -94,18 +94,18 @@
 		c.Expect(errors.As(err, &p)).To(BeTrue(), "%v", err)
 		return result.Code(p.Response.Code)
 	}
-	_, err := client.SubmitJob(ctx, oneStep("", 1), jobsapi.SubmitJobParams{Queue: "none", ID: apiJob})
+	_, err := client.SubmitJob(ctx, oneStepJob("", 1), jobsapi.SubmitJobParams{Queue: "none", ID: apiJobID})
 	c.Expect(codeOf(err)).To(Equal(result.UnknownQueue))
-	invalid := oneStep("", 1)
+	invalid := oneStepJob("", 1)
 	invalid.Steps[0].After = []int{4}
-	_, err = client.SubmitJob(ctx, invalid, jobsapi.SubmitJobParams{Queue: apiQueue, ID: apiJob})
+	_, err = client.SubmitJob(ctx, invalid, jobsapi.SubmitJobParams{Queue: apiQueue, ID: apiJobID})
 	c.Expect(codeOf(err)).To(Equal(result.Malformed))
 	c.Expect(err.Error()).To(ContainSubstring("steps[0].after"))
-	_, err = client.ReadJob(ctx, jobsapi.ReadJobParams{ID: apiJob})
+	_, err = client.ReadJob(ctx, jobsapi.ReadJobParams{ID: apiJobID})
 	c.Expect(codeOf(err)).To(Equal(result.UnknownJob))
 	c.p.Store.SetMode(emulator.StoreBusy)
 	defer c.p.Store.SetMode(emulator.StoreUp)
-	_, err = client.SubmitJob(ctx, oneStep("", 1), jobsapi.SubmitJobParams{Queue: apiQueue, ID: apiJob})
+	_, err = client.SubmitJob(ctx, oneStepJob("", 1), jobsapi.SubmitJobParams{Queue: apiQueue, ID: apiJobID})
 	c.Expect(codeOf(err)).To(Equal(result.StoreDown))
 }
 
@@ -115,21 +115,21 @@
 }
 
 // runCommand runs the command foldarch and returns its output.
-func run(args ...string) string {
+func runCommand(args ...string) string {
 	var out bytes.Buffer
 	cli.Main(args, &out, &out)
 	return strings.TrimSpace(out.String())
 }
 
-func TestCommandLineHandlesJobs(t *testing.T) {
+func TestJobCommands(t *testing.T) {
 	c := newCell(t, 1, emulator.Options{Workers: 1})
-	host, id := c.hosts[0].host.Figures, string(apiJob)
+	host, id := c.hosts[0].host.Operator, string(apiJobID)
 	c.writeFile("job.json", `{"spec":"ms=60000","steps":[{"count":1,"cpu_millis":1000,"memory_mb":1000}]}`)
-	c.expectJob("ms=60000", 1)
-	c.Expect(run("job", "submit", "--host", host, "--queue", apiQueue, id, filepath.Join(c.dir, "job.json"))).To(Equal(id + " queued"))
-	c.Eventually(func() string { return run("job", "state", "--host", host, id) }, "5s", "50ms").Should(Equal(id + " running"))
-	c.Expect(run("job", "--host", host, id)).To(ContainSubstring("task 0 run 1"))
-	c.Expect(run("job", "cancel", "--host", host, id)).To(Equal(id + " cancelled"))
-	c.Expect(run("job", "queue", "--host", host, apiQueue)).To(Equal(apiQueue + ": 0 pending"))
-	c.Expect(run("job", "queue", "--host", host, "none")).To(ContainSubstring("unknown_queue (410)"))
+	c.recordJob("ms=60000", 1)
+	c.Expect(runCommand("job", "submit", "--host", host, "--queue", apiQueue, id, filepath.Join(c.dir, "job.json"))).To(Equal(id + " queued"))
+	c.Eventually(func() string { return runCommand("job", "state", "--host", host, id) }, "5s", "50ms").Should(Equal(id + " running"))
+	c.Expect(runCommand("job", "--host", host, id)).To(ContainSubstring("task 0 run 1"))
+	c.Expect(runCommand("job", "cancel", "--host", host, id)).To(Equal(id + " cancelled"))
+	c.Expect(runCommand("job", "queue", "--host", host, apiQueue)).To(Equal(apiQueue + ": 0 pending"))
+	c.Expect(runCommand("job", "queue", "--host", host, "none")).To(ContainSubstring("unknown_queue (410)"))
 }
--- a/test/platform/large_pool_test.go
+++ b/test/platform/large_pool_test.go
@@ -13,9 +13,9 @@
 // more worker entries and gave tasks to workers that were draining (DRAIN 88). After all hosts had lost
 // power, the next owner never used any worker ("pool_status workers=0 silent=0"), and 1,714 jobs were lost.
 // This test lowers the limit of a value instead of using a large pool.
-func TestPoolWhoseListOfWorkersIsLargerThanAValue(t *testing.T) {
-	c := newCell(t, 3, emulator.Options{Workers: 16, ValueBytes: 2000})
-	c.during(5*time.Second, func() {
+func TestWorkerListLargerThanMaxValue(t *testing.T) {
+	c := newCell(t, 3, emulator.Options{Workers: 16, MaxValueBytes: 2000})
+	c.runUnderLoad(5*time.Second, func() {
 		c.p.Workers[0].Drain(2 * time.Second)
 		time.Sleep(time.Second)
 		for n := range c.hosts {
@@ -26,5 +26,5 @@
 		}
 		c.Eventually(c.owner, "10s", "20ms").Should(BeNumerically(">=", 0))
 	})
-	c.finish(30 * time.Second)
+	c.awaitJobs(30 * time.Second)
 }
--- a/test/platform/link_test.go
+++ b/test/platform/link_test.go
@@ -8,9 +8,9 @@
 
 // linkFault is a fault of a link.
 type linkFault struct {
-	delay        time.Duration // of each piece of data, in both directions
-	holdsOrders  bool          // data from the caller to the target is held back
-	holdsAnswers bool          // data from the target to the caller is held back
+	delay         time.Duration // of each piece of data, in both directions
+	holdsRequests bool          // data from the caller to the target is held back
+	holdsAnswers  bool          // data from the target to the caller is held back
 }
 
 // link is a TCP relay in front of one listener on the loopback address that can inject faults. Data that a
@@ -19,11 +19,11 @@
 	target   string
 	listener net.Listener
 
-	mu      sync.Mutex
-	fault   linkFault
-	changed chan struct{} // closed and replaced when the fault changes
-	conns   map[net.Conn]struct{}
-	silent  map[net.Conn]struct{} // connections whose data is dropped
+	mu          sync.Mutex
+	fault       linkFault
+	changed     chan struct{} // closed and replaced when the fault changes
+	conns       map[net.Conn]struct{}
+	silentConns map[net.Conn]struct{} // connections whose data is dropped
 }
 
 // newLink starts a link to the target address.
@@ -32,7 +32,7 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &link{target: target, listener: l, changed: make(chan struct{}), conns: map[net.Conn]struct{}{}, silent: map[net.Conn]struct{}{}}
+	k := &link{target: target, listener: l, changed: make(chan struct{}), conns: map[net.Conn]struct{}{}, silentConns: map[net.Conn]struct{}{}}
 	go k.accept()
 	return k, nil
 }
@@ -68,14 +68,14 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for c := range k.conns {
-		k.silent[c] = struct{}{}
+		k.silentConns[c] = struct{}{}
 	}
 }
 
-func (k *link) silenced(c net.Conn) bool {
+func (k *link) isSilent(c net.Conn) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	_, ok := k.silent[c]
+	_, ok := k.silentConns[c]
 	return ok
 }
 
@@ -97,7 +97,7 @@
 			continue
 		}
 		k.add(caller, target)
-		go k.relay(target, caller, func(f linkFault) bool { return f.holdsOrders })
+		go k.relay(target, caller, func(f linkFault) bool { return f.holdsRequests })
 		go k.relay(caller, target, func(f linkFault) bool { return f.holdsAnswers })
 	}
 }
@@ -118,15 +118,15 @@
 		defer k.mu.Unlock()
 		delete(k.conns, to)
 		delete(k.conns, from)
-		delete(k.silent, to)
-		delete(k.silent, from)
+		delete(k.silentConns, to)
+		delete(k.silentConns, from)
 	}()
 	data := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(data)
 		if n > 0 {
-			k.pass(held)
-			if k.silenced(from) {
+			k.awaitPass(held)
+			if k.isSilent(from) {
 				continue
 			}
 			if _, err := to.Write(data[:n]); err != nil {
@@ -140,7 +140,7 @@
 }
 
 // awaitPass waits until no fault holds data of a direction back, and then for the delay of the link.
-func (k *link) pass(held func(linkFault) bool) {
+func (k *link) awaitPass(held func(linkFault) bool) {
 	for {
 		k.mu.Lock()
 		f, changed := k.fault, k.changed
--- a/test/platform/silence_test.go
+++ b/test/platform/silence_test.go
@@ -11,13 +11,13 @@
 
 // maxSilenceDelay is the longest time that silent connections may delay jobs. It is the platform's limit for
 // hosts to reconnect on the smallest deployments.
-const silenceBound = 3 * time.Second
+const maxSilenceDelay = 3 * time.Second
 
-func TestOpenConnectionsThatGoSilentAreFoundOut(t *testing.T) {
+func TestSilentConnectionsAreDetected(t *testing.T) {
 	c := newCell(t, 3, emulator.Options{Workers: 12, Advice: true})
 	ctx, cancel := context.WithTimeout(t.Context(), 6*time.Second)
 	defer cancel()
-	load := c.load(ctx, 20, quickJob, gangJob)
+	load := c.startLoad(ctx, 20, quickJob, gangJob)
 	for range 3 {
 		time.Sleep(time.Second)
 		for _, k := range append(c.storeLinks, c.workerLinks...) {
@@ -27,7 +27,7 @@
 	start := time.Now()
 	_, accepted := c.callers.Submit(t.Context(), quickJob.spec, quickJob.steps)
 	c.Expect(accepted).To(BeTrue())
-	c.Expect(time.Since(start)).To(BeNumerically("<", silenceBound))
+	c.Expect(time.Since(start)).To(BeNumerically("<", maxSilenceDelay))
 	load.Wait()
-	c.finish(silenceBound + 2*time.Second)
+	c.awaitJobs(maxSilenceDelay + 2*time.Second)
 }
--- a/test/platform/soak_customers_test.go
+++ b/test/platform/soak_customers_test.go
@@ -15,16 +15,16 @@
 // more jobs than its weight allows, under a quota that changes. Their keys change, too. Half of the seeds
 // have no customers.
 type soakCustomers struct {
-	r    *rand.Rand
+	rng  *rand.Rand
 	list []emulator.Customer
 
-	mu      sync.Mutex
-	version int64
-	hot     *emulator.Callers
+	mu          sync.Mutex
+	version     int64
+	busyCallers *emulator.LoadGenerator
 }
 
-func drawCustomers(r *rand.Rand) *soakCustomers {
-	s := &soakCustomers{r: r, version: 1}
+func randomCustomers(r *rand.Rand) *soakCustomers {
+	s := &soakCustomers{rng: r, version: 1}
 	if r.IntN(2) == 0 {
 		s.list = []emulator.Customer{
 			{Name: "north", Keys: []string{"north-1"}, Weight: 20},
@@ -35,16 +35,16 @@
 }
 
 // useKeys makes the load of the soak use the keys of the first customer.
-func (s *soakCustomers) join(c *cell) {
+func (s *soakCustomers) useKeys(c *cell) {
 	if s.list == nil {
 		return
 	}
-	c.callers.WithKeys(func() string { return s.key(0) })
-	s.hot = c.callers.As("").WithKeys(func() string { return s.key(1) })
+	c.callers.WithKeys(func() string { return s.newestKey(0) })
+	s.busyCallers = c.callers.ForKey("").WithKeys(func() string { return s.newestKey(1) })
 }
 
 // newestKey returns the newest key of a customer.
-func (s *soakCustomers) key(n int) string {
+func (s *soakCustomers) newestKey(n int) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	keys := s.list[n].Keys
@@ -52,27 +52,27 @@
 }
 
 // start submits jobs of the second customer and changes the configuration until ctx ends.
-func (s *soakCustomers) play(ctx context.Context, c *cell, wg *sync.WaitGroup) {
+func (s *soakCustomers) start(ctx context.Context, c *cell, wg *sync.WaitGroup) {
 	if s.list == nil {
 		return
 	}
 	wg.Go(func() {
 		for ctx.Err() == nil {
-			wg.Go(func() { s.hot.Submit(context.Background(), quickJob.spec, quickJob.steps) })
+			wg.Go(func() { s.busyCallers.Submit(context.Background(), quickJob.spec, quickJob.steps) })
 			time.Sleep(40 * time.Millisecond)
 		}
 	})
 	wg.Go(func() {
 		for ctx.Err() == nil {
-			time.Sleep(between(s.r, time.Second, 3*time.Second))
-			s.change(c)
+			time.Sleep(randomDuration(s.rng, time.Second, 3*time.Second))
+			s.changeConfig(c)
 		}
 	})
 }
 
 // changeConfig writes a configuration that adds a key to each customer, removes the oldest one and changes
 // the quota of the second customer.
-func (s *soakCustomers) change(c *cell) {
+func (s *soakCustomers) changeConfig(c *cell) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	const kept = 2 // hosts without the newest configuration still accept the previous key
@@ -81,7 +81,7 @@
 	for _, x := range s.list {
 		x.Keys = append(x.Keys[max(0, len(x.Keys)-kept):], fmt.Sprintf("%s-%d", x.Name, s.version))
 		if x.CPU > 0 {
-			x.CPU = 3000 + 1000*s.r.Int64N(6)
+			x.CPU = 3000 + 1000*s.rng.Int64N(6)
 		}
 		list = append(list, x)
 	}
@@ -90,11 +90,11 @@
 }
 
 // awaitJobs waits until the jobs of the second customer have ended.
-func (s *soakCustomers) finish(c *cell) {
+func (s *soakCustomers) awaitJobs(c *cell) {
 	if s.list == nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
 	defer cancel()
-	c.Expect(s.hot.Await(ctx)).To(BeEmpty())
+	c.Expect(s.busyCallers.AwaitJobs(ctx)).To(BeEmpty())
 }
--- a/test/platform/worker_restart_test.go
+++ b/test/platform/worker_restart_test.go
@@ -13,7 +13,7 @@
 // jobs have to end. The fault that this guards against is reported as:
 //
 //	TWICE 2b5cb1f5c3227c0f.0.0.0 run 2 on i-m2-0: its end was already acknowledged
-func TestWorkersStartAgainUnderTheirIDs(t *testing.T) {
+func TestWorkersRestartUnderTheSameID(t *testing.T) {
 	for name, c := range map[string]struct {
 		options emulator.Options
 		fault   func(*cell)
@@ -23,7 +23,7 @@
 			for range 4 {
 				for _, w := range c.p.Workers {
 					w.Crash(30 * time.Millisecond)
-					w.SetCapacity(emulator.CPU/2, emulator.MemoryMB/2)
+					w.SetCapacity(emulator.WorkerCPUMillis/2, emulator.WorkerMemoryMB/2)
 				}
 				time.Sleep(1500 * time.Millisecond)
 			}
@@ -47,7 +47,7 @@
 		}},
 		"orders are carried out late": {emulator.Options{Workers: 9, Advice: true}, func(c *cell) {
 			for _, w := range c.p.Workers {
-				w.SetFault(emulator.WorkerFault{Late: 0.3, LateBy: 2 * time.Second})
+				w.SetFault(emulator.WorkerFault{LateShare: 0.3, LateDelay: 2 * time.Second})
 			}
 			time.Sleep(4 * time.Second)
 			for _, w := range c.p.Workers {
@@ -57,15 +57,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c.options.KeepIDs = true
-			startAgainUnder(newCell(t, 3, c.options), c.fault)
+			restartWorkersDuring(newCell(t, 3, c.options), c.fault)
 		})
 	}
 }
 
 // restartWorkersDuring restarts all workers of a cell twice, one after the other, while jobs run and a fault
 // is injected.
-func startAgainUnder(c *cell, fault func(*cell)) {
-	c.during(12*time.Second, func() {
+func restartWorkersDuring(c *cell, fault func(*cell)) {
+	c.runUnderLoad(12*time.Second, func() {
 		time.Sleep(time.Second)
 		go fault(c)
 		for round := range 2 {
@@ -75,5 +75,5 @@
 			}
 		}
 	})
-	c.finish(60 * time.Second)
+	c.awaitJobs(60 * time.Second)
 }
