--- a/pkg/latestart/task_starts.go
+++ b/pkg/latestart/task_starts.go
@@ -46,6 +46,7 @@
 	t.starts = append(t.starts, s)
 }
 
+// HasStarts says whether the task has late starts.
 func (t *TaskStarts) HasStarts() bool {
 	return len(t.starts) > 0
 }
--- a/pkg/outcome/outcome.go
+++ b/pkg/outcome/outcome.go
@@ -38,6 +38,7 @@
 	o.order = append(o.order, id)
 }
 
+// Find returns the outcome of a job; ok is false when none is known.
 func (o *Outcomes) Find(id job.ID) (x Outcome, ok bool) {
 	x, ok = o.byJob[id]
 	return x, ok
--- a/pkg/workerid/id.go
+++ b/pkg/workerid/id.go
@@ -24,6 +24,7 @@
 	return ID(name + incarnationSeparator + strconv.FormatInt(startedAt, 10))
 }
 
+// Name returns the worker's name, which all its incarnations share.
 func (id ID) Name() string {
 	name, _ := id.split()
 	return name
