--- a/pkg/account/account.go
+++ b/pkg/account/account.go
@@ -56,7 +56,7 @@
 	a.used = a.used.Sub(need)
 }
 
-// IsOverQuota says whether more is charged than the quota allows, which happens when the quota is
+// IsOverQuota reports whether more is charged than the quota allows, which happens when the quota is
 // lowered.
 func (a *Account) IsOverQuota() bool {
 	return !a.customer.WithinQuota(a.used)
@@ -119,7 +119,7 @@
 // as lost that waits while less than half of the quota is in use.
 const mostlyUsedShare = 0.6
 
-// IsMostlyUsed says whether more than mostlyUsedShare of the quota is in use.
+// IsMostlyUsed reports whether more than mostlyUsedShare of the quota is in use.
 func (a *Account) IsMostlyUsed() bool {
 	return a.used.DominantShare(a.customer.Quota) > mostlyUsedShare
 }
@@ -139,7 +139,7 @@
 	a.orphans--
 }
 
-// RecordArrival records that a job of the customer was accepted at a time, and says whether it is over
+// RecordArrival records that a job of the customer was accepted at a time, and reports whether it is over
 // the customer's share.
 func (a *Account) RecordArrival(accepted clock.Time) bool {
 	return a.rate.RecordArrival(a.customer.Weight, accepted)
--- a/pkg/account/doc.go
+++ b/pkg/account/doc.go
@@ -1,9 +1,9 @@
 // Package account keeps what one customer has running in the pools of an owner, and applies its quota: it
 // says how much more the customer may start.
 //
-// It knows neither jobs nor workers. Package dispatch charges each task from the moment its start is
+// It handles neither jobs nor workers. Package dispatch charges each task from the moment its start is
 // decided until its run has certainly ended, and asks an account before it starts another. Package customer
-// has the customer with its weight and its quota, and the token bucket that tells which of its jobs are
+// has the customer with its weight and its quota, and the token bucket that determines which of its jobs are
 // over its share.
 //
 // An account is not safe for concurrent use.
@@ -19,7 +19,7 @@
 //     1995): other steps start where they leave its room free.
 //
 // While workers list runs of which nothing but the customer is known (AddOrphan), the customer may start
-// nothing more, since nobody knows what these runs use.
+// nothing more, since it is not known what these runs use.
 //
 // A lowered quota stops no runs. What runs counts, and nothing starts until there is room.
 //
--- a/pkg/admission/doc.go
+++ b/pkg/admission/doc.go
@@ -1,7 +1,7 @@
 // Package admission decides which queues accept no jobs for now, of which customers only a share of the
 // jobs is accepted, and when callers may try again.
 //
-// A process makes one call for advice at a time. With few such processes (advisers), more calls may be
+// A process makes one advice call at a time. With few such processes (advisers), more calls may be
 // needed than are made while most of the pool is free. Accepted jobs then wait ever longer, and some never
 // run. So a queue refuses jobs while the calls that go before those of a new job take longer than a job may
 // wait. A full pool is no reason to refuse: the workers are busy, and the order of steps puts those last
@@ -13,7 +13,7 @@
 // advice, a quota or the owner. Jobs of other customers are accepted as before. Nothing is refused before
 // the owner knows enough.
 //
-// The package knows neither jobs nor workers. Package dispatch computes what advice accepted jobs still
+// The package handles neither jobs nor workers. Package dispatch computes what advice accepted jobs still
 // need, by the estimates of package advice. Package poolowner informs the hosts, which refuse the jobs.
 // Package customer decides whether a call is admitted at all.
 //
--- a/pkg/admission/limits.go
+++ b/pkg/admission/limits.go
@@ -195,10 +195,10 @@
 	return out
 }
 
-// queueLimit returns the limit at which a queue's jobs wait as long as aimed. It accepts the jobs within
-// the customer's weight and as many others as are done, or fewer while the wait is longer than aimed.
-func (c *customerState) queueLimit(d Demand, q QueueDemand, wait, aimed time.Duration, now clock.Time) QueueLimit {
-	l := QueueLimit{Refusal: Refusal{Queue: q.Queue, Wait: wait, RetryAfter: min(max(wait-aimed, time.Second), MaxAdviceWait)}, Share: 1}
+// queueLimit returns the limit at which a queue's jobs wait for targetWait. It accepts the jobs within the
+// customer's weight and as many others as are done, or fewer while the wait is longer than targetWait.
+func (c *customerState) queueLimit(d Demand, q QueueDemand, wait, targetWait time.Duration, now clock.Time) QueueLimit {
+	l := QueueLimit{Refusal: Refusal{Queue: q.Queue, Wait: wait, RetryAfter: min(max(wait-targetWait, time.Second), MaxAdviceWait)}, Share: 1}
 	var all float64
 	for _, r := range c.arrivals {
 		all += r.value(now) / arrivalTimeConstant.Seconds()
@@ -209,7 +209,7 @@
 	}
 	if sent > 0 && q.WorkPerJob > 0 && wait > 0 {
 		donePerSecond := max(c.runningShare[q.Queue], q.Running) / q.WorkPerJob.Seconds()
-		l.Share = min(d.Weight/all+donePerSecond*aimed.Seconds()/wait.Seconds()/sent, 1)
+		l.Share = min(d.Weight/all+donePerSecond*targetWait.Seconds()/wait.Seconds()/sent, 1)
 	}
 	return l
 }
--- a/pkg/admission/refusals.go
+++ b/pkg/admission/refusals.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// MaxAdviceWait is how long the calls for advice may take that go before those of a new job. Callers
+	// MaxAdviceWait is how long the advice calls may take that go before those of a new job. Callers
 	// ask for the outcome of jobs 14 s after the last was submitted: after this wait, the job still needs
 	// its own call and a run of 4 s.
 	MaxAdviceWait = 9 * time.Second
@@ -20,12 +20,12 @@
 // Refusal says that a queue accepts no jobs for now.
 type Refusal struct {
 	Queue string
-	// Wait is how long the calls for advice take that go before those of a new job, and RetryAfter the
+	// Wait is how long the advice calls take that go before those of a new job, and RetryAfter the
 	// time after which there are few enough, or may be.
 	Wait, RetryAfter time.Duration
 }
 
-// PendingAdvice is the time of the calls for advice that accepted jobs still need, by priority. A lower
+// PendingAdvice is the time of the advice calls that accepted jobs still need, by priority. A lower
 // number goes first.
 type PendingAdvice map[int]time.Duration
 
@@ -44,10 +44,10 @@
 type Load struct {
 	// Age is how long ago the owner began.
 	Age time.Duration
-	// Advisers is the number of processes that make calls for advice or can make one.
+	// Advisers is the number of processes that make advice calls or can make one.
 	Advisers      int
 	PendingAdvice PendingAdvice
-	// IsMostlyUsed says whether most of a pool is in use.
+	// IsMostlyUsed reports whether most of a pool is in use.
 	IsMostlyUsed func(pool string) bool
 }
 
@@ -69,7 +69,7 @@
 	return out
 }
 
-// SameQueues says whether two lists refuse jobs of the same queues.
+// SameQueues reports whether two lists refuse jobs of the same queues.
 func SameQueues(a, b []Refusal) bool {
 	return slices.EqualFunc(a, b, func(x, y Refusal) bool { return x.Queue == y.Queue })
 }
--- a/pkg/advice/advisers.go
+++ b/pkg/advice/advisers.go
@@ -14,7 +14,7 @@
 	maxBackoffDoublings = 3
 )
 
-// Advisers are the processes that make the calls for advice, each one call at a time. NewAdvisers makes
+// Advisers are the processes that make the advice calls, each one call at a time. NewAdvisers makes
 // them.
 type Advisers struct {
 	idle      map[string]bool
--- a/pkg/advice/doc.go
+++ b/pkg/advice/doc.go
@@ -1,5 +1,5 @@
-// Package advice plans calls for advice and keeps account of them: what calls cost (prices.go), about how
-// many workers they ask (worker_count.go), which processes make them (advisers.go), what the answers tell
+// Package advice plans advice calls and accounts for them: what calls cost (prices.go), about how
+// many workers they ask (worker_count.go), which processes make them (advisers.go), what the answers say
 // about a queue's next calls (rates.go, rounds.go), and totals for metrics (tally.go).
 //
 // Only an outside service knows which workers may run the tasks of some steps. A process of the deployment
@@ -7,7 +7,7 @@
 // tickets for the workers that are allowed. Since a process makes one call at a time, calls are a limited
 // resource that steps share.
 //
-// The package knows neither steps nor workers, only numbers. Package dispatch finds out which workers a
+// The package handles neither steps nor workers, only numbers. Package dispatch finds out which workers a
 // step could use and for how many tasks each has room. It asks this package about how many of them to ask,
 // in how many calls, and has the calls made. Package queue has the times that a queue's calls take.
 //
@@ -30,6 +30,6 @@
 //
 //	rates := advice.Rates{}
 //	rates.Of("recap")           // 0.5: nothing is known of the queue yet
-//	rates.Learn("recap", 2, 20) // two of twenty workers were allowed
+//	rates.Update("recap", 2, 20) // two of twenty workers were allowed
 //	rates.Of("recap")           // 0.44
 package advice
--- a/pkg/advice/rates.go
+++ b/pkg/advice/rates.go
@@ -12,7 +12,7 @@
 	rateSample = 20
 )
 
-// Rates are the shares of workers that are allowed, by queue, as learned from the answers to calls. They
+// Rates are the shares of workers that are allowed, by queue, as estimated from the answers to calls. They
 // are made as Rates{}.
 type Rates map[string]float64
 
@@ -24,7 +24,7 @@
 	return initialRate
 }
 
-// Learn updates a queue's rate by an answer: how many workers it allowed of its call's targets, counting
+// Update updates a queue's rate by an answer: how many workers it allowed of its call's targets, counting
 // those that were asked about for the first time for their step. targets is above 0.
 func (r Rates) Learn(queueName string, allowed, targets int) {
 	share := float64(allowed) / float64(targets)
--- a/pkg/advice/rounds.go
+++ b/pkg/advice/rounds.go
@@ -23,7 +23,7 @@
 // as Rounds{}.
 type Rounds map[string]float64
 
-// Of returns how many rounds the calls for a step of a queue take; 1 before a step was learned.
+// Of returns how many rounds the calls for a step of a queue take; 1 before the first step has finished.
 func (r Rounds) Of(queueName string) float64 {
 	if rounds, known := r[queueName]; known {
 		return rounds
@@ -31,7 +31,7 @@
 	return 1
 }
 
-// Learn updates a queue's ratio by a finished step, from how long the calls for it took and how long one
+// Update updates a queue's ratio by a finished step, from how long the calls for it took and how long one
 // round takes.
 func (r Rounds) Learn(queueName string, took, roundTime time.Duration) {
 	ratio := float64(took) / float64(max(roundTime, time.Millisecond))
--- a/pkg/advice/tally.go
+++ b/pkg/advice/tally.go
@@ -35,7 +35,7 @@
 
 var valueClassNames = [valueClassCount]string{"overdue", "in_time", "late", "beyond", "worthless"}
 
-// Tally counts the calls for advice and their results since the owner began. NewTally makes it.
+// Tally counts the advice calls and their results since the owner began. NewTally makes it.
 type Tally struct {
 	calls              int64
 	failed             int64
@@ -54,7 +54,7 @@
 // CallResult is the result of a call that was answered or has failed.
 type CallResult struct {
 	Customer string
-	// ValueClass is that of the step when the call was made, and Delayed says whether the step had waited
+	// ValueClass is that of the step when the call was made, and Delayed reports whether the step had waited
 	// too long for advice by then.
 	ValueClass worth.ValueClass
 	Delayed    bool
--- a/pkg/crash/doc.go
+++ b/pkg/crash/doc.go
@@ -1,8 +1,8 @@
 // Package crash finds out which tasks crash the workers that start them, from the crashes of workers and
 // the starts that preceded them.
 //
-// It knows jobs, tasks and workers by ID only. Package dispatch reports to it which starts may have crashed
-// a worker, and asks it when to give up a task's job.
+// It identifies jobs, tasks and workers by ID only. Package dispatch reports to it which starts may have
+// crashed a worker, and asks it when to give up a task's job.
 //
 // Neither a History nor a TaskRecord is safe for concurrent use.
 //
@@ -23,10 +23,10 @@
 //
 // # What is stored
 //
-// Most starts are not put into the store before they are ordered: a later owner learns from the workers
-// what they run. A worker that has crashed reports nothing. So the starts of tasks that may be the cause of
-// a crash are stored first, as attempts. An attempt stays in the store until its worker has survived the
-// start, and a later owner that finds the worker lost counts a crash (TaskRecord.AddAttempt,
+// Most starts are not put into the store before they are ordered: a later owner gets the running tasks
+// from the workers' reports. A worker that has crashed reports nothing. So the starts of tasks that may be
+// the cause of a crash are stored first, as attempts. An attempt stays in the store until its worker has
+// survived the start, and a later owner that finds the worker lost counts a crash (TaskRecord.AddAttempt,
 // TaskRecord.Load).
 //
 // # Usage
--- a/pkg/crash/history.go
+++ b/pkg/crash/history.go
@@ -20,7 +20,7 @@
 	// while two conclusive crashes in a row are still proof. At 0.003, two such crashes happen by
 	// coincidence to one of 100,000 tasks that ran beside the cause of a crash.
 	maxUnrelatedCrashShare = 0.003
-	// survivalCheckTime is how long it takes to learn that a worker has survived a start: SurvivalTime,
+	// survivalCheckTime is how long it takes to find out that a worker has survived a start: SurvivalTime,
 	// and the longest wait of a poll.
 	survivalCheckTime = time.Second
 	// quietPeriod is for how long no worker may have crashed for another cause before a task is started
@@ -94,13 +94,13 @@
 	}
 }
 
-// MayCoincide says whether another worker, last seen at a time, may have crashed at the same time as the
+// MayCoincide reports whether another worker, last seen at a time, may have crashed at the same time as the
 // worker of c.
 func (h *History) MayCoincide(c *Crash, lastSeen clock.Time) bool {
 	return max(lastSeen.Sub(c.lastSeenAt), c.lastSeenAt.Sub(lastSeen)) < h.coincidenceWindow
 }
 
-// hasCoincidingCrash says whether other workers, on which none of the same jobs was starting, crashed or
+// hasCoincidingCrash reports whether other workers, on which none of the same jobs was starting, crashed or
 // fell silent at the same time. Crashes that only another job can have caused don't count.
 func (h *History) hasCoincidingCrash(c *Crash, silent func() []*Crash) bool {
 	for _, o := range h.crashes {
@@ -111,7 +111,7 @@
 	return slices.ContainsFunc(silent(), func(o *Crash) bool { return !c.sharesJob(o) })
 }
 
-// hasEarlierCrash says whether another worker at the same address crashed recently while none of the same
+// hasEarlierCrash reports whether another worker at the same address crashed recently while none of the same
 // jobs was starting there.
 func (h *History) hasEarlierCrash(c *Crash) bool {
 	return slices.ContainsFunc(h.crashes, func(o *Crash) bool {
@@ -130,7 +130,7 @@
 	h.crashes = slices.DeleteFunc(h.crashes, func(c *Crash) bool { return c.worker == worker })
 }
 
-// IsQuietFor says whether no worker has crashed within quietPeriod for a cause other than the job. Only
+// IsQuietFor reports whether no worker has crashed within quietPeriod for a cause other than the job. Only
 // then may a task of the job be started that is given up at its next crash.
 func (h *History) IsQuietFor(id job.ID, now clock.Time) bool {
 	return !slices.ContainsFunc(h.crashes, func(c *Crash) bool {
--- a/pkg/crash/probe.go
+++ b/pkg/crash/probe.go
@@ -16,7 +16,7 @@
 	maxClaimedShare = 0.25
 )
 
-// MayClaimWorker says whether one more worker may be claimed, given how many of all workers are claimed.
+// MayClaimWorker reports whether one more worker may be claimed, given how many of all workers are claimed.
 func MayClaimWorker(claimed, all int) bool {
 	return claimed < max(1, int(maxClaimedShare*float64(all)))
 }
@@ -24,8 +24,8 @@
 // ProbeFitness says how well a worker suits a probe: the start of a suspect task alone on a worker.
 type ProbeFitness struct {
 	RecentRuns int // runs of other jobs that the worker has not survived yet
-	// CrashedAt is when the worker's address last had a crash, since it may crash again without a task's fault;
-	// 0 when that was not recent.
+	// CrashedAt is when a worker at this address last crashed, since it may crash again without a task's
+	// fault; 0 when that was not recent.
 	CrashedAt  clock.Time
 	LastSeenAt clock.Time // a worker that was seen recently has not crashed yet
 }
--- a/pkg/crash/start.go
+++ b/pkg/crash/start.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// SurvivalTime is how long a worker must have lived on after the start of a run, by its own clock, to
+	// SurvivalTime is how long a worker must have stayed up after the start of a run, by its own clock, to
 	// have survived the start. Tasks that crash their workers did so 10 ms after their start.
 	SurvivalTime = 300 * time.Millisecond
 	// crashWindow is how long after a start a worker may last have been seen, by its own clock, for its
@@ -24,13 +24,13 @@
 	responsiveTime = 300 * time.Millisecond
 )
 
-// HasSurvived says whether a worker has survived a start, by the times of the start and of its last sign
+// HasSurvived reports whether a worker has survived a start, by the times of the start and of its last sign
 // of life, both in milliseconds of the worker's own clock.
 func HasSurvived(startedAt, lastSeenAt int64) bool {
 	return lastSeenAt-startedAt >= SurvivalTime.Milliseconds()
 }
 
-// IsInCrashWindow says whether a worker was last seen within crashWindow after a start, by the times of
+// IsInCrashWindow reports whether a worker was last seen within crashWindow after a start, by the times of
 // both in milliseconds of the worker's own clock.
 func IsInCrashWindow(startedAt, lastSeenAt int64) bool {
 	return lastSeenAt-startedAt <= crashWindow.Milliseconds()
@@ -44,13 +44,13 @@
 	FirstUnansweredAt clock.Time
 }
 
-// IsResponsive says whether the worker was seen recently and no call has failed since. A worker that is
+// IsResponsive reports whether the worker was seen recently and no call has failed since. A worker that is
 // not responsive may have crashed already, and a start sent to it would be counted against its task.
 func (w WorkerLiveness) IsResponsive(now clock.Time) bool {
 	return w.FirstUnansweredAt == 0 && now.Sub(w.LastSeenAt) <= responsiveTime
 }
 
-// MayHaveCrashedBefore says whether the worker may have crashed before a start without an answer that was
+// MayHaveCrashedBefore reports whether the worker may have crashed before a start without an answer that was
 // ordered at a time: an earlier call got no answer either, or the worker had not been seen for longer
 // than responsiveTime.
 func (w WorkerLiveness) MayHaveCrashedBefore(ordered clock.Time) bool {
@@ -69,7 +69,7 @@
 // Starts are starts on one worker.
 type Starts []Start
 
-// HasRun says whether the starts include the run.
+// HasRun reports whether the starts include the run.
 func (s Starts) HasRun(id job.TaskID, run int) bool {
 	return slices.ContainsFunc(s, func(x Start) bool { return x.Run == run && x.Task == id })
 }
--- a/pkg/crash/task.go
+++ b/pkg/crash/task.go
@@ -42,12 +42,12 @@
 	return slices.Clone(t.attempts)
 }
 
-// IsSuspect says whether a crash counts against the task, which then is to be started alone.
+// IsSuspect reports whether a crash counts against the task, which then is to be started alone.
 func (t *TaskRecord) IsSuspect() bool {
 	return len(t.crashes) > 0
 }
 
-// IsUnresolved says whether a worker was lost under a recent run of the task.
+// IsUnresolved reports whether a worker was lost under a recent run of the task.
 func (t *TaskRecord) IsUnresolved() bool {
 	return t.unresolved
 }
@@ -62,7 +62,7 @@
 	t.attempts = append(t.attempts, job.Attempt{Run: run, Worker: string(worker)})
 }
 
-// RemoveAttempt removes a start whose result is known. It says whether that changes what is stored.
+// RemoveAttempt removes a start whose result is known. It reports whether that changes what is stored.
 func (t *TaskRecord) RemoveAttempt(run int) bool {
 	n := len(t.attempts)
 	t.attempts = slices.DeleteFunc(t.attempts, func(a job.Attempt) bool { return a.Run == run })
@@ -70,7 +70,7 @@
 }
 
 // RecordSurvival records that a worker has survived a start of the task, which removes all attempts and
-// crashes. It says whether that changes what is stored.
+// crashes. It reports whether that changes what is stored.
 func (t *TaskRecord) RecordSurvival(run int) bool {
 	t.lastSurvivedRun, t.unresolved = max(t.lastSurvivedRun, run), false
 	changed := len(t.crashes)+len(t.attempts) > 0
@@ -79,7 +79,7 @@
 }
 
 // AddCrash counts a crash against the task, unless a worker has survived a later start of the task. It
-// says whether the crash was counted.
+// reports whether the crash was counted.
 func (t *TaskRecord) AddCrash(c job.Crash) bool {
 	if c.Run <= t.lastSurvivedRun {
 		return false
@@ -89,20 +89,20 @@
 }
 
 // RemoveCrashesOf removes the crashes of a worker that turned out to have been cut off for long, and not
-// to have crashed. It says whether there were any.
+// to have crashed. It reports whether there were any.
 func (t *TaskRecord) RemoveCrashesOf(worker workerid.ID) bool {
 	n := len(t.crashes)
 	t.crashes = slices.DeleteFunc(t.crashes, func(c job.Crash) bool { return c.Worker == string(worker) })
 	return len(t.crashes) < n
 }
 
-// ShouldGiveUp says whether the task is given up, when that takes conclusiveNeeded conclusive crashes
+// ShouldGiveUp reports whether the task is given up, when that takes conclusiveNeeded conclusive crashes
 // (History.ConclusiveCrashesNeeded).
 func (t *TaskRecord) ShouldGiveUp(conclusiveNeeded int) bool {
 	return t.ConclusiveCrashes() >= conclusiveNeeded || len(t.crashes) >= MaxConsecutiveCrashes
 }
 
-// IsLastAttempt says whether the next crash gives the task up, whatever else crashes.
+// IsLastAttempt reports whether the next crash gives the task up, whatever else crashes.
 func (t *TaskRecord) IsLastAttempt() bool {
 	return len(t.crashes) >= MaxConsecutiveCrashes-1
 }
--- a/pkg/dispatch/commit.go
+++ b/pkg/dispatch/commit.go
@@ -30,7 +30,7 @@
 // Commit is what has to be written to the store before run ends are acknowledged to the workers.
 type Commit struct {
 	Changes            []JobChange
-	lastEnds           map[*worker]int64 // up to which number these and earlier changes have all ends
+	lastEnds           map[*worker]int64 // number of the last end that may be acknowledged once the changes are written
 	startsToOrder      []*run            // to be ordered once the changes are written
 	crashedWorkers     []WorkerID        // workers whose crashes are among the changes
 	hasRecordedWorkers bool              // the changes record workers for which starts wait
--- a/pkg/dispatch/cordon.go
+++ b/pkg/dispatch/cordon.go
@@ -35,8 +35,8 @@
 		return false
 	}
 	for _, r := range sortedRuns(w) {
-		lasting := r.task.step.spec.LongRunning
-		if (force || lasting) && r.state == runActive && !r.stopRequested && r.task.step.toleratesAbsenceOf(r.task) {
+		longRunning := r.task.step.spec.LongRunning
+		if (force || longRunning) && r.state == runActive && !r.stopRequested && r.task.step.toleratesAbsenceOf(r.task) {
 			p.restartElsewhere(r, "its worker is being vacated for host maintenance")
 		}
 	}
@@ -51,12 +51,12 @@
 	if !s.spec.LongRunning || s.spec.MissAllowed == 0 {
 		return true
 	}
-	away := 0
+	absent := 0
 	for i := range s.tasks {
 		x := &s.tasks[i]
 		if x != t && (x.current == nil || x.current.state != runActive || x.current.stopRequested || x.current.progress.Percent < servingPercent) {
-			away++
+			absent++
 		}
 	}
-	return away < s.spec.MissAllowed
+	return absent < s.spec.MissAllowed
 }
--- a/pkg/dispatch/crash.go
+++ b/pkg/dispatch/crash.go
@@ -47,7 +47,7 @@
 func (p *Pool) RecordUncountedCrash(info WorkerInfo) {
 	p.markRosterChanged(info.ID)
 	if p.takeover.hasUncountedCrash {
-		return // one record tells a later owner as much as several
+		return // a single record is enough for a later owner
 	}
 	p.takeover.hasUncountedCrash = true
 	p.uncountedCrash = info
--- a/pkg/dispatch/customer_limits.go
+++ b/pkg/dispatch/customer_limits.go
@@ -20,7 +20,7 @@
 	return p.limiter.Limits(p.customerDemands(), now.Sub(p.createdAt), now)
 }
 
-// countAcceptedJob counts a job that a customer has sent.
+// countAcceptedJob counts an accepted job of a customer.
 func (p *Pool) countAcceptedJob(j *jobState) {
 	if j.account != nil {
 		p.limiter.RecordAccepted(j.customer.Name, j.queue.Name, p.now)
--- a/pkg/dispatch/delayed_steps.go
+++ b/pkg/dispatch/delayed_steps.go
@@ -13,7 +13,7 @@
 type DelayedStep struct {
 	Step     job.StepID
 	Customer string
-	Waited   time.Duration // since this owner knows that the step may start
+	Waited   time.Duration // since the step became ready under this owner
 	// TimeLeft is the time until its job's objective, negative once that has passed; 0 for long-running
 	// tasks, which have none.
 	TimeLeft time.Duration
--- a/pkg/dispatch/doc.go
+++ b/pkg/dispatch/doc.go
@@ -27,7 +27,7 @@
 // # Takeover
 //
 // A new owner first raises the fencing token on every worker and adopts the runs that the workers report.
-// While a worker has not answered, the jobs that a previous owner may have known stay blocked until the
+// While a worker has not answered, the jobs that a previous owner may have started stay blocked until the
 // leases of everything that owner can have started there have expired (takeover.go).
 //
 // # Planning
--- a/pkg/dispatch/explain.go
+++ b/pkg/dispatch/explain.go
@@ -31,7 +31,7 @@
 	WaitReason string    `json:"waits,omitempty"`
 	Runs       []RunView `json:"runs,omitempty"`
 	Failures   int       `json:"failures,omitempty"`
-	// Crashes counts the consecutive worker crashes that are held against its tasks.
+	// Crashes counts the consecutive worker crashes that are counted against its tasks.
 	Crashes int `json:"crashes,omitempty"`
 }
 
@@ -45,7 +45,7 @@
 }
 
 // blockedJobReason is shown for a job that a previous owner may have started.
-const blockedJobReason = "runs of a former owner are still looked for"
+const blockedJobReason = "runs of a previous owner are still being looked for"
 
 var runStateNames = [...]string{"starting", "unsettled", "running", "being stored"}
 
@@ -94,7 +94,7 @@
 	case p.awaitsQuota(s):
 		return p.quotaWaitReason(s)
 	case s.awaitsProbe(now):
-		return "a start to be proven, since a worker crashed under one of its tasks"
+		return "a suspect task to survive its start, since a worker crashed under one of its tasks"
 	case s.blockedUntil() != 0:
 		return fmt.Sprintf("an earlier start without an answer, which its worker may carry out for %s", max(s.blockedUntil().Sub(now), 0))
 	case len(s.advice.pendingCalls) > 0:
@@ -104,7 +104,7 @@
 	case len(p.candidates(s, newReservations(), now)) > 0:
 		return "its turn"
 	case s.occurrence.job.queue.Advice != nil && len(s.advice.allowed) == 0:
-		return fmt.Sprintf("a call for advice (%d of %d hosts are free)", p.advice.advisers.IdleCount(), p.advice.advisers.Count())
+		return fmt.Sprintf("an advice call (%d of %d advisers are idle)", p.advice.advisers.IdleCount(), p.advice.advisers.Count())
 	}
 	eligible := 0
 	for _, w := range p.workers {
@@ -127,7 +127,7 @@
 		reason += fmt.Sprintf("; %d members need %s at once", len(s.tasks), s.spec.MinResources())
 	}
 	if n := a.Unreported(); n != (cell.Resources{}) {
-		reason += fmt.Sprintf("; %s may run on workers that have not told", n)
+		reason += fmt.Sprintf("; %s may run on workers that have not reported", n)
 	}
 	if n := a.ReservedFor(s.claimant()); n != (cell.Resources{}) {
 		reason += fmt.Sprintf("; %s is kept for it", n)
--- a/pkg/dispatch/incarnations.go
+++ b/pkg/dispatch/incarnations.go
@@ -23,8 +23,8 @@
 // A worker may restart under its name. State of the earlier incarnation does not apply to the later one,
 // since the two have different IDs (WorkerID). That alone leaves these questions open:
 //
-//   - Which incarnation is there now? Reports tell: incarnations don't overlap, so when one of them reports,
-//     all others that were known when its poll was sent have ended. Entries may be out of date, so they end
+//   - Which incarnation is there now? Reports show it: incarnations don't overlap, so when one of them
+//     reports, all others that were known when its poll was sent have ended. Entries may be out of date, so they end
 //     no incarnation.
 //   - An order names only the worker, so the next incarnation may have received one that was meant for the
 //     incarnation before. A start that no report of the earlier incarnation has shown is transferred to the
@@ -214,7 +214,7 @@
 
 // isTransferable reports whether the next incarnation of its worker may have received a run's start: no
 // report has shown the run, or the report may have shown an earlier run of the same number. The answer to a
-// start does not tell which incarnation gave it.
+// start does not say which incarnation gave it.
 func (r *run) isTransferable() bool {
 	return (!r.reported || r.startCall.ReusesNumber) && !r.adopted && r.state != runStoring
 }
--- a/pkg/dispatch/jobs.go
+++ b/pkg/dispatch/jobs.go
@@ -48,7 +48,7 @@
 	chainEstimates []time.Duration // for each step, the estimated time from its start to the job's end
 }
 
-// occurrence is one time at which a job is due, with the steps that are then run.
+// occurrence is one time at which a job is due, with the steps to be run then.
 type occurrence struct {
 	job   *jobState
 	index int
--- a/pkg/dispatch/mechanism.go
+++ b/pkg/dispatch/mechanism.go
@@ -54,8 +54,8 @@
 type DisabledMechanisms func(Mechanism) bool
 
 // Contains reports whether a mechanism is disabled.
-func (w DisabledMechanisms) Contains(m Mechanism) bool {
-	return w != nil && w(m)
+func (d DisabledMechanisms) Contains(m Mechanism) bool {
+	return d != nil && d(m)
 }
 
 // isDisabled reports whether a mechanism is disabled in the pool's policy.
--- a/pkg/dispatch/model.go
+++ b/pkg/dispatch/model.go
@@ -87,7 +87,7 @@
 	EndLeaseExpired
 	EndGangBroken     // another member of the gang ended
 	EndGangIncomplete // other members of the gang were not started in time
-	EndLost           // the worker's incarnation has ended, or the lease expired unseen
+	EndLost           // the owner counts the run as ended, though no worker has reported the end
 )
 
 var endReasonNames = [...]string{"unknown", "done", "failed", "stopped", "lapsed", "broken", "alone", "lost"}
@@ -103,7 +103,7 @@
 	Run        int
 	Checkpoint string
 	Percent    int
-	// Load is, for a task that serves, the tail of its answer times in milliseconds, otherwise the
+	// Load is, for a task that serves, its tail latency in milliseconds, otherwise the
 	// processors in use in thousandths; 0 when not known.
 	Load int
 }
@@ -201,7 +201,7 @@
 	return len(a.Starts)+len(a.Stops)+len(a.Paces)+len(a.AdviceCalls)+len(a.NewWorkers)+len(a.FenceWorkers) == 0 && !a.ConfirmOwnership
 }
 
-// Event is a log line about something that was decided or learned.
+// Event is a log line about something that was decided or observed.
 type Event struct {
 	Name   string
 	Task   job.TaskID
--- a/pkg/fit/doc.go
+++ b/pkg/fit/doc.go
@@ -1,6 +1,6 @@
 // Package fit computes for how many tasks there is room, and how well a worker suits a task.
 //
-// It knows tasks and workers by their resources and other figures only. Package dispatch decides which
+// It gets only the resources and other figures of tasks and workers. Package dispatch decides which
 // workers may run a task, and chooses the one with the lowest cost.
 //
 // # Usage
--- a/pkg/latestart/doc.go
+++ b/pkg/latestart/doc.go
@@ -1,7 +1,7 @@
 // Package latestart keeps the late starts of tasks: starts that a later incarnation of the worker they were
 // sent to may still carry out. It says which starts of the same tasks have to be avoided because of them.
 //
-// It knows tasks by the numbers of their runs, workers by name, and incarnations of workers by number only.
+// It identifies tasks by the numbers of their runs, workers by name, and incarnations of workers by number.
 // Package dispatch reports each start to it, and asks it on which worker a task may start, under which run
 // number, and from when on run ends may be acknowledged.
 //
@@ -29,9 +29,9 @@
 //
 // A ticket is valid for one incarnation, so the next one rejects starts that carry a ticket.
 //
-// # What a later owner learns
+// # Late starts after a change of the owner
 //
-// A later owner has to know which starts may come late. So each start is put into the store, with its
+// A later owner needs the starts that may come late. So each start is put into the store, with its
 // worker, as soon as its call has ended without an answer (AddUnanswered). A later owner takes each stored
 // one for a late start on that worker for up to MaxDelay, unless a worker lists its run (LoadUnanswered). A
 // start whose owner ended before it was stored stays unknown.
--- a/pkg/latestart/task_starts.go
+++ b/pkg/latestart/task_starts.go
@@ -46,12 +46,12 @@
 	t.starts = append(t.starts, s)
 }
 
-// HasStarts says whether the task has late starts.
+// HasStarts reports whether the task has late starts.
 func (t *TaskStarts) HasStarts() bool {
 	return len(t.starts) > 0
 }
 
-// HasNumber says whether a late start has the run number.
+// HasNumber reports whether a late start has the run number.
 func (t *TaskStarts) HasNumber(number int) bool {
 	return slices.ContainsFunc(t.starts, func(s Start) bool { return s.Number == number })
 }
@@ -65,12 +65,12 @@
 	return last
 }
 
-// isNumberReused says whether the next run of the task has the number of the start.
+// isNumberReused reports whether the next run of the task has the number of the start.
 func (s Start) isNumberReused(n RunNumbers) bool {
 	return s.isBound() && s.Number == n.LastAssigned && n.LastEnded < s.Number
 }
 
-// blocksTask says whether the task must not start again before the late start has expired: the worker
+// blocksTask reports whether the task must not start again before the late start has expired: the worker
 // that the task is bound to rejects the number of that start, since a run with it has ended there.
 func (s Start) blocksTask(n RunNumbers) bool {
 	return s.isBound() && !s.isNumberReused(n)
@@ -80,17 +80,17 @@
 	return s.Worker != ""
 }
 
-// ReusesNumber says whether the next run has the number of a late start.
+// ReusesNumber reports whether the next run has the number of a late start.
 func (t *TaskStarts) ReusesNumber(n RunNumbers) bool {
 	return slices.ContainsFunc(t.starts, func(s Start) bool { return s.isNumberReused(n) })
 }
 
-// ReusesNumberOn says whether the next run, if it is on the worker, has the number of a late start.
+// ReusesNumberOn reports whether the next run, if it is on the worker, has the number of a late start.
 func (t *TaskStarts) ReusesNumberOn(worker string, n RunNumbers) bool {
 	return slices.ContainsFunc(t.starts, func(s Start) bool { return s.Worker == worker && s.isNumberReused(n) })
 }
 
-// IsBlocked says whether the task must not start before a late start has expired.
+// IsBlocked reports whether the task must not start before a late start has expired.
 func (t *TaskStarts) IsBlocked(n RunNumbers) bool {
 	return t.BlockedUntil(n) != 0
 }
@@ -119,12 +119,12 @@
 	return out
 }
 
-// MayRunOn says whether the task may start on the worker.
+// MayRunOn reports whether the task may start on the worker.
 func (t *TaskStarts) MayRunOn(worker string) bool {
 	return !slices.ContainsFunc(t.starts, func(s Start) bool { return s.isBound() && s.Worker != worker })
 }
 
-// IsBound says whether the task may start on one worker only.
+// IsBound reports whether the task may start on one worker only.
 func (t *TaskStarts) IsBound() bool {
 	return slices.ContainsFunc(t.starts, Start.isBound)
 }
@@ -150,11 +150,11 @@
 	LastAnsweredPollSentAt func(worker string) clock.Time
 	// LeaseTime is how long a run may go on under its lease without contact to its owner.
 	LeaseTime time.Duration
-	// IsOwnershipConfirmedSince says whether the store has confirmed this owner at or after a time.
+	// IsOwnershipConfirmedSince reports whether the store has confirmed this owner at or after a time.
 	IsOwnershipConfirmedSince func(since clock.Time) bool
 }
 
-// isExpired says whether the start can't be carried out any more. For a bound task it also requires that
+// isExpired reports whether the start can't be carried out any more. For a bound task it also requires that
 // a run which began from the start and which no worker has reported has ended: the worker has answered a
 // poll sent after the expiry, or leases have expired since and the ownership was confirmed after that.
 func (s Start) isExpired(conditions ExpiryConditions, now clock.Time) bool {
--- a/pkg/latestart/unanswered.go
+++ b/pkg/latestart/unanswered.go
@@ -19,7 +19,7 @@
 }
 
 // MarkInvalidated marks the starts with a run number as invalidated: they have no effect any more on the
-// incarnation that they were sent to. It says whether that changes what is stored.
+// incarnation that they were sent to. It reports whether that changes what is stored.
 func (t *TaskStarts) MarkInvalidated(number int) bool {
 	changed := false
 	for i, u := range t.unanswered {
--- a/pkg/outcome/outcome.go
+++ b/pkg/outcome/outcome.go
@@ -12,13 +12,13 @@
 type Outcome struct {
 	State    job.State
 	Customer string // customer of the job
-	// LearnedAt is when this owner learned the outcome.
+	// RecordedAt is when this owner added the outcome.
 	LearnedAt clock.Time
 	// LateStartsExpireAt is until when late starts of the job's tasks may be carried out; 0 without any.
 	LateStartsExpireAt clock.Time
 }
 
-// Outcomes has the outcomes of jobs in the order in which they were learned. New makes one.
+// Outcomes has the outcomes of jobs in the order in which they were added. New makes one.
 type Outcomes struct {
 	byJob map[job.ID]Outcome
 	order []job.ID
@@ -44,7 +44,7 @@
 	return x, ok
 }
 
-// Contains says whether the outcome of a job is known.
+// Contains reports whether the outcome of a job is known.
 func (o *Outcomes) Contains(id job.ID) bool {
 	_, ok := o.byJob[id]
 	return ok
--- a/pkg/pace/doc.go
+++ b/pkg/pace/doc.go
@@ -4,7 +4,7 @@
 // its target, the fillers on its worker are slowed down at once. When all tails there have stayed well
 // below their targets for a while, the fillers get faster step by step.
 //
-// The package knows neither workers nor runs. Package dispatch keeps a Control for each worker, calls it
+// The package handles neither workers nor runs. Package dispatch keeps a Control for each worker, calls it
 // with the worst tail there after each report, applies the Change to each filler's pace, and has the pace
 // orders sent.
 //
--- a/pkg/preemption/doc.go
+++ b/pkg/preemption/doc.go
@@ -1,7 +1,7 @@
 // Package preemption chooses which runs to stop on which worker to make room for a task, so that least work
 // is lost.
 //
-// It knows neither jobs nor workers. Package dispatch says which runs may be stopped and how much work each
+// It handles neither jobs nor workers. Package dispatch says which runs may be stopped and how much work each
 // stop loses.
 //
 // # Usage
--- a/pkg/preemption/option.go
+++ b/pkg/preemption/option.go
@@ -56,7 +56,7 @@
 	return out
 }
 
-// chooseVictims chooses the runs to be stopped for one more task, and says whether they suffice.
+// chooseVictims chooses the runs to be stopped for one more task, and reports whether they suffice.
 func (o *Option[R]) chooseVictims(need cell.Resources) bool {
 	o.chosen, o.lostWork = o.chosen[:0], 0
 	if o.MaxTasks <= 0 {
--- a/pkg/runend/doc.go
+++ b/pkg/runend/doc.go
@@ -1,7 +1,7 @@
 // Package runend predicts when runs end, by their progress or by the estimate of their tasks, and so when
 // there will be room.
 //
-// It knows runs by figures only. Package dispatch has the runs and the workers.
+// It gets only figures of runs. Package dispatch has the runs and the workers.
 //
 // # Usage
 //
--- a/pkg/runend/runend.go
+++ b/pkg/runend/runend.go
@@ -53,7 +53,7 @@
 	return estimate - now.Sub(begun)
 }
 
-// EndsWithin says whether a run that is expected to end after timeLeft ends within a time. A run that
+// EndsWithin reports whether a run that is expected to end after timeLeft ends within a time. A run that
 // should have ended maxOverdue ago or earlier does not count.
 func EndsWithin(timeLeft, within time.Duration) bool {
 	return timeLeft <= within && timeLeft > -maxOverdue
--- a/pkg/takeover/blocked_jobs.go
+++ b/pkg/takeover/blocked_jobs.go
@@ -16,7 +16,7 @@
 	Jobs    []job.ID
 }
 
-// Equal says whether two silent workers block the same jobs.
+// Equal reports whether two silent workers block the same jobs.
 func (s SilentWorker) Equal(o SilentWorker) bool {
 	return s.Worker == o.Worker && s.Retired == o.Retired && slices.Equal(s.Jobs, o.Jobs)
 }
@@ -51,7 +51,7 @@
 	return b
 }
 
-// IsBlocked says whether a job may have unknown runs. stored has the workers of the job in the store.
+// IsBlocked reports whether a job may have unknown runs. stored has the workers of the job in the store.
 func (b *BlockedJobs) IsBlocked(id job.ID, stored StoredWorkers) bool {
 	switch {
 	case b.retiredWorkers[id] > 0:
--- a/pkg/takeover/doc.go
+++ b/pkg/takeover/doc.go
@@ -8,8 +8,8 @@
 //   - the recorded workers of a job: no start of the job went to another worker, since its owner stored
 //     their names first.
 //
-// The package knows jobs by ID and workers by name only. Package dispatch reports which workers are silent,
-// and starts no tasks of jobs that are blocked.
+// The package identifies jobs by ID and workers by name only. Package dispatch reports which workers are
+// silent, and starts no tasks of jobs that are blocked.
 //
 // # Usage
 //
--- a/pkg/takeover/recorded_workers.go
+++ b/pkg/takeover/recorded_workers.go
@@ -11,7 +11,7 @@
 	stored map[string]bool // false until the store is known to have the worker
 }
 
-// Add adds a worker. It says whether the worker is new and so has to be put into the store.
+// Add adds a worker. It reports whether the worker is new and so has to be put into the store.
 func (r *RecordedWorkers) Add(worker string) bool {
 	if _, known := r.stored[worker]; known {
 		return false
@@ -33,7 +33,7 @@
 	}
 }
 
-// IsStored says whether the store is known to have the worker.
+// IsStored reports whether the store is known to have the worker.
 func (r *RecordedWorkers) IsStored(worker string) bool {
 	return r.stored[worker]
 }
--- a/pkg/worth/doc.go
+++ b/pkg/worth/doc.go
@@ -8,7 +8,7 @@
 // When a job should have ended follows from the estimates of its steps and from its queue (ChainEstimates,
 // Deadlines).
 //
-// The package knows neither runs nor workers. Package dispatch has the steps and goes through them in this
+// The package handles neither runs nor workers. Package dispatch has the steps and goes through them in this
 // order. Package customer decides whether a job is over its customer's share.
 //
 // # Usage
--- a/pkg/worth/objective.go
+++ b/pkg/worth/objective.go
@@ -19,7 +19,7 @@
 }
 
 // ChainEstimates returns for each step of a job the estimated time from the step's start to the end of
-// the job. advice is how long each step waits for a call for advice. A step depends on earlier steps of
+// the job. advice is how long each step waits for an advice call. A step depends on earlier steps of
 // the list only.
 func ChainEstimates(steps []job.Step, advice time.Duration) []time.Duration {
 	out := make([]time.Duration, len(steps))
