--- a/pkg/admission/limits_test.go
+++ b/pkg/admission/limits_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// parseCustomers returns the customers of limits.
+// customersOf returns the customers of limits.
 func customersOf(limits []Limit) []string {
 	var out []string
 	for _, l := range limits {
@@ -45,7 +45,7 @@
 	g.Expect(customersOf(limits)).To(Equal([]string{"twelve", "fifteen"}))
 	g.Expect(limits[0].Queues).To(HaveLen(1))
 	g.Expect(limits[0].Queues[0].Wait).To(BeNumerically("~", 6*time.Second, time.Millisecond))
-	g.Expect(limits[0].Queues[0].RetryAfter).To(BeNumerically("~", 3600*time.Millisecond, time.Millisecond), "after that the wait is as long as aimed")
+	g.Expect(limits[0].Queues[0].RetryAfter).To(BeNumerically("~", 3600*time.Millisecond, time.Millisecond), "after that the wait is at its target")
 	g.Expect(limits[1].Queues[0].RetryAfter).To(Equal(MaxAdviceWait), "no caller has to wait longer")
 }
 
@@ -121,7 +121,7 @@
 func TestShareFollowsSentAndDoneJobs(t *testing.T) {
 	g := NewWithT(t)
 	l := NewLimiter()
-	now, share, aim := clock.Time(100_000), 1.0, 6*time.Second
+	now, share, waits := clock.Time(100_000), 1.0, 6*time.Second
 	send := func(perS float64, forTime time.Duration) {
 		toSend := 0.0
 		for end := now.Add(forTime); now < end; now = now.Add(decideEvery) {
@@ -129,7 +129,7 @@
 				l.RecordAccepted("c", "sheets", now)
 			}
 			share = 1
-			for _, limit := range l.Limits([]Demand{demandOf("c", aim)}, time.Minute, now) {
+			for _, limit := range l.Limits([]Demand{demandOf("c", waits)}, time.Minute, now) {
 				share = limit.Queues[0].Share
 			}
 		}
--- a/pkg/crash/crash_test.go
+++ b/pkg/crash/crash_test.go
@@ -15,7 +15,7 @@
 
 // Guards against a job that is given up because one worker crashes again and again without its fault.
 func TestIncarnationsOfOneWorkerCountOnce(t *testing.T) {
-	alone := func(workers ...string) []job.Crash {
+	crashesOn := func(workers ...string) []job.Crash {
 		var out []job.Crash
 		for n, w := range workers {
 			out = append(out, job.Crash{Run: n + 1, Worker: w, Conclusive: true})
@@ -28,9 +28,9 @@
 		return x.ConclusiveCrashes()
 	}
 	g := NewWithT(t)
-	g.Expect(conclusive(alone("w1@1000", "w1@1900", "w1@2800"))).To(Equal(1))
-	g.Expect(conclusive(alone("w1@1000", "w2@1900", "w1@2800"))).To(Equal(2))
-	g.Expect(conclusive(alone("w1", "w2"))).To(Equal(2))
+	g.Expect(conclusive(crashesOn("w1@1000", "w1@1900", "w1@2800"))).To(Equal(1))
+	g.Expect(conclusive(crashesOn("w1@1000", "w2@1900", "w1@2800"))).To(Equal(2))
+	g.Expect(conclusive(crashesOn("w1", "w2"))).To(Equal(2))
 }
 
 func start(id job.ID, run int) Start {
@@ -58,21 +58,21 @@
 // against a task that never does.
 func TestCrashIsConclusiveUnlessOtherCauseIsPossible(t *testing.T) {
 	for name, c := range map[string]struct {
-		jobs     []job.ID
-		before   []*Crash
-		silent   []*Crash
-		inWindow bool
-		alone    bool
+		jobs       []job.ID
+		before     []*Crash
+		silent     []*Crash
+		inWindow   bool
+		conclusive bool
 	}{
-		"nothing else":                           {jobs: []job.ID{"a"}, inWindow: true, alone: true},
+		"nothing else":                           {jobs: []job.ID{"a"}, inWindow: true, conclusive: true},
 		"seen long after the start":              {jobs: []job.ID{"a"}},
 		"another job was starting":               {jobs: []job.ID{"a", "b"}, inWindow: true},
 		"another worker crashed":                 {jobs: []job.ID{"a"}, before: []*Crash{crashOf(2, at-900, "b", "c")}, inWindow: true},
-		"another crashed long before":            {jobs: []job.ID{"a"}, before: []*Crash{crashOf(2, at-1000, "b", "c")}, inWindow: true, alone: true},
-		"another crashed, its job at fault":      {jobs: []job.ID{"a"}, before: []*Crash{crashOf(2, at-900, "b")}, inWindow: true, alone: true},
-		"another crashed under the same job":     {jobs: []job.ID{"a"}, before: []*Crash{crashOf(2, at-900, "a", "c")}, inWindow: true, alone: true},
+		"another crashed long before":            {jobs: []job.ID{"a"}, before: []*Crash{crashOf(2, at-1000, "b", "c")}, inWindow: true, conclusive: true},
+		"another crashed, its job at fault":      {jobs: []job.ID{"a"}, before: []*Crash{crashOf(2, at-900, "b")}, inWindow: true, conclusive: true},
+		"another crashed under the same job":     {jobs: []job.ID{"a"}, before: []*Crash{crashOf(2, at-900, "a", "c")}, inWindow: true, conclusive: true},
 		"another fell silent":                    {jobs: []job.ID{"a"}, silent: []*Crash{crashOf(2, at, "b")}, inWindow: true},
-		"another fell silent under the same job": {jobs: []job.ID{"a"}, silent: []*Crash{crashOf(2, at, "a")}, inWindow: true, alone: true},
+		"another fell silent under the same job": {jobs: []job.ID{"a"}, silent: []*Crash{crashOf(2, at, "a")}, inWindow: true, conclusive: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := NewHistory(time.Second, 0)
@@ -83,7 +83,7 @@
 			h.Add(x, func() []*Crash { return c.silent }, at)
 			s := start("a", 3)
 			s.InCrashWindow = c.inWindow
-			NewWithT(t).Expect(x.RecordFor(s)).To(Equal(job.Crash{Run: 3, Worker: "w@1", Conclusive: c.alone}))
+			NewWithT(t).Expect(x.RecordFor(s)).To(Equal(job.Crash{Run: 3, Worker: "w@1", Conclusive: c.conclusive}))
 		})
 	}
 }
@@ -105,7 +105,7 @@
 }
 
 // Guards against a job that is given up for two crashes in a row where workers crash often for other
-// causes, or where a new owner can't know yet whether they do.
+// causes, or where a new owner can't tell yet whether they do.
 func TestMoreCrashesAreNeededWhileWorkersCrashForOtherCauses(t *testing.T) {
 	g := NewWithT(t)
 	h := NewHistory(time.Second, at)
--- a/pkg/dispatch/customer_limits.go
+++ b/pkg/dispatch/customer_limits.go
@@ -48,12 +48,12 @@
 		if totals[name] == nil {
 			totals[name] = map[string]*queueTotals{}
 		}
-		w := totals[name][q.Name]
-		if w == nil {
-			w = &queueTotals{demand: admission.QueueDemand{Queue: q.Name, Pool: q.Pool, Priority: q.Priority}}
-			totals[name][q.Name] = w
+		t := totals[name][q.Name]
+		if t == nil {
+			t = &queueTotals{demand: admission.QueueDemand{Queue: q.Name, Pool: q.Pool, Priority: q.Priority}}
+			totals[name][q.Name] = t
 		}
-		if w.addJob(j) && j.overShare {
+		if t.addJob(j) && j.overShare {
 			customersOverShare[name] = true
 		}
 	}
@@ -61,8 +61,8 @@
 	for _, name := range slices.Sorted(maps.Keys(totals)) {
 		d := admission.Demand{Customer: name, Weight: p.accounts[name].Customer().Weight, OverShare: customersOverShare[name]}
 		for _, queueName := range slices.Sorted(maps.Keys(totals[name])) {
-			w := totals[name][queueName]
-			d.Queues = append(d.Queues, w.toDemand(p.poolLoad(w.demand.Pool).capacity))
+			t := totals[name][queueName]
+			d.Queues = append(d.Queues, t.toDemand(p.poolLoad(t.demand.Pool).capacity))
 		}
 		out = append(out, d)
 	}
@@ -71,31 +71,31 @@
 
 // addJob adds a job's work, including that of steps that wait for other steps, and reports whether some
 // tasks of the job have no run. Long-running and filler tasks are left out, since they never finish.
-func (w *queueTotals) addJob(j *jobState) (waits bool) {
+func (t *queueTotals) addJob(j *jobState) (waits bool) {
 	for s := range j.steps() {
 		if s.spec.LongRunning || s.spec.Filler {
 			continue
 		}
 		need, ms := s.spec.Need(), s.spec.Estimate.Milliseconds()
-		w.waiting = w.waiting.Add(need.Times(int64(s.idleTasks) * ms))
-		w.work = w.work.Add(need.Times(int64(len(s.tasks)) * ms))
-		w.running = w.running.Add(need.Times(int64(s.countedRuns)))
+		t.waiting = t.waiting.Add(need.Times(int64(s.idleTasks) * ms))
+		t.work = t.work.Add(need.Times(int64(len(s.tasks)) * ms))
+		t.running = t.running.Add(need.Times(int64(s.countedRuns)))
 		waits = waits || s.idleTasks > 0
 	}
 	longest := slices.Max(j.chainEstimates)
 	objective, _ := worth.Deadlines(0, longest, j.queue.Extension, j.queue.TargetLatency)
-	w.totalSlack += objective.Sub(clock.Time(0).Add(longest))
-	w.jobs++
+	t.totalSlack += objective.Sub(clock.Time(0).Add(longest))
+	t.jobs++
 	return waits
 }
 
 // toDemand returns the totals as a demand on a pool with the given capacity.
-func (w *queueTotals) toDemand(capacity cell.Resources) admission.QueueDemand {
+func (t *queueTotals) toDemand(capacity cell.Resources) admission.QueueDemand {
 	poolTime := func(work cell.Resources) time.Duration {
 		return time.Duration(work.DominantShare(capacity) * float64(time.Millisecond))
 	}
-	w.demand.Waiting, w.demand.WorkPerJob = poolTime(w.waiting), poolTime(w.work)/time.Duration(w.jobs)
-	w.demand.Slack = w.totalSlack / time.Duration(w.jobs)
-	w.demand.Running = w.running.DominantShare(capacity)
-	return w.demand
+	t.demand.Waiting, t.demand.WorkPerJob = poolTime(t.waiting), poolTime(t.work)/time.Duration(t.jobs)
+	t.demand.Slack = t.totalSlack / time.Duration(t.jobs)
+	t.demand.Running = t.running.DominantShare(capacity)
+	return t.demand
 }
--- a/pkg/dispatch/explain.go
+++ b/pkg/dispatch/explain.go
@@ -130,10 +130,10 @@
 		reason += fmt.Sprintf("; %s may run on workers that have not reported", n)
 	}
 	if n := a.ReservedFor(s.claimant()); n != (cell.Resources{}) {
-		reason += fmt.Sprintf("; %s is kept for it", n)
+		reason += fmt.Sprintf("; %s is reserved for it", n)
 	}
 	if n := a.ReservedForOthers(s.claimant()); n != (cell.Resources{}) {
-		reason += fmt.Sprintf("; %s is kept for steps that go first", n)
+		reason += fmt.Sprintf("; %s is reserved for steps that go first", n)
 	}
 	if n := a.Orphans(); n > 0 {
 		reason += fmt.Sprintf("; %d runs of its ended jobs are being stopped", n)
--- a/pkg/dispatch/explain_test.go
+++ b/pkg/dispatch/explain_test.go
@@ -69,8 +69,8 @@
 		f.advance(3 * time.Second)
 		waits := f.pool.DelayedSteps(3*time.Second, 5, f.now)
 		f.Expect(waits).To(HaveLen(1))
-		f.Expect(waits[0].WaitReason).To(And(ContainSubstring("cpu=2000m"), ContainSubstring("2 members need cpu=2000m"), ContainSubstring("cpu=2000m mem=2000MB acc=0 is kept for it")))
-		f.Expect(waits[0].WaitReason).NotTo(ContainSubstring("is kept for steps"), "no quota is reserved for other steps")
+		f.Expect(waits[0].WaitReason).To(And(ContainSubstring("cpu=2000m"), ContainSubstring("2 members need cpu=2000m"), ContainSubstring("cpu=2000m mem=2000MB acc=0 is reserved for it")))
+		f.Expect(waits[0].WaitReason).NotTo(ContainSubstring("is reserved for steps"), "no quota is reserved for other steps")
 		f.Expect(waits[0].TimeLeft).To(BeNumerically("<", testQueue.TargetLatency), "its objective has begun to pass")
 	})
 	t.Run("quota reserved for a gang", func(t *testing.T) {
@@ -83,7 +83,7 @@
 		f.add(withCustomer(northWithQuota(0), testJob("next", testStep(1))))
 		f.plan()
 		e, _ := f.pool.Explain("next", f.now)
-		f.Expect(e.Steps[0].WaitReason).To(ContainSubstring("cpu=2000m mem=2000MB acc=0 is kept for steps"))
+		f.Expect(e.Steps[0].WaitReason).To(ContainSubstring("cpu=2000m mem=2000MB acc=0 is reserved for steps"))
 	})
 	t.Run("tickets", func(t *testing.T) {
 		f := newWaitingGang(t)
--- a/pkg/dispatch/jobs.go
+++ b/pkg/dispatch/jobs.go
@@ -62,11 +62,11 @@
 // steps iterates over the steps of all occurrences that have been created.
 func (j *jobState) steps() iter.Seq[*step] {
 	return func(yield func(*step) bool) {
-		for _, t := range j.occurrences {
-			if t == nil {
+		for _, o := range j.occurrences {
+			if o == nil {
 				continue
 			}
-			for _, s := range t.steps {
+			for _, s := range o.steps {
 				if !yield(s) {
 					return
 				}
--- a/pkg/latestart/latestart_test.go
+++ b/pkg/latestart/latestart_test.go
@@ -45,7 +45,7 @@
 }
 
 // Guards against a start on another worker beside a run that no worker has reported. Only an answer to a
-// poll sent after the late start's expiry, or a confirmed ownership after the leases expired, tells that
+// poll sent after the late start's expiry, or a confirmed ownership after the leases expired, shows that
 // the run has ended.
 func TestBoundStartExpiresOnceItsRunHasEnded(t *testing.T) {
 	expiry := sent.Add(MaxDelay)
@@ -95,7 +95,7 @@
 	}
 }
 
-// Guards against a later owner that drops an invalidated start which a worker's list doesn't settle, or
+// Guards against a later owner that drops an invalidated start because a worker lists its run, or
 // that waits for a start which a worker has answered.
 func TestExecutedStartOfPreviousOwnerIsRemovedUnlessInvalidated(t *testing.T) {
 	g := NewWithT(t)
--- a/pkg/worth/value_class.go
+++ b/pkg/worth/value_class.go
@@ -24,8 +24,8 @@
 
 // MaxServiceWait is how long a long-running task may wait in order with others of its priority before its
 // step is overdue. The platform counts such a task as lost if it does not run for 3 s while there could
-// be room. A start takes up to 0.4 s when runs have to be stopped first to make room, and may need a call
-// for advice before.
+// be room. A start takes up to 0.4 s when runs have to be stopped first to make room, and may need an
+// advice call before.
 const MaxServiceWait = time.Second
 
 // Work is what a step's value class depends on.
