--- a/pkg/dispatch/commit.go
+++ b/pkg/dispatch/commit.go
@@ -149,9 +149,9 @@
 		}
 		p.loadUnanswered(t, row.UnansweredStarts)
 	}
-	for _, o := range j.occurrences {
-		if o != nil {
-			p.updateWaitingSteps(o)
+	for _, t := range j.occurrences {
+		if t != nil {
+			p.updateWaitingSteps(t)
 		}
 	}
 }
--- a/pkg/dispatch/incarnations.go
+++ b/pkg/dispatch/incarnations.go
@@ -224,12 +224,12 @@
 // that can't have been transferred, and for one whose worker is not known to be replaced, unless its start
 // may be carried out later (mayStartLater).
 func (p *Pool) transferredRunExpiresAt(w *worker, r *run) clock.Time {
-	mayStartLater := r.mayStartLater()
-	if !r.isTransferable() || !w.mayBeReplaced() && !mayStartLater {
+	startableLater := r.mayStartLater()
+	if !r.isTransferable() || !w.mayBeReplaced() && !startableLater {
 		return 0
 	}
 	sentBy := r.startCall.OrderedAt
-	if mayStartLater {
+	if startableLater {
 		sentBy = r.startCall.LastEventAt()
 	}
 	return sentBy.Add(maxOrderDelay + leaseExpiryTime(p.cfg.WorkerMaxLease))
