--- a/pkg/advice/doc.go
+++ b/pkg/advice/doc.go
@@ -19,7 +19,7 @@
 //	cost := queue.AdviceCost{Base: 400 * time.Millisecond, PerWorker: 6 * time.Millisecond}
 //	p := advice.Prices{Cost: cost, IdleAdvisers: 4, MaxCalls: 2}
 //	rooms := []int{2, 2, 2, 2, 2, 2, 2, 2}
-//	n, suffices := p.CheapestCount(rooms, 3, 0.3, 0) // 8, 0.74: a second call would cost more than all workers in one
+//	n, suffices := p.CheapestCount(rooms, 3, 0.3, 0) // 8, 0.74: a second call would cost more
 //	p.WorkersPerCall(n)                              // 8 in one call
 //	p.CallTime(n)                                    // 448 ms
 //
--- a/pkg/dispatch/incarnations.go
+++ b/pkg/dispatch/incarnations.go
@@ -24,8 +24,8 @@
 // since the two have different IDs (WorkerID). That alone leaves these questions open:
 //
 //   - Which incarnation is there now? Reports show it: incarnations don't overlap, so when one of them
-//     reports, all others that were known when its poll was sent have ended. Entries may be out of date, so they end
-//     no incarnation.
+//     reports, all others that were known when its poll was sent have ended. Entries may be out of date, so
+//     they end no incarnation.
 //   - An order names only the worker, so the next incarnation may have received one that was meant for the
 //     incarnation before. A start that no report of the earlier incarnation has shown is transferred to the
 //     next one, where it counts until a poll with a higher token has been answered.
