--- a/pkg/dispatch/explain.go
+++ b/pkg/dispatch/explain.go
@@ -45,7 +45,7 @@
 }
 
 // blockedJobReason is shown for a job that a previous owner may have started.
-const blockedJobReason = "runs of a previous owner are still being looked for"
+const blockedJobReason = "runs of a former owner are still looked for"
 
 var runStateNames = [...]string{"starting", "unsettled", "running", "being stored"}
 
@@ -94,7 +94,7 @@
 	case p.awaitsQuota(s):
 		return p.quotaWaitReason(s)
 	case s.awaitsProbe(now):
-		return "a suspect task to survive its start, since a worker crashed under one of its tasks"
+		return "a start to be proven, since a worker crashed under one of its tasks"
 	case s.blockedUntil() != 0:
 		return fmt.Sprintf("an earlier start without an answer, which its worker may carry out for %s", max(s.blockedUntil().Sub(now), 0))
 	case len(s.advice.pendingCalls) > 0:
@@ -104,7 +104,7 @@
 	case len(p.candidates(s, newReservations(), now)) > 0:
 		return "its turn"
 	case s.occurrence.job.queue.Advice != nil && len(s.advice.allowed) == 0:
-		return fmt.Sprintf("an advice call (%d of %d advisers are idle)", p.advice.advisers.IdleCount(), p.advice.advisers.Count())
+		return fmt.Sprintf("a call for advice (%d of %d hosts are free)", p.advice.advisers.IdleCount(), p.advice.advisers.Count())
 	}
 	eligible := 0
 	for _, w := range p.workers {
@@ -127,13 +127,13 @@
 		reason += fmt.Sprintf("; %d members need %s at once", len(s.tasks), s.spec.MinResources())
 	}
 	if n := a.Unreported(); n != (cell.Resources{}) {
-		reason += fmt.Sprintf("; %s may run on workers that have not reported", n)
+		reason += fmt.Sprintf("; %s may run on workers that have not told", n)
 	}
 	if n := a.ReservedFor(s.claimant()); n != (cell.Resources{}) {
-		reason += fmt.Sprintf("; %s is reserved for it", n)
+		reason += fmt.Sprintf("; %s is kept for it", n)
 	}
 	if n := a.ReservedForOthers(s.claimant()); n != (cell.Resources{}) {
-		reason += fmt.Sprintf("; %s is reserved for steps that go first", n)
+		reason += fmt.Sprintf("; %s is kept for steps that go first", n)
 	}
 	if n := a.Orphans(); n > 0 {
 		reason += fmt.Sprintf("; %d runs of its ended jobs are being stopped", n)
