--- a/pkg/dispatch/explain.go
+++ b/pkg/dispatch/explain.go
@@ -31,7 +31,7 @@
 	WaitReason string    `json:"waits,omitempty"`
 	Runs       []RunView `json:"runs,omitempty"`
 	Failures   int       `json:"failures,omitempty"`
-	// Crashes counts the consecutive worker crashes that are held against its tasks.
+	// Crashes counts the consecutive worker crashes that are counted against its tasks.
 	Crashes int `json:"crashes,omitempty"`
 }
 
--- a/pkg/dispatch/incarnations.go
+++ b/pkg/dispatch/incarnations.go
@@ -23,9 +23,9 @@
 // A worker may restart under its name. State of the earlier incarnation does not apply to the later one,
 // since the two have different IDs (WorkerID). That alone leaves these questions open:
 //
-//   - Which incarnation is there now? Reports tell: incarnations don't overlap, so when one of them reports,
-//     all others that were known when its poll was sent have ended. Entries may be out of date, so they end
-//     no incarnation.
+//   - Which incarnation is there now? Reports show it: incarnations don't overlap, so when one of them
+//     reports, all others that were known when its poll was sent have ended. Entries may be out of date, so
+//     they end no incarnation.
 //   - An order names only the worker, so the next incarnation may have received one that was meant for the
 //     incarnation before. A start that no report of the earlier incarnation has shown is transferred to the
 //     next one, where it counts until a poll with a higher token has been answered.
@@ -214,7 +214,7 @@
 
 // isTransferable reports whether the next incarnation of its worker may have received a run's start: no
 // report has shown the run, or the report may have shown an earlier run of the same number. The answer to a
-// start does not tell which incarnation gave it.
+// start does not say which incarnation gave it.
 func (r *run) isTransferable() bool {
 	return (!r.reported || r.startCall.ReusesNumber) && !r.adopted && r.state != runStoring
 }
@@ -224,12 +224,12 @@
 // that can't have been transferred, and for one whose worker is not known to be replaced, unless its start
 // may be carried out later (mayStartLater).
 func (p *Pool) transferredRunExpiresAt(w *worker, r *run) clock.Time {
-	kept := r.mayStartLater()
-	if !r.isTransferable() || !w.mayBeReplaced() && !kept {
+	startableLater := r.mayStartLater()
+	if !r.isTransferable() || !w.mayBeReplaced() && !startableLater {
 		return 0
 	}
 	sentBy := r.startCall.OrderedAt
-	if kept {
+	if startableLater {
 		sentBy = r.startCall.LastEventAt()
 	}
 	return sentBy.Add(maxOrderDelay + leaseExpiryTime(p.cfg.WorkerMaxLease))
