--- a/pkg/clock/doc.go
+++ b/pkg/clock/doc.go
@@ -9,7 +9,7 @@
 //
 //	c := clock.System()
 //	sent := c.Now()
-//	// … ask for a grant of 1200 ms …
+//	// … request a grant of 1200 ms …
 //	validUntil := sent.Add(1200 * time.Millisecond)
 //	if c.Now() >= validUntil {
 //		// the grant has expired
--- a/pkg/dispatch/over_share.go
+++ b/pkg/dispatch/over_share.go
@@ -13,8 +13,8 @@
 	}
 }
 
-// updateOverShareOfLoaded does the same for the jobs that were read from the store, in the order in
-// which they were accepted.
+// updateOverShareOfLoaded calls updateOverShare for all jobs that were read from the store, in the order
+// in which they were accepted.
 func (p *Pool) updateOverShareOfLoaded() {
 	loaded := make([]*jobState, 0, len(p.jobs))
 	for _, j := range p.jobs {
--- a/pkg/dispatch/ownership_confirmation.go
+++ b/pkg/dispatch/ownership_confirmation.go
@@ -7,9 +7,9 @@
 )
 
 // ownershipConfirmationValidity is how long after a confirmation of the ownership a task that is
-// presumed lost may be restarted. A later owner may learn from the worker that the task finished before
-// its lease expired, and may show the job as completed. The platform counts a start as a fault when it
-// comes more than a second after that; a start takes up to 0.16 s to arrive.
+// presumed lost may be restarted. The worker may report to a later owner that the task finished before its
+// lease expired, and that owner may then show the job as completed. The platform counts a start as a fault
+// when it comes more than a second after that; a start takes up to 0.16 s to arrive.
 const ownershipConfirmationValidity = 800 * time.Millisecond
 
 // RecordOwnershipConfirmed records that the store named this process as the owner in answer to a call
@@ -21,7 +21,7 @@
 // isOwnershipConfirmedSince reports whether the ownership was confirmed at or after the given time. If
 // not, it requests a confirmation.
 //
-// The leases of a silent worker expire at a known time only if no later owner has extended them. A
+// The leases of an unresponsive worker expire at a known time only if no later owner has extended them. A
 // later owner may reach workers that this one does not, and for a while both may give orders. So an
 // expired lease counts only once the store has named this owner after the expiry: what ran on the
 // worker then ended before any later owner could extend the lease.
--- a/pkg/dispatch/plan.go
+++ b/pkg/dispatch/plan.go
@@ -24,7 +24,7 @@
 	almostDonePercent = 98
 )
 
-// Plan decides what is to be done now. Without authority it gives no starts and requests no advice.
+// Plan decides what is to be done now. Without authority it orders no starts and requests no advice.
 func (p *Pool) Plan(now clock.Time, authority bool) Actions {
 	p.now = now
 	p.updateLoads(now)
@@ -100,7 +100,7 @@
 }
 
 // isStuck reports whether a run's progress has not changed for too long. Reports must have shown this
-// for at least half of that time: without them nothing is known of the progress.
+// for at least half of that time: without reports the progress is unknown.
 func (r *run) isStuck(now clock.Time) bool {
 	limit := minStuckTime + time.Duration(stuckShare*float64(r.task.step.spec.Estimate))
 	return now.Sub(r.progress.ChangedAt) >= limit && r.reportedAt.Sub(r.progress.ChangedAt) >= limit/2
@@ -225,8 +225,8 @@
 }
 
 // nextRunNumber returns the number of a task's next run. A previous owner may have assigned numbers
-// that this one does not know of, so the numbers of a job that it may have started begin above
-// RunNumberBase.
+// that this one has not seen, so the run numbers of a job that a previous owner may have started begin
+// above RunNumberBase.
 func (p *Pool) nextRunNumber(j *jobState, last int) int {
 	if !p.isUnknownToPreviousOwners(j) {
 		return max(last, p.cfg.RunNumberBase) + 1
--- a/pkg/dispatch/pool.go
+++ b/pkg/dispatch/pool.go
@@ -102,7 +102,8 @@
 	loadsUpdatedAt clock.Time // when loads was last computed (updateLoads)
 	loads          map[string]*poolLoad
 	// ownershipConfirmedAt is the latest time at which the store is known to have named this process as
-	// the owner (RecordOwnershipConfirmed). needsOwnershipCheck says that it has to be asked again.
+	// the owner (RecordOwnershipConfirmed). needsOwnershipCheck says that the store has to
+	// be asked again.
 	ownershipConfirmedAt clock.Time
 	needsOwnershipCheck  bool
 	// unstoredWorkersSince is the time since which recorded workers have waited to be written to the
@@ -185,7 +186,7 @@
 }
 
 // AddJob adds an accepted job; a job that is already known is ignored. age is how long ago it was
-// accepted, as measured by the clocks of two hosts.
+// accepted, and may be inexact since it is measured by the clocks of two hosts.
 func (p *Pool) AddJob(r job.Record, progress job.Progress, stored bool, age time.Duration, now clock.Time) {
 	p.now = now
 	id := r.Job.ID
--- a/pkg/dispatch/pool_load.go
+++ b/pkg/dispatch/pool_load.go
@@ -8,8 +8,8 @@
 )
 
 // poolLoad sums up the workers of one pool, without those in data halls that are being evacuated, and
-// the tasks that wait for them. Each pool has its own sums: tasks that wait for one pool say nothing
-// about the room in another.
+// the tasks that wait for them. Each pool has its own sums, since tasks that wait for one pool don't
+// affect the room in another.
 type poolLoad struct {
 	workers  int
 	capacity cell.Resources
--- a/pkg/dispatch/probe.go
+++ b/pkg/dispatch/probe.go
@@ -16,8 +16,8 @@
 // isSuspect reports whether a crash is recorded against a task, or against another member of its gang.
 //
 // A suspect task is started on a worker where no task of another job was started a short time ago, and
-// no task of another job is started there until it has survived. So a further crash shows its cause,
-// and the tasks that run beside it don't get a crash recorded against them. The suspect tasks of one
+// no task of another job is started there until it has survived. So a further crash can be attributed,
+// and no crash is recorded against tasks of other jobs on the same worker. The suspect tasks of one
 // step are tried on one worker at a time: if each task of a step crashes its worker, trying them in
 // parallel would cost one worker per task.
 func (t *task) isSuspect() bool {
--- a/pkg/dispatch/reports.go
+++ b/pkg/dispatch/reports.go
@@ -109,9 +109,9 @@
 	p.handleUnknownRunEnd(w, f)
 }
 
-// handleUnknownRunEnd applies the end of a run that is not counted here, for example one of a previous
-// owner. Ends from several workers arrive in any order, so a failure counts even if later runs of the
-// task are known.
+// handleUnknownRunEnd applies the end of a run that this owner does not count, for example one that a
+// previous owner started. Ends from several workers arrive in any order, so a failure counts even if later
+// runs of the task are known.
 func (p *Pool) handleUnknownRunEnd(w *worker, f FinishedRun) {
 	t := p.task(f.Task)
 	if t == nil || t.done || t.step.occurrence.job.outcome != "" {
@@ -200,7 +200,7 @@
 	}
 }
 
-// handleUnlistedRun decides what it means that a report does not list a run that is counted here. An
+// handleUnlistedRun decides what it means that a report does not list a run that this owner counts. An
 // unconfirmed start was not carried out if the worker has seen a higher token than the start's. An
 // active run that is missing from two reports is lost.
 func (p *Pool) handleUnlistedRun(r *run, poll PollOrder, now clock.Time) {
@@ -219,8 +219,8 @@
 	}
 }
 
-// adoptRun adds a run that a report lists and that is not counted here: this owner did not start it, or
-// gave it up. It returns nil when the task is not known.
+// adoptRun adds a run that a report lists and that this owner does not count: it did not start the run,
+// or has removed it from its counts. It returns nil when the task is not known.
 func (p *Pool) adoptRun(w *worker, row ActiveRun, now clock.Time) *run {
 	t := p.task(row.Task)
 	if t == nil {
--- a/pkg/dispatch/roster.go
+++ b/pkg/dispatch/roster.go
@@ -38,8 +38,8 @@
 	p.rosterChanges[id.Name()] = struct{}{}
 }
 
-// RosterEntries lists the incarnations of a worker that a later owner has to know of, sorted by ID:
-// those that have not terminated, and those that crashed after starts of which the store may not have
+// RosterEntries lists the incarnations of a worker that the roster has to contain for later owners, sorted
+// by ID: those that have not terminated, and those that crashed after starts of which the store may not have
 // the crash.
 func (p *Pool) RosterEntries(name string) []WorkerInfo {
 	var out []WorkerInfo
--- a/pkg/dispatch/run_ends.go
+++ b/pkg/dispatch/run_ends.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// handleRunEnd handles the end of a run that is counted here.
+// handleRunEnd handles the end of a run that this owner counts.
 func (p *Pool) handleRunEnd(r *run, reason EndReason, checkpoint string, now clock.Time) {
 	p.removeRun(r)
 	p.recordWorkerResult(r.worker, r, reason, now)
--- a/pkg/dispatch/stored_starts.go
+++ b/pkg/dispatch/stored_starts.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// keepUnresolvedStarts keeps the recent starts of a silent worker whose leases have expired: if it
+// keepUnresolvedStarts keeps the recent starts of an unresponsive worker whose leases have expired: if it
 // turns out that the worker crashed, one of these starts may be the cause.
 func (w *worker) keepUnresolvedStarts() {
 	w.unresolvedStarts = w.suspectStarts()
--- a/pkg/dispatch/takeover.go
+++ b/pkg/dispatch/takeover.go
@@ -61,8 +61,8 @@
 	return p.cfg.MaxLeaseDuration
 }
 
-// RestartTakeoverTimers restarts the time limits of a takeover. It is called when most workers were
-// fenced only now.
+// RestartTakeoverTimers restarts the time limits of a takeover. The caller invokes it when most workers
+// have been fenced, if that happened only after the pool was created.
 func (p *Pool) RestartTakeoverTimers(now clock.Time) {
 	if p.takeover.pending {
 		t := newTakeover(p.cfg, now)
--- a/pkg/dispatch/tickets.go
+++ b/pkg/dispatch/tickets.go
@@ -18,7 +18,7 @@
 type ticketUse struct {
 	worker WorkerID
 	// selectedForRoom says that the worker was expected to have room, and was not only included to
-	// learn whether it is allowed.
+	// find out whether it is allowed.
 	selectedForRoom bool
 	used            bool
 }
--- a/pkg/dispatch/unreported.go
+++ b/pkg/dispatch/unreported.go
@@ -17,8 +17,8 @@
 	maxWallClockSkew = 5 * time.Second
 )
 
-// remainingUse returns what is stored with a job for runs that may go on although nobody waits for
-// them: the surplus runs of done tasks and, if the job has ended, all of its runs. The members of a
+// remainingUse returns what is stored with a job for runs that may go on although they are no longer
+// needed: the surplus runs of done tasks and, if the job has ended, all of its runs. The members of a
 // gang end together, so the counted runs of a finished gang have ended.
 func (p *Pool) remainingUse(j *jobState) job.RemainingUse {
 	if j.customer.Name == "" {
@@ -93,7 +93,7 @@
 //   - for a job that goes on, the tasks that wait here, or those of the next step if the previous owner
 //     may have begun it;
 //   - for a job that has ended, and for done tasks, what the previous owner stored when it committed
-//     the end (job.Unended). Without this a customer had 4500 running of a quota of 2000 after its job
+//     the end (job.RemainingUse). Without this a customer had 4500 running of a quota of 2000 after its job
 //     was cancelled 40 ms before an owner change (randomized test).
 //
 // The sum is limited to the capacity of these workers.
@@ -161,7 +161,8 @@
 	return sum
 }
 
-// maxUnreportedUse returns the same for one occurrence. A previous owner may have begun the next step
+// maxUnreportedUse returns the resources for which a previous owner may have started runs of one occurrence
+// that are not known here. A previous owner may have begun the next step
 // before the end of the previous one was in the store. As the two steps don't run at the same time, the
 // larger one counts.
 func (t *occurrence) maxUnreportedUse() cell.Resources {
--- a/pkg/dispatch/waiting_queue.go
+++ b/pkg/dispatch/waiting_queue.go
@@ -16,7 +16,7 @@
 	unranked   []waitingStep // added since the last sort
 	stepCount  int
 	gangCount  int   // the number of gangs among the steps
-	lastSeq    int64 // the last seq that was assigned
+	lastSeq    int64 // the last waitingSeq that was assigned
 	hasRemoved bool  // steps were removed since the last sort
 	// nextRankChange is the earliest time at which the value class of a ranked step changes.
 	nextRankChange clock.Time
--- a/pkg/dispatch/worker.go
+++ b/pkg/dispatch/worker.go
@@ -53,21 +53,21 @@
 	// run there when it was retired (retirement.go).
 	retired          bool
 	retiredJobs      []job.ID
-	discoveredAt     clock.Time // when this owner first learned of it
+	discoveredAt     clock.Time // when this owner discovered it
 	leavesAt         clock.Time // when a draining worker may leave; 0 if it is not draining
 	evacuated        bool       // its data hall is being evacuated
 	terminated       bool       // the incarnation has ended, or can't run anything any more
 	fenced           bool       // it has answered this owner, so it rejects orders of previous owners
 	reported         bool       // a complete report has been applied
 	reportIncomplete bool       // its last report may not list all its runs
-	hasPredecessor   bool       // it replaced an incarnation that this owner knew
+	hasPredecessor   bool       // it replaced an incarnation that was known to this owner
 
 	clock          int64      // the worker's clock in its last answer, …
 	clockAt        clock.Time // … and when that answer arrived
 	lastAnsweredAt clock.Time
 	// lastAnsweredPollSentAt is when the last answered poll was sent: at some time after that, the
-	// worker knew of no later owner. lastAnsweredAt may be later than that time, since answers may be
-	// delayed.
+	// worker had not seen the token of a later owner. lastAnsweredAt may be later than that time, since
+	// answers may be delayed.
 	lastAnsweredPollSentAt clock.Time
 	// pendingPolls counts the polls in flight, and lastPollEndedAt is when the last of them ended.
 	// pollGap says that none was in flight for so long that the worker may have been restarted
@@ -92,8 +92,8 @@
 	// lastLoggedUnknownJob is the job of the last listed run that was logged as unknown.
 	lastLoggedUnknownJob job.ID
 
-	// unresolvedStarts are starts from before the worker became silent, or by previous owners, of which
-	// it is not known whether they ended the worker.
+	// unresolvedStarts are starts from before the worker became unresponsive, or by previous owners, of
+	// which it is not known whether they crashed the worker.
 	unresolvedStarts crash.Starts
 	// unansweredAt is when the first call failed since the worker's last answer; 0 if none did.
 	unansweredAt clock.Time
@@ -230,7 +230,7 @@
 	p.loseRuns(w, now)
 }
 
-// loseExpiredRuns ends the runs of a silent worker whose leases have expired. Runs that the worker's
+// loseExpiredRuns ends the runs of an unresponsive worker whose leases have expired. Runs that the worker's
 // next incarnation may have started still count until their own expiry.
 func (p *Pool) loseExpiredRuns(w *worker, expiredAt, now clock.Time) {
 	var lost []*run
@@ -280,7 +280,7 @@
 	return out
 }
 
-// expireWorker ends the runs of a worker that has been silent for so long that all its leases have
+// expireWorker ends the runs of a worker that has not answered for so long that all its leases have
 // expired, and forgets a worker that has left.
 func (p *Pool) expireWorker(w *worker, now clock.Time) {
 	if w.terminated {
--- a/pkg/procconf/procconf.go
+++ b/pkg/procconf/procconf.go
@@ -24,8 +24,8 @@
 	LogLevel       string           `toml:"log_level"`
 	Limits         Limits           `toml:"limits"`
 	Times          Times            `toml:"times"`
-	// Routes maps addresses to addresses. Its keys are strings because the TOML library supports no other
-	// type of key.
+	// Routes maps addresses to the addresses to which connections are opened instead (package dialer). Its
+	// keys are strings because the TOML library supports no other type of key.
 	Routes map[string]netip.AddrPort `toml:"routes"`
 }
 
--- a/pkg/settings/inherit.go
+++ b/pkg/settings/inherit.go
@@ -6,8 +6,8 @@
 	"foldarch.dev/foldarch/pkg/tomlfile"
 )
 
-// applyRules overrides the rules of w, inherited from higher levels, with those of a lower level. The
-// level is the file in which they stand.
+// applyRules overrides the rules of w, inherited from higher levels, with those of a lower level. level
+// is the file that contains them.
 func (b *builder) applyRules(w *Workload, level string, rules rulesDocument) {
 	setIfPresent(w, level, "rules.class", rules.Class, func(v string) { w.Class = Class(v) })
 	setIfPresent(w, level, "rules.policy", rules.Policy, func(v string) { w.Policy = Policy(v) })
--- a/pkg/settings/place.go
+++ b/pkg/settings/place.go
@@ -71,7 +71,7 @@
 // Clause is the place rule of one level. A site satisfies it if it matches at least one selector of
 // Allow (or Allow is empty) and none of Forbid.
 type Clause struct {
-	Level  string // file in which the rule stands
+	Level  string // file that contains the rule
 	Allow  []Selector
 	Forbid []Selector
 	Final  bool // lower levels can't replace the clause
--- a/pkg/trace/generate.go
+++ b/pkg/trace/generate.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// The Association trace compresses a day into four minutes: fits and lookups at a constant rate, alloy screens
-// in sweeps, and publications, which must not be executed more than once.
+// The Association trace compresses a day into four minutes: fits and lookups at a constant rate, alloy
+// screens in sweeps, and publications, which must not be executed more than once.
 const associationLength = 4 * time.Minute
 
 func (g *generator) association() {
--- a/pkg/trace/trace.go
+++ b/pkg/trace/trace.go
@@ -47,7 +47,8 @@
 	return time.Duration(e.AtMS) * time.Millisecond
 }
 
-// Body returns the request body. The stand-in services parse it to learn how long to work on the request.
+// Body returns the request body. The stand-in services parse it to find out how long to work on the
+// request.
 func (e Event) Body() string {
 	option := ""
 	if e.NotRepeatable && e.Batch {
--- a/pkg/upkeep/plan.go
+++ b/pkg/upkeep/plan.go
@@ -195,7 +195,7 @@
 	share := time.Duration(float64(w.Duration) * float64(max(w.MaxUnavailable, 1)) / float64(len(w.Machines)))
 	for _, id := range w.Machines {
 		pr, m := w.progressOf(id), p.machines[id]
-		if pr.done || pr.orderedAt != 0 || m.State != StateUp { // a machine missing from the list has an empty state
+		if pr.done || pr.orderedAt != 0 || m.State != StateUp { // an unlisted machine has an empty state
 			continue
 		}
 		if unavailable >= max(w.MaxUnavailable, 1) {
