--- a/pkg/dispatch/plan.go
+++ b/pkg/dispatch/plan.go
@@ -215,8 +215,8 @@
 // report from the worker, the time for which the ticket is still valid, and what stays free on the
 // worker.
 func (p *Pool) logStart(o StartOrder, w *worker, ticket ticket, now clock.Time) {
-	t := p.jobs[o.Task.Job].occurrences[o.Task.Time]
-	detail := fmt.Sprintf("left_ms=%d worker_age_ms=%d free=%s", t.objective.Sub(now).Milliseconds(),
+	occ := p.jobs[o.Task.Job].occurrences[o.Task.Time]
+	detail := fmt.Sprintf("left_ms=%d worker_age_ms=%d free=%s", occ.objective.Sub(now).Milliseconds(),
 		now.Sub(w.lastAnsweredAt).Milliseconds(), w.free())
 	if ticket.text != "" {
 		detail += fmt.Sprintf(" ticket_left_ms=%d", ticket.expiresAt.Sub(now).Milliseconds())
--- a/pkg/dispatch/pool.go
+++ b/pkg/dispatch/pool.go
@@ -102,8 +102,8 @@
 	loadsUpdatedAt clock.Time // when loads was last computed (updateLoads)
 	loads          map[string]*poolLoad
 	// ownershipConfirmedAt is the latest time at which the store is known to have named this process as
-	// the owner (RecordOwnershipConfirmed). needsOwnershipCheck says that the store has to
-	// be asked again.
+	// the owner (RecordOwnershipConfirmed). needsOwnershipCheck says that the store has to be
+	// asked again.
 	ownershipConfirmedAt clock.Time
 	needsOwnershipCheck  bool
 	// unstoredWorkersSince is the time since which recorded workers have waited to be written to the
@@ -247,23 +247,23 @@
 	if j.occurrences[k] != nil {
 		return j.occurrences[k]
 	}
-	t := &occurrence{job: j, index: k}
-	t.setObjective(p.occurrenceDueAt(j, k, p.now))
+	occ := &occurrence{job: j, index: k}
+	occ.setObjective(p.occurrenceDueAt(j, k, p.now))
 	for i := range j.job.Steps {
 		spec := &j.job.Steps[i]
 		p.stepCount++
-		s := &step{seq: p.stepCount, occurrence: t, index: i, spec: spec, tasks: make([]task, spec.Count), idleTasks: spec.Count, chainEstimate: j.chainEstimates[i]}
+		s := &step{seq: p.stepCount, occurrence: occ, index: i, spec: spec, tasks: make([]task, spec.Count), idleTasks: spec.Count, chainEstimate: j.chainEstimates[i]}
 		for n := range s.tasks {
 			s.tasks[n] = task{step: s, index: n}
 		}
 		if spec.MaxPerWorker > 0 {
 			s.runsPerWorker = map[WorkerID]int{}
 		}
-		t.steps = append(t.steps, s)
+		occ.steps = append(occ.steps, s)
 	}
-	j.occurrences[k] = t
-	p.updateWaitingSteps(t)
-	return t
+	j.occurrences[k] = occ
+	p.updateWaitingSteps(occ)
+	return occ
 }
 
 // createDueOccurrences creates the occurrences of a scheduled job whose times have come.
@@ -280,9 +280,9 @@
 
 // updateWaitingSteps puts the steps of an occurrence that have waiting tasks and whose dependencies are
 // done into the waiting queue, and removes the others from it.
-func (p *Pool) updateWaitingSteps(t *occurrence) {
-	for _, s := range t.steps {
-		if t.job.outcome == "" && s.dependenciesDone() && s.waitingTasks() > 0 {
+func (p *Pool) updateWaitingSteps(occ *occurrence) {
+	for _, s := range occ.steps {
+		if occ.job.outcome == "" && s.dependenciesDone() && s.waitingTasks() > 0 {
 			if !s.isQueued() {
 				s.readySince = p.now
 				p.waitingSteps.add(s)
@@ -349,8 +349,8 @@
 	if j.outcome != "" {
 		return
 	}
-	for _, t := range j.occurrences {
-		if t == nil || !t.finished() {
+	for _, occ := range j.occurrences {
+		if occ == nil || !occ.finished() {
 			return
 		}
 	}
@@ -408,12 +408,12 @@
 	if !ok || id.Time < 0 || id.Time >= len(j.occurrences) {
 		return nil
 	}
-	t := j.occurrences[id.Time]
-	if t == nil {
-		t = p.createOccurrence(j, id.Time)
+	occ := j.occurrences[id.Time]
+	if occ == nil {
+		occ = p.createOccurrence(j, id.Time)
 	}
-	if id.Step < 0 || id.Step >= len(t.steps) || id.Index < 0 || id.Index >= len(t.steps[id.Step].tasks) {
+	if id.Step < 0 || id.Step >= len(occ.steps) || id.Index < 0 || id.Index >= len(occ.steps[id.Step].tasks) {
 		return nil
 	}
-	return &t.steps[id.Step].tasks[id.Index]
+	return &occ.steps[id.Step].tasks[id.Index]
 }
--- a/pkg/dispatch/retirement.go
+++ b/pkg/dispatch/retirement.go
@@ -7,11 +7,10 @@
 	"foldarch.dev/foldarch/pkg/job"
 )
 
-// retireIfDraining retires a draining worker: it gets no more starts, even if its entry no longer marks it
-// as draining later.
-// The roster then tells later owners which jobs may have a run there, so that a retired worker that
-// ends without a report blocks only these jobs (package takeover). This list of jobs is final, so the
-// last report must have been complete and must have listed no runs of unknown jobs.
+// retireIfDraining retires a draining worker: it gets no more starts, even if its entry later no longer
+// marks it as draining. The roster then tells later owners which jobs may have a run there, so that a
+// retired worker that ends without a report blocks only these jobs (package takeover). This list of jobs is
+// final, so the last report must have been complete and must have listed no runs of unknown jobs.
 func (p *Pool) retireIfDraining(w *worker) {
 	if w.retired || w.terminated || !w.info.Draining || !w.reported || w.reportIncomplete || w.orphanRuns > 0 || len(w.unknownJobRuns) > 0 {
 		return
--- a/pkg/dispatch/takeover.go
+++ b/pkg/dispatch/takeover.go
@@ -61,8 +61,9 @@
 	return p.cfg.MaxLeaseDuration
 }
 
-// RestartTakeoverTimers restarts the time limits of a takeover. The caller invokes it when most workers
-// have been fenced, if that happened only after the pool was created.
+// RestartTakeoverTimers restarts the time limits of a takeover. The caller invokes it when most workers have
+// accepted this owner's token for the first time, since orders of the previous owner may have taken effect
+// until then.
 func (p *Pool) RestartTakeoverTimers(now clock.Time) {
 	if p.takeover.pending {
 		t := newTakeover(p.cfg, now)
--- a/pkg/dispatch/unreported.go
+++ b/pkg/dispatch/unreported.go
@@ -153,18 +153,17 @@
 // that are not known here, including what may still run for done tasks.
 func (j *jobState) maxUnreportedUse() cell.Resources {
 	sum := j.remainingUse
-	for _, t := range j.occurrences {
-		if t != nil {
-			sum = sum.Add(t.maxUnreportedUse())
+	for _, occ := range j.occurrences {
+		if occ != nil {
+			sum = sum.Add(occ.maxUnreportedUse())
 		}
 	}
 	return sum
 }
 
 // maxUnreportedUse returns the resources for which a previous owner may have started runs of one occurrence
-// that are not known here. A previous owner may have begun the next step
-// before the end of the previous one was in the store. As the two steps don't run at the same time, the
-// larger one counts.
+// that are not known here. A previous owner may have begun the next step before the end of the previous one
+// was in the store. As the two steps don't run at the same time, the larger one counts.
 func (t *occurrence) maxUnreportedUse() cell.Resources {
 	var sum cell.Resources
 	perStep := t.unreportedUsePerStep(t.possiblyBegunSteps())
--- a/pkg/upkeep/plan.go
+++ b/pkg/upkeep/plan.go
@@ -50,7 +50,7 @@
 const orderSettleTime = 3 * time.Second
 
 // drainShare is the fraction of a machine's share of the wave's duration that is left for its
-// running tasks to end; after that they are moved.
+// running tasks to end; after that the order is forced.
 const drainShare = 0.5
 
 // Planner schedules the upkeep of all waves. It is not safe for concurrent use.
