--- a/pkg/customer/access.go
+++ b/pkg/customer/access.go
@@ -70,7 +70,7 @@
 // Decide returns what may happen with a call.
 //
 // A host that may have missed a newer configuration must not deny that a queue exists or that a key is
-// valid, because a caller that is told so does not try again. Such a host still accepts the keys that it
+// valid, because a caller does not try again after such a denial. Such a host still accepts the keys that it
 // knows, unless revocation is strict. A call with several keys is invalid under any configuration and is
 // denied whatever the age.
 func Decide(c Call) Decision {
--- a/pkg/customer/access_test.go
+++ b/pkg/customer/access_test.go
@@ -55,7 +55,7 @@
 		"no customers":                                     {Call{QueueKnown: true, Key: KeyNotNeeded, ConfigAge: fresh}, Admitted},
 		"no customers, config outdated, strict":            {Call{QueueKnown: true, Key: KeyNotNeeded, ConfigAge: old, AccessSettings: withStrictRevocation(testSettings)}, Admitted},
 		"no customers, unknown queue":                      {Call{Key: KeyNotNeeded, ConfigAge: fresh}, UnknownQueue},
-		"known key at the very end of the bound":           {Call{QueueKnown: true, Key: KeyUnknown, ConfigAge: testSettings.MaxConfigAge}, Unauthenticated},
+		"unknown key at the very end of the bound":         {Call{QueueKnown: true, Key: KeyUnknown, ConfigAge: testSettings.MaxConfigAge}, Unauthenticated},
 		"unknown key, unknown queue, config outdated":      {Call{Key: KeyUnknown, ConfigAge: old}, RetryLater},
 		"known key at the very end of the strict time":     {Call{QueueKnown: true, Key: KeyKnown, ConfigAge: testSettings.RevocationLimit, AccessSettings: withStrictRevocation(testSettings)}, Admitted},
 	} {
--- a/pkg/customer/doc.go
+++ b/pkg/customer/doc.go
@@ -3,7 +3,7 @@
 //
 // A Directory is one version of the customers and does not change once it is built. It stores digests
 // instead of keys. Decide implements the access rules; it depends only on its argument. A Rate determines
-// which jobs of a customer are over its share, that is beyond its weight.
+// which jobs of a customer exceed its weight.
 //
 // # Usage
 //
--- a/pkg/job/job.go
+++ b/pkg/job/job.go
@@ -146,7 +146,7 @@
 	Step int
 }
 
-// String returns ID.K.STEP.
+// String returns ID.K.STEP, where K is the occurrence.
 func (s StepID) String() string {
 	return string(s.Job) + "." + strconv.Itoa(s.Time) + "." + strconv.Itoa(s.Step)
 }
--- a/pkg/job/record.go
+++ b/pkg/job/record.go
@@ -96,7 +96,8 @@
 type UnansweredStart struct {
 	Run    int    `json:"r"`
 	Worker string `json:"w"`
-	// SentNoLaterThan is the wall-clock time, at the owner that sent the start, by which it was sent.
+	// SentBy is the latest time at which the start can have been sent, by the wall clock of the owner that
+	// sent it.
 	SentBy time.Time `json:"t"`
 	// Invalidated means that a run with the start's number does not prove that the start was carried out.
 	// Either its owner knew that the start has no effect on the incarnation that it was sent to, so that
--- a/pkg/jobhost/config_test.go
+++ b/pkg/jobhost/config_test.go
@@ -101,7 +101,7 @@
 	g.Expect(h.config.Load()).To(BeNil())
 }
 
-// Guards against a caller that is told that an existing queue does not exist. The host loses the store,
+// Guards against answering a caller that an existing queue does not exist. The host loses the store,
 // the operator adds the queue, and the caller asks this host. A host whose configuration may be outdated
 // must answer 503 instead of 404.
 func TestHostWithStaleConfigurationDeniesNoQueue(t *testing.T) {
@@ -109,19 +109,19 @@
 	g := NewWithT(t)
 	p := startPlatform(t)
 	h, hook := newConfiguredHost(t, p)
-	ask := func() int {
+	get := func() int {
 		r := httptest.NewRequest(http.MethodGet, "http://jobs.example/added-later/", nil)
 		w := httptest.NewRecorder()
 		h.jobHandler().ServeHTTP(w, r)
 		return w.Code
 	}
-	g.Expect(ask()).To(Equal(http.StatusNotFound))
+	g.Expect(get()).To(Equal(http.StatusNotFound))
 
 	p.Store.SetMode(emulator.StoreSilent)
-	g.Eventually(ask, "4s", "20ms").Should(Equal(http.StatusServiceUnavailable))
+	g.Eventually(get, "4s", "20ms").Should(Equal(http.StatusServiceUnavailable))
 	found := logLines(hook, "queue_unknown")
 	g.Expect(found[len(found)-1].Data["config_age_ms"]).To(BeNumerically(">=", 2000))
 
 	p.Store.SetMode(emulator.StoreUp)
-	g.Eventually(ask, "2s", "20ms").Should(Equal(http.StatusNotFound))
+	g.Eventually(get, "2s", "20ms").Should(Equal(http.StatusNotFound))
 }
--- a/pkg/jobhost/customer_limits_test.go
+++ b/pkg/jobhost/customer_limits_test.go
@@ -35,7 +35,8 @@
 	return w
 }
 
-// newCustomersHost returns a host that knows two customers, "hot" and "other", by the keys "h" and "o".
+// newCustomersHost returns a host whose configuration has two customers: "hot" with the key "h", and
+// "other" with the key "o".
 func newCustomersHost(t *testing.T) (*Host, *emulator.Platform) {
 	t.Helper()
 	p, err := emulator.Start(emulator.Options{Customers: []emulator.Customer{{Name: "hot", Keys: []string{"h"}}, {Name: "other", Keys: []string{"o"}}}})
@@ -101,7 +102,7 @@
 	g.Expect(float64(accepted) / jobs).To(BeNumerically("~", share, 0.03))
 }
 
-// A list from an owner that is no longer heard limits no customer.
+// A list from an owner that no longer sends heartbeats limits no customer.
 func TestLimitsExpireWithoutTheOwner(t *testing.T) {
 	g := NewWithT(t)
 	var c customerLimits
--- a/pkg/jobhost/election.go
+++ b/pkg/jobhost/election.go
@@ -273,7 +273,7 @@
 	}, claim)
 	o.SetConfig(h.config.Load())
 	h.owner.Store(o)
-	o.SetConfig(h.config.Load()) // a configuration that arrived in between: applyConfig had no owner to pass it to
+	o.SetConfig(h.config.Load()) // one that arrived in between: applyConfig had no owner to pass it to
 	h.sendWaves(o)
 	h.sendEvacuations()
 	ctx, cancel := context.WithCancel(ctx)
--- a/pkg/jobhost/host.go
+++ b/pkg/jobhost/host.go
@@ -78,7 +78,7 @@
 	// again.
 	ownerStoreRecovered chan struct{}
 	intakeMode          modeState
-	reportedOwner       atomic.Pointer[reach.OwnerView] // from the owner's last heartbeat; nil before the first one
+	reportedOwner       atomic.Pointer[reach.OwnerView] // from the owner's last heartbeat; nil before the first
 
 	// bytes on the connections to other hosts, to callers and to the advice service
 	peerBytes, callerBytes, adviceBytes *traffic.Meter
@@ -141,24 +141,24 @@
 	}
 	callers, err := net.Listen("tcp", cfg.CallerAddress.String())
 	if err != nil {
-		return errors.Wrap(err, "callers' address")
+		return errors.Wrap(err, "listen on callers' address")
 	}
 	ready, err := net.Listen("tcp", cfg.ReadyAddress.String())
 	if err != nil {
-		return errors.Wrap(err, "ready address")
+		return errors.Wrap(err, "listen on ready address")
 	}
 	peers, err := net.Listen("tcp", cfg.PeerAddress.String())
 	if err != nil {
-		return errors.Wrap(err, "peers' address")
+		return errors.Wrap(err, "listen on peers' address")
 	}
 	h.log.WithFields(logrus.Fields{"life": h.incarnation, "callers": cfg.CallerAddress, "peers": cfg.PeerAddress, "zone": cfg.Zone}).Info("started")
 	h.logWarnings(*cfg)
 	work, stop := context.WithCancel(context.Background())
 	defer stop()
 	server := &http.Server{Handler: h.jobHandler(), ReadHeaderTimeout: headerTimeout}
-	probe := &http.Server{Handler: http.HandlerFunc(h.serveReady), ReadHeaderTimeout: headerTimeout}
+	readyServer := &http.Server{Handler: http.HandlerFunc(h.serveReady), ReadHeaderTimeout: headerTimeout}
 	go func() { _ = server.Serve(h.callerBytes.Listener(callers)) }()
-	go func() { _ = probe.Serve(ready) }()
+	go func() { _ = readyServer.Serve(ready) }()
 	if metricsPort != 0 {
 		if err := h.listenForOperators(netip.AddrPortFrom(cfg.ReadyAddress.Addr(), metricsPort)); err != nil {
 			return err
--- a/pkg/jobhost/intake_mode.go
+++ b/pkg/jobhost/intake_mode.go
@@ -46,25 +46,25 @@
 
 // mode returns the mode in which this host is now.
 func (h *Host) mode() reach.Mode {
-	v := h.observe()
+	seen := h.observe()
 	h.intakeMode.mu.Lock()
 	defer h.intakeMode.mu.Unlock()
-	return h.intakeMode.tracker.Update(v, h.clk.Now())
+	return h.intakeMode.tracker.Update(seen, h.clk.Now())
 }
 
 // observe returns what this host knows about the store and the owner.
 func (h *Host) observe() reach.Observation {
-	v := reach.Observation{StoreAnswers: h.hasStoreAnswered() && !h.writer.isStoreUnresponsive() && !h.isProbeUnanswered()}
+	seen := reach.Observation{StoreAnswers: h.hasStoreAnswered() && !h.writer.isStoreUnresponsive() && !h.isProbeUnanswered()}
 	switch o := h.owner.Load(); {
-	case v.StoreAnswers:
-		v.Owner.Responsive = h.isOwnerResponsive()
+	case seen.StoreAnswers:
+		seen.Owner.Responsive = h.isOwnerResponsive()
 	case o != nil:
-		v.Owner = o.Reach()
-		v.Owner.IsThisHost = true
+		seen.Owner = o.Reach()
+		seen.Owner.IsThisHost = true
 	case h.isOwnerResponsive():
-		v.Owner = h.ownerView()
+		seen.Owner = h.ownerView()
 	}
-	return v
+	return seen
 }
 
 // ownerView returns what the owner has last reported about whom it reaches.
@@ -93,7 +93,8 @@
 
 // hasStoreAnswered reports whether the store has answered recently enough to count as reachable.
 func (h *Host) hasStoreAnswered() bool {
-	extraWait := operatorWatchWait(h.cfg.Load().Bounds) - configWatchWait // an idle host calls the store only this often
+	// An idle host calls the store only once per watch on the operator's keys.
+	extraWait := operatorWatchWait(h.cfg.Load().Bounds) - configWatchWait
 	return h.storeAge() < storeAnswerMaxAge+max(extraWait, 0)
 }
 
--- a/pkg/jobhost/jobs.go
+++ b/pkg/jobhost/jobs.go
@@ -148,7 +148,7 @@
 }
 
 // writeUnderOwner writes a key on condition that the owner's record has the given revision. The mode of
-// this host decides who writes (package reach). Errors: as of batchWriter.writeIfAbsent.
+// this host decides who writes (package reach). Errors: those of batchWriter.writeIfAbsent.
 func (h *Host) writeUnderOwner(ctx context.Context, key string, value []byte, ownerRevision int64) (created bool, err error) {
 	mode := h.mode()
 	if !mode.AcceptsJobs() {
--- a/pkg/jobhost/owner_change_test.go
+++ b/pkg/jobhost/owner_change_test.go
@@ -13,7 +13,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// putOwnerRecord writes an owner's record that a host learns of only when it reads the store.
+// putOwnerRecord writes an owner's record, which a host receives only when it reads the store.
 func putOwnerRecord(t *testing.T, p *emulator.Platform, name string, term int64) {
 	text, err := jobstore.OwnerRecord{Name: name, Incarnation: "incarnation of " + name, Term: term}.Encode()
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
--- a/pkg/jobhost/refused_queues_test.go
+++ b/pkg/jobhost/refused_queues_test.go
@@ -45,7 +45,7 @@
 	g.Expect(h.metrics.queueRefused.Count()).To(BeEquivalentTo(1))
 }
 
-// A list from an owner that is no longer heard refuses no queue.
+// A list from an owner that no longer sends heartbeats refuses no queue.
 func TestRefusalsExpireWithoutTheOwner(t *testing.T) {
 	g := NewWithT(t)
 	var q refusedQueueList
--- a/pkg/jobhost/strength.go
+++ b/pkg/jobhost/strength.go
@@ -19,7 +19,7 @@
 )
 
 // hostStrength returns how well a host of a given size can own a pool, in percent of a sufficient size.
-// Sizes that the settings do not tell count as sufficient.
+// Sizes that are missing in the settings count as sufficient.
 func hostStrength(s platform.Settings) int {
 	share := 1.0
 	if s.Cores > 0 {
--- a/pkg/jobstore/doc.go
+++ b/pkg/jobstore/doc.go
@@ -7,7 +7,7 @@
 //	foldarch/owner/holder     an OwnerRecord: the host that owns the pool
 //	foldarch/owner/alive      exists while the owner renews its lease
 //	foldarch/commit/N         the owner's last commit of sequence N; replaced by every commit of it
-//	foldarch/roster/WORKER    a worker that the owner has used
+//	foldarch/roster/WORKER    the incarnations of a worker that owners have used
 //
 // # Usage
 //
@@ -15,6 +15,6 @@
 //
 //	s := jobstore.NewWatchStatus(jobstore.JobsPrefix, clk, log)
 //	s.RecordFailure(err)         // a watch failed: logs keys_lost, once
-//	s.RecordCurrent(requestedAt)  // a list was read: logs keys_regained
+//	s.RecordCurrent(requestedAt) // a list was read: logs keys_regained
 //	s.Age()                      // how old the copy is
 package jobstore
--- a/pkg/jobstore/keys.go
+++ b/pkg/jobstore/keys.go
@@ -88,5 +88,5 @@
 func DecodeOwnerRecord(text []byte) (OwnerRecord, error) {
 	var r OwnerRecord
 	err := json.Unmarshal(text, &r)
-	return r, errors.Wrap(err, "owner record")
+	return r, errors.Wrap(err, "decode owner record")
 }
--- a/pkg/ownership/simulation_test.go
+++ b/pkg/ownership/simulation_test.go
@@ -52,8 +52,8 @@
 }
 
 func (sim *simulation) isDead(h Holder) bool {
-	for i, known := range sim.holders {
-		if known == h {
+	for i, holder := range sim.holders {
+		if holder == h {
 			return sim.dead[i]
 		}
 	}
--- a/pkg/ownership/statemachine.go
+++ b/pkg/ownership/statemachine.go
@@ -183,7 +183,7 @@
 func (m *StateMachine) becomeSuccessor(now clock.Time) {
 	m.role = RoleSuccessor
 	// Until one grant duration after the write that named this process, which was not later than
-	// now, the owner may still have authority by a grant of its former successor or as a sole
+	// now, the owner may still have authority by a grant of its previous successor or as a sole
 	// owner.
 	m.successor = successorState{grantExpiry: now.Add(m.timing.GrantDuration + m.timing.ClockMargin), lastRequest: now}
 }
--- a/pkg/poolowner/call_limiter.go
+++ b/pkg/poolowner/call_limiter.go
@@ -144,7 +144,7 @@
 	l.freeSlots++
 }
 
-// admit admits the first waiting call of a class; it returns whether there was one. The caller holds
+// admit admits the first waiting call of a class; it reports whether there was one. The caller holds
 // l.mu.
 func (l *callLimiter) admit(class callClass) bool {
 	waiting := l.waiting[class]
--- a/pkg/poolowner/call_limiter_test.go
+++ b/pkg/poolowner/call_limiter_test.go
@@ -14,20 +14,20 @@
 	durations []time.Duration
 }
 
-func (h *fakeTimers) afterFunc(d time.Duration, f func()) func() {
-	h.calls = append(h.calls, f)
-	h.durations = append(h.durations, d)
+func (t *fakeTimers) afterFunc(d time.Duration, f func()) func() {
+	t.calls = append(t.calls, f)
+	t.durations = append(t.durations, d)
 	return func() {}
 }
 
 func newTestLimiter(calls int) (*callLimiter, *fakeTimers) {
-	h := &fakeTimers{}
+	t := &fakeTimers{}
 	l := newCallLimiter(calls)
-	l.afterFunc = h.afterFunc
-	return l, h
+	l.afterFunc = t.afterFunc
+	return l, t
 }
 
-// acquireInBackground acquires a slot in a goroutine, which sends the class to passed when it has it. It
+// acquireInBackground acquires a slot in a goroutine, which sends the class to admitted when it has it. It
 // returns when the call waits.
 func acquireInBackground(l *callLimiter, class callClass, admitted chan<- callClass) {
 	waiting := l.waitingInClass(class)
--- a/pkg/poolowner/commits.go
+++ b/pkg/poolowner/commits.go
@@ -194,11 +194,11 @@
 
 // nextExtraTimeout returns the extra time for the next attempt at a write, from that of the failed
 // attempt.
-func nextExtraTimeout(p time.Duration, err error) time.Duration {
+func nextExtraTimeout(previous time.Duration, err error) time.Duration {
 	if !errors.Is(err, platform.ErrOutcomeUnknown) {
-		return p // the write was refused or was not sent
+		return previous // the write was refused or was not sent
 	}
-	return min(max(2*p, firstExtraTimeout), maxExtraWriteTimeout)
+	return min(max(2*previous, firstExtraTimeout), maxExtraWriteTimeout)
 }
 
 // commit writes one transaction exactly once, repeating it until the store answers. Each commit of a
--- a/pkg/poolowner/commits_test.go
+++ b/pkg/poolowner/commits_test.go
@@ -50,7 +50,7 @@
 }
 
 // Guards against a later owner that acknowledges run ends of an ended job while a late start of the job
-// may still arrive: the owner learns from the outcome until when.
+// may still arrive. The stored outcome contains the time until which that is possible.
 func TestOutcomeRecordsTheLastUnansweredStart(t *testing.T) {
 	g := NewWithT(t)
 	at := time.Date(2020, 1, 2, 3, 4, 5, 6_000_000, time.UTC)
--- a/pkg/poolowner/entry_writes.go
+++ b/pkg/poolowner/entry_writes.go
@@ -15,7 +15,7 @@
 // unbroken series of successful watches.
 type entryWrites struct {
 	heartbeat     time.Duration
-	previousWatch clock.Time            // when the watch before the last one answered; 0 when the series is broken
+	previousWatch clock.Time            // when the watch before the last one answered; 0 if the series is broken
 	lastWatch     clock.Time            // when the last watch answered
 	writtenAfter  map[string]clock.Time // by worker name: the last write was later than this
 }
@@ -44,7 +44,7 @@
 	}
 }
 
-// takeRecentlyWritten returns whether a worker's entry, which the last watch showed as removed, was
+// takeRecentlyWritten reports whether a worker's entry, which the last watch showed as removed, was
 // written too recently to have expired. It forgets the entry.
 func (w *entryWrites) takeRecentlyWritten(name string, now clock.Time) bool {
 	after, ok := w.writtenAfter[name]
--- a/pkg/poolowner/hall_contact.go
+++ b/pkg/poolowner/hall_contact.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// isInOtherHall returns whether a member is in another data hall than the owner. It is false for a
+// isInOtherHall reports whether a member is in another data hall than the owner. It is false for a
 // member that does not report its hall, since it may be in any.
 func (o *Owner) isInOtherHall(m *member) bool {
 	hall := m.Status().Hall
--- a/pkg/poolowner/loading.go
+++ b/pkg/poolowner/loading.go
@@ -177,7 +177,7 @@
 
 // watchJobsOnce applies the jobs that were written since the last watch.
 func (o *Owner) watchJobsOnce(ctx context.Context) error {
-	askedAt := o.deps.Clock.Now()
+	requestedAt := o.deps.Clock.Now()
 	items, at, err := o.deps.Store.Watch(ctx, jobstore.JobsPrefix, o.watchPosition.jobs, 0)
 	if errors.Is(err, platform.ErrHistoryCompacted) {
 		err = o.listJobs(ctx)
@@ -187,7 +187,7 @@
 	if err != nil {
 		return err
 	}
-	o.jobsWatch.RecordCurrent(askedAt)
+	o.jobsWatch.RecordCurrent(requestedAt)
 	o.watchPosition.jobs = at
 	if len(items) == 0 {
 		return nil
--- a/pkg/poolowner/members.go
+++ b/pkg/poolowner/members.go
@@ -116,13 +116,13 @@
 
 // The reasons to yield.
 const (
-	// YieldStopping: this process is being stopped. Any member may take over.
+	// YieldStopping means that this process is being stopped. Any member may take over.
 	YieldStopping YieldReason = "stopping"
-	// YieldStoreUnreached: the store does not answer this host. A member that the store has answered
+	// YieldStoreUnreached means that the store does not answer this host. A member that the store has answered
 	// clearly more recently may take over. When the store is down for all hosts, nothing would be
 	// gained.
 	YieldStoreUnreached YieldReason = "store_unreached"
-	// YieldHostTooSmall: this host is too small to own the pool. A member that is large enough may take
+	// YieldHostTooSmall means that this host is too small to own the pool. A member that is large enough may take
 	// over.
 	YieldHostTooSmall YieldReason = "host_too_small"
 )
@@ -131,7 +131,7 @@
 // host that is too small.
 const maxSuccessorStoreAge = 1500 * time.Millisecond
 
-// Yield asks a member to take over. It returns whether there is one that may.
+// Yield asks a member to take over. It reports whether there is one that may.
 func (o *Owner) Yield(reason YieldReason) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -149,8 +149,8 @@
 	return true
 }
 
-// BroadcastStatus sends the owner's heartbeat to all members at once, so that they learn of a change
-// soon.
+// BroadcastStatus sends the owner's heartbeat to all members at once, so that a change reaches
+// them soon.
 func (o *Owner) BroadcastStatus() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -168,11 +168,11 @@
 // strong ones, the one that the store has answered most recently. The caller holds o.mu.
 func (o *Owner) bestSuccessor(reason YieldReason) string {
 	best, bestStrength, bestAge := "", int64(-1), time.Duration(0)
-	for name, s := range o.members {
+	for name, m := range o.members {
 		if !o.mayTakeOver(name, reason) {
 			continue
 		}
-		strength, age := s.Status().Strength, o.storeAge(s)
+		strength, age := m.Status().Strength, o.storeAge(m)
 		better := strength > bestStrength || strength == bestStrength && (age < bestAge || age == bestAge && name < best)
 		if better {
 			best, bestStrength, bestAge = name, strength, age
@@ -181,22 +181,22 @@
 	return best
 }
 
-// mayTakeOver returns whether a member may take over for a reason. The caller holds o.mu.
+// mayTakeOver reports whether a member may take over for a reason. The caller holds o.mu.
 func (o *Owner) mayTakeOver(name string, reason YieldReason) bool {
-	s, ok := o.members[name]
-	if !ok || s.Status().Stopping {
+	m, ok := o.members[name]
+	if !ok || m.Status().Stopping {
 		return false
 	}
 	switch reason {
 	case YieldStopping:
 		return true
 	case YieldStoreUnreached:
-		return o.reachesStoreBetter(s)
+		return o.reachesStoreBetter(m)
 	}
-	return o.storeAge(s) < maxSuccessorStoreAge && s.Status().Strength >= sufficientStrength
+	return o.storeAge(m) < maxSuccessorStoreAge && m.Status().Strength >= sufficientStrength
 }
 
-// reachesStoreBetter returns whether the store has answered a member clearly more recently than this
+// reachesStoreBetter reports whether the store has answered a member clearly more recently than this
 // host.
 func (o *Owner) reachesStoreBetter(m *member) bool {
 	return o.storeAge(m) < o.deps.StoreAge()-minYieldGain
@@ -207,7 +207,7 @@
 	return time.Duration(m.Status().StoreAgeMs)*time.Millisecond + m.StatusAge(o.deps.Clock.Now())
 }
 
-// IsStrongEnough returns whether this host is large enough to own the pool.
+// IsStrongEnough reports whether this host is large enough to own the pool.
 func (o *Owner) IsStrongEnough() bool {
 	return o.deps.Strength >= sufficientStrength
 }
--- a/pkg/poolowner/owner.go
+++ b/pkg/poolowner/owner.go
@@ -58,7 +58,7 @@
 	// PreviousOwnerEnded is true when the previous owner's process has certainly ended.
 	PreviousOwnerEnded bool
 	// RecordWorkersFromTerm is the first term from which on every owner records the workers of a job in
-	// the store before it starts the job there; 0 when this owner does not (jobstore.Holder).
+	// the store before it starts the job there; 0 when this owner does not (jobstore.OwnerRecord).
 	RecordWorkersFromTerm int64
 }
 
@@ -90,7 +90,8 @@
 	Strength int
 	// LinkMbps is the bandwidth of this host's link; 0 when unknown.
 	LinkMbps float64
-	// HasLease returns whether the store has confirmed the ownership within AuthorityTerm.
+	// HasLease reports whether the owner's lease in the store is confirmed. A confirmation counts for at
+	// most AuthorityTerm.
 	HasLease func(now clock.Time) bool
 	Log      *logrus.Entry
 	// Metrics receives a counter for each kind of event of the pool.
@@ -258,7 +259,7 @@
 	}
 }
 
-// hasAuthority returns whether this owner may give orders. It deposes the owner when a worker has seen a
+// hasAuthority reports whether this owner may give orders. It deposes the owner when a worker has seen a
 // higher token. When most workers accept this owner's token for the first time, it restarts the takeover
 // timers of the pool, since orders of the previous owner may have taken effect until then. The caller
 // holds o.mu.
@@ -282,7 +283,7 @@
 // worker and goes over all workers. maxPreviousAuthority covers this age.
 const majorityCheckInterval = 20 * time.Millisecond
 
-// hasMajority returns whether most workers have answered within AuthorityTerm. The caller holds o.mu.
+// hasMajority reports whether most workers have answered within AuthorityTerm. The caller holds o.mu.
 func (o *Owner) hasMajority(now clock.Time) bool {
 	if o.majority.checkedAt == 0 || now.Sub(o.majority.checkedAt) >= majorityCheckInterval {
 		answering, all := o.pool.AnsweringCount(now, AuthorityTerm)
--- a/pkg/poolowner/relays.go
+++ b/pkg/poolowner/relays.go
@@ -24,7 +24,7 @@
 	return m
 }
 
-// isStopping returns whether a member is about to stop. The caller holds o.mu.
+// isStopping reports whether a member is about to stop. The caller holds o.mu.
 func (o *Owner) isStopping(name string) bool {
 	m, ok := o.members[name]
 	return !ok || m.Status().Stopping
--- a/pkg/poolowner/roster.go
+++ b/pkg/poolowner/roster.go
@@ -32,7 +32,7 @@
 	workers  []dispatch.WorkerInfo
 }
 
-// sameRosterEntry returns whether a and b tell a later owner the same about an incarnation.
+// sameRosterEntry reports whether a and b tell a later owner the same about an incarnation.
 func sameRosterEntry(a, b dispatch.WorkerInfo) bool {
 	return a.ID == b.ID && a.Crashed == b.Crashed && a.Retired == b.Retired
 }
@@ -94,9 +94,9 @@
 	}
 	var group errgroup.Group
 	group.SetLimit(maxConcurrentRosterWrites)
-	for _, w := range o.rosterBatches(changes) {
+	for _, u := range o.rosterBatches(changes) {
 		group.Go(func() error {
-			o.applyWritten(w.changes, o.commitRoster(ctx, w))
+			o.applyWritten(u.changes, o.commitRoster(ctx, u))
 			o.requestPlan() // written workers may be used now
 			return nil
 		})
@@ -114,11 +114,11 @@
 func (o *Owner) rosterBatches(changes []rosterChange) []rosterUpdate {
 	var out []rosterUpdate
 	for batch := range slices.Chunk(changes, maxRosterBatch) {
-		w := rosterUpdate{changes: batch}
+		u := rosterUpdate{changes: batch}
 		for _, c := range batch {
-			w.stored = append(w.stored, o.roster[c.name])
+			u.stored = append(u.stored, o.roster[c.name])
 		}
-		out = append(out, w)
+		out = append(out, u)
 	}
 	return out
 }
@@ -167,10 +167,10 @@
 // owner ends. A write that got no answer may take effect after later writes. So each record is written
 // on condition that it replaces the stored one: otherwise the late write would drop workers that were
 // added since.
-func (o *Owner) commitRoster(ctx context.Context, w rosterUpdate) []rosterRecord {
+func (o *Owner) commitRoster(ctx context.Context, u rosterUpdate) []rosterRecord {
 	extraTimeout := time.Duration(0)
 	for ctx.Err() == nil {
-		t, err := o.rosterTxn(w)
+		t, err := o.rosterTxn(u)
 		if err != nil {
 			o.deps.Log.WithField("error", err).Error("roster_not_written")
 			return nil
@@ -180,8 +180,8 @@
 		switch {
 		case err == nil:
 			o.rosterFailures.recordSuccess()
-			return recordsAt(w.changes, revision)
-		case errors.Is(err, platform.ErrConflict) && o.refreshReplaced(w, found):
+			return recordsAt(u.changes, revision)
+		case errors.Is(err, platform.ErrConflict) && o.refreshReplaced(u, found):
 			continue // an earlier attempt of this owner that got no answer took effect
 		case errors.Is(err, platform.ErrConflict):
 			o.depose("roster")
@@ -195,13 +195,13 @@
 }
 
 // rosterTxn returns the transaction that writes an update.
-func (o *Owner) rosterTxn(w rosterUpdate) (platform.Txn, error) {
+func (o *Owner) rosterTxn(u rosterUpdate) (platform.Txn, error) {
 	t := platform.Txn{Conditions: []platform.Condition{{Key: jobstore.OwnerRecordKey, Revision: o.claim.Revision}}}
-	for n, c := range w.changes {
+	for n, c := range u.changes {
 		key := jobstore.RosterKey(c.name)
-		t.Conditions = append(t.Conditions, platform.Condition{Key: key, Revision: w.stored[n].revision})
+		t.Conditions = append(t.Conditions, platform.Condition{Key: key, Revision: u.stored[n].revision})
 		if len(c.workers) == 0 {
-			if w.stored[n].revision != 0 {
+			if u.stored[n].revision != 0 {
 				t.Remove = append(t.Remove, key)
 			}
 			continue
@@ -226,18 +226,18 @@
 	return out
 }
 
-// refreshReplaced handles a conflict: it updates w to the stored revisions of its records. It returns
-// whether the conflict was only due to earlier writes of these records, so that w can be tried again.
-func (o *Owner) refreshReplaced(w rosterUpdate, found []platform.Item) bool {
+// refreshReplaced handles a conflict: it updates u to the stored revisions of its records. It reports
+// whether the conflict was only due to earlier writes of these records, so that u can be tried again.
+func (o *Owner) refreshReplaced(u rosterUpdate, found []platform.Item) bool {
 	revisions := map[string]int64{}
 	for _, i := range found {
 		revisions[i.Key] = i.Revision
 	}
 	replaced := false
-	for n, c := range w.changes {
+	for n, c := range u.changes {
 		current := revisions[jobstore.RosterKey(c.name)]
-		replaced = replaced || current != w.stored[n].revision
-		w.stored[n].revision = current
+		replaced = replaced || current != u.stored[n].revision
+		u.stored[n].revision = current
 	}
 	return replaced && revisions[jobstore.OwnerRecordKey] == o.claim.Revision
 }
--- a/pkg/poolowner/roster_test.go
+++ b/pkg/poolowner/roster_test.go
@@ -87,7 +87,7 @@
 	g.Expect(nextOwnerRoster(t, o)).To(ConsistOf(info.ID, other.ID), "both workers may run tasks")
 }
 
-// nextOwnerRoster returns the workers that a new owner learns from the roster.
+// nextOwnerRoster returns the workers that a new owner loads from the roster.
 func nextOwnerRoster(t *testing.T, o *Owner) []dispatch.WorkerID {
 	g := NewWithT(t)
 	next := New(Deps{
--- a/pkg/poolowner/sessions.go
+++ b/pkg/poolowner/sessions.go
@@ -68,8 +68,8 @@
 func (s *workerSession) runPolls(ctx context.Context) {
 	answering := false // the last poll was answered; a first poll, which does not wait, reads the worker's clock
 	for ctx.Err() == nil {
-		answered, known := s.poll(ctx, s.pollClass(answering), false, answering)
-		if !known {
+		answered, needed := s.poll(ctx, s.pollClass(answering), false, answering)
+		if !needed {
 			return
 		}
 		if answered {
@@ -104,8 +104,8 @@
 }
 
 // poll sends one poll and applies its answer; with waits, the worker may hold the call open until a run
-// ends. known is false when the worker needs no more polls.
-func (s *workerSession) poll(ctx context.Context, class callClass, raise, waits bool) (answered, known bool) {
+// ends. needed is false when the worker needs no more polls.
+func (s *workerSession) poll(ctx context.Context, class callClass, raise, waits bool) (answered, needed bool) {
 	if m := s.pollPath(&raise); m != nil {
 		return s.sendPoll(ctx, m, raise, waits)
 	}
@@ -118,7 +118,7 @@
 }
 
 // sendPoll makes the call of a poll, through member m or, when m is nil, from this host.
-func (s *workerSession) sendPoll(ctx context.Context, m *member, raise, waits bool) (answered, known bool) {
+func (s *workerSession) sendPoll(ctx context.Context, m *member, raise, waits bool) (answered, needed bool) {
 	o := s.owner
 	o.mu.Lock()
 	now := o.deps.Clock.Now()
@@ -222,8 +222,8 @@
 		<-s.fencing
 		class := classOrder
 		for range maxFencingPolls {
-			answered, known := s.poll(ctx, class, true, false)
-			if answered || !known || ctx.Err() != nil {
+			answered, needed := s.poll(ctx, class, true, false)
+			if answered || !needed || ctx.Err() != nil {
 				return
 			}
 			class = classUnansweredPoll
@@ -232,7 +232,7 @@
 	})
 }
 
-// enqueue queues an order; it returns whether there was room. An order whose session ends while it
+// enqueue queues an order; it reports whether there was room. An order whose session ends while it
 // waits, in the queue or for a slot, is dropped.
 func (s *workerSession) enqueue(order func(context.Context, relay.WorkerCalls)) bool {
 	if s == nil {
@@ -280,7 +280,7 @@
 }
 
 // cancelIfObsolete cancels a start whose worker may get no new tasks since the start was decided. It
-// returns whether it did.
+// reports whether it did.
 func (o *Owner) cancelIfObsolete(a dispatch.StartOrder) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/pkg/queue/config.go
+++ b/pkg/queue/config.go
@@ -16,7 +16,7 @@
 	Prefix string `json:"prefix,omitempty"`
 	// Pool is the name of the pool whose workers run the queue's tasks.
 	Pool string `json:"pool"`
-	// Priority orders the queues; 0 goes first.
+	// Priority orders the queues; the lowest number goes first.
 	Priority    int `json:"priority,omitempty"`
 	MaxAttempts int `json:"max_attempts,omitempty"`
 	// Extension and TargetLatency define a job's objective: Extension times the duration of its longest
--- a/pkg/reach/table.go
+++ b/pkg/reach/table.go
@@ -98,8 +98,10 @@
 // to HostCutOff if the owner is lost too. It changes to StoreUnavailable, which refuses jobs but reports
 // ready, only after stableContactTime.
 type ModeTracker struct {
-	mode         Mode
-	contactSince clock.Time // since when Decide has returned StoreUnavailable instead of HallCutOff; 0 if it has not
+	mode Mode
+	// contactSince is since when Decide has returned StoreUnavailable instead of HallCutOff; 0 if it has
+	// not.
+	contactSince clock.Time
 }
 
 // Update returns the mode in force for a new observation.
--- a/pkg/reach/table_test.go
+++ b/pkg/reach/table_test.go
@@ -13,9 +13,9 @@
 // Checks each row of the table: who writes, and whether the host reports ready.
 func TestDecide(t *testing.T) {
 	for name, c := range map[string]struct {
-		observation Observation
-		mode        Mode
-		open, ready bool
+		observation    Observation
+		mode           Mode
+		accepts, ready bool
 	}{
 		"the store answers": {Observation{true, OwnerView{Responsive: true}}, HostWrites, true, true},
 		"the store answers the host and not the owner": {
@@ -34,9 +34,9 @@
 			g := NewWithT(t)
 			mode := Decide(c.observation)
 			g.Expect(mode).To(Equal(c.mode))
-			g.Expect(mode.AcceptsJobs()).To(Equal(c.open))
+			g.Expect(mode.AcceptsJobs()).To(Equal(c.accepts))
 			g.Expect(mode.IsReady()).To(Equal(c.ready))
-			g.Expect(mode.Reason() == "").To(Equal(c.open), "a refusal has a reason")
+			g.Expect(mode.Reason() == "").To(Equal(c.accepts), "a refusal has a reason")
 		})
 	}
 }
--- a/pkg/relay/assignments.go
+++ b/pkg/relay/assignments.go
@@ -130,7 +130,7 @@
 	if !ok {
 		return "", false
 	}
-	former := w.host
+	previous := w.host
 	switch {
 	case now < w.directUntil:
 		a.unassign(w)
@@ -138,7 +138,7 @@
 		a.unassign(w)
 		w.assignTo(a.chooseHost(w.hall, now))
 	}
-	return w.hostName(), w.host != former
+	return w.hostName(), w.host != previous
 }
 
 // Assigned returns the host that makes the calls to a worker at present, or "" if the owner does.
--- a/pkg/relay/assignments_test.go
+++ b/pkg/relay/assignments_test.go
@@ -48,8 +48,8 @@
 
 func TestChosenHost(t *testing.T) {
 	for name, c := range map[string]struct {
-		put  func(*Assignments)
-		want string
+		prepare func(*Assignments)
+		want    string
 	}{
 		"none": {func(*Assignments) {}, ""},
 		"the worker's hall": {func(a *Assignments) {
@@ -81,7 +81,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			a := newTestAssignments(minWorkersForRelays)
-			c.put(a)
+			c.prepare(a)
 			got, _ := a.Assign("w0", startTime)
 			NewWithT(t).Expect(got).To(Equal(c.want))
 		})
--- a/pkg/relay/client.go
+++ b/pkg/relay/client.go
@@ -23,7 +23,7 @@
 
 // Client is the owner's side of one relay. It is safe for concurrent use.
 type Client struct {
-	timeout time.Duration // of a call, without the time that a hold waits at the worker
+	timeout time.Duration // of a call, without the time that a poll waits at the worker
 	orders  *batcher[*poolpb.Order]
 
 	mu         sync.Mutex
@@ -33,7 +33,7 @@
 }
 
 // NewClient returns a client whose calls may take up to timeout at the relay, in addition to the
-// time for which a hold asks the worker to wait.
+// time for which a poll asks the worker to wait.
 func NewClient(timeout time.Duration) *Client {
 	return &Client{timeout: timeout, orders: newBatcher[*poolpb.Order](), waiting: map[int64]chan *poolpb.Result{}}
 }
@@ -83,7 +83,7 @@
 	}
 }
 
-// Start sends a start order through the relay. Its errors are those of platform.Workers, and
+// Start sends a start order through the relay. Its errors are those of platform.WorkerClient, and
 // ErrNoResult.
 func (c *Client) Start(ctx context.Context, o platform.StartOrder) (dispatch.Answer, error) {
 	order := newOrder(poolpb.Order_START, o.Order, o.Task, o.Run)
@@ -103,7 +103,7 @@
 	return c.sendOrder(ctx, order, c.timeout)
 }
 
-// Hold sends an order through the relay that extends the leases of the runs on a worker. It returns
+// Poll sends an order through the relay that extends the leases of the runs on a worker. It returns
 // the runs on the worker and those that have ended.
 func (c *Client) Hold(ctx context.Context, o platform.HoldOrder) (dispatch.Answer, dispatch.Report, error) {
 	order := &poolpb.Order{
--- a/pkg/relay/doc.go
+++ b/pkg/relay/doc.go
@@ -1,9 +1,9 @@
 // Package relay lets other entry hosts make the calls to workers on behalf of the owner of a pool.
 //
 // The owner of a pool of hundreds of workers spends most of its processor time on HTTP with them:
-// one or two connections to each, a long-polling call (hold) that renews leases, and a call for
-// each start. Other entry hosts, the relays, can make these calls for it. Each call is described
-// by an order: start, stop, pace or hold. A Client at the owner collects orders for a few
+// one or two connections to each, a long poll that renews leases, and a call for each
+// start. Other entry hosts, the relays, can make these calls for it. Each call is described by an
+// order: start, stop, pace or poll. A Client at the owner collects orders for a few
 // milliseconds (batchDelay) and sends them to one host in one message; the Server at that host
 // makes each call once and returns the results in the same way.
 //
@@ -14,7 +14,7 @@
 // out at most once, and the outcome of an order without a result is unknown.
 //
 // A worker is assigned to one relay at a time (Assignments). When the assignment changes, the
-// owner raises the worker's fencing token with its next hold, which makes the orders void that the
+// owner raises the worker's fencing token with its next poll. This invalidates the orders that the
 // previous relay has not carried out yet.
 //
 // # Usage
@@ -24,7 +24,7 @@
 //	c := relay.NewClient(timeout)
 //	go c.Run(ctx, session.Send)   // until the stream to the host ends
 //	c.HandleResults(results)      // for each message of results
-//	answer, report, err := c.Hold(ctx, order)
+//	answer, report, err := c.Poll(ctx, order)
 //
 // At the other host:
 //
--- a/pkg/relay/relay_test.go
+++ b/pkg/relay/relay_test.go
@@ -86,24 +86,24 @@
 		return dispatch.Answer{Verdict: dispatch.VerdictDone, Clock: 5}, report, nil
 	}})
 	sent := platform.HoldOrder{Order: testOrder(), LastSeen: 57, Deadline: 99, Wait: 30 * time.Millisecond, ExtraTimeout: time.Millisecond}
-	a, back, err := l.client.Hold(t.Context(), sent)
+	a, gotReport, err := l.client.Hold(t.Context(), sent)
 	l.Expect(err).NotTo(HaveOccurred())
 	l.Expect(a).To(Equal(dispatch.Answer{Verdict: dispatch.VerdictDone, Clock: 5}))
-	l.Expect(back).To(Equal(report))
+	l.Expect(gotReport).To(Equal(report))
 	l.Expect(got).To(Equal(sent))
 }
 
 func TestNotSentIsReportedOnlyForCallsNotSent(t *testing.T) {
 	for name, c := range map[string]struct {
-		fails error
-		want  error
+		callErr error
+		want    error
 	}{
 		"not sent":    {errors.Mark(errors.New("dial"), dispatch.ErrNotSent), dispatch.ErrNotSent},
 		"lost answer": {errors.New("reset"), ErrNoResult},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := newLoopback(t, WorkerCalls{Stop: func(context.Context, platform.Order, job.TaskID, int) (dispatch.Answer, error) {
-				return dispatch.Answer{}, c.fails
+				return dispatch.Answer{}, c.callErr
 			}})
 			_, err := l.client.Stop(t.Context(), testOrder(), testTask(), 1)
 			l.Expect(errors.Is(err, c.want)).To(BeTrue(), "%v", err)
--- a/pkg/relay/server.go
+++ b/pkg/relay/server.go
@@ -12,10 +12,10 @@
 )
 
 // maxConcurrentCalls limits the calls that a relay makes at a time: for each of its workers
-// (MaxWorkersPerRelay) one hold, which waits at the worker, and two other orders.
+// (MaxWorkersPerRelay) one poll, which waits at the worker, and two other orders.
 const maxConcurrentCalls = 3 * MaxWorkersPerRelay
 
-// WorkerCalls are the calls to workers, as platform.Workers makes them.
+// WorkerCalls are the calls to workers, as platform.WorkerClient makes them.
 type WorkerCalls struct {
 	Start func(ctx context.Context, o platform.StartOrder) (dispatch.Answer, error)
 	Stop  func(ctx context.Context, o platform.Order, task job.TaskID, run int) (dispatch.Answer, error)
@@ -50,7 +50,7 @@
 }
 
 // HandleOrders carries out a message of orders, each in a goroutine of its own. It returns orders
-// beyond maxConcurrentCalls as not sent. Calls under way when ctx ends go on, so that their
+// in excess of maxConcurrentCalls as not sent. Calls under way when ctx ends go on, so that their
 // connections stay usable.
 func (s *Server) HandleOrders(ctx context.Context, orders *poolpb.Orders) {
 	for _, o := range orders.Orders {
@@ -86,7 +86,7 @@
 	return result
 }
 
-// call makes the call of an order. For a hold it puts the report into the result.
+// call makes the call of an order. For a poll it puts the report into the result.
 func (s *Server) call(ctx context.Context, o *poolpb.Order, result *poolpb.Result) (dispatch.Answer, error) {
 	target, err := parseTarget(o)
 	if err != nil {
