--- a/pkg/jobstore/doc.go
+++ b/pkg/jobstore/doc.go
@@ -11,7 +11,7 @@
 //
 // # Usage
 //
-//	id, isCancel := jobstore.ParseJobKey(item.Key)
+//	id, cancel := jobstore.ParseJobKey(item.Key)
 //
 //	s := jobstore.NewWatchStatus(jobstore.JobsPrefix, clk, log)
 //	s.RecordFailure(err)         // a watch failed: logs keys_lost, once
--- a/pkg/poolowner/members.go
+++ b/pkg/poolowner/members.go
@@ -118,12 +118,12 @@
 const (
 	// YieldStopping means that this process is being stopped. Any member may take over.
 	YieldStopping YieldReason = "stopping"
-	// YieldStoreUnreached means that the store does not answer this host. A member that the store has answered
-	// clearly more recently may take over. When the store is down for all hosts, nothing would be
-	// gained.
+	// YieldStoreUnreached means that the store does not answer this host. A member that the store has
+	// answered clearly more recently may take over. When the store is down for all hosts, nothing would
+	// be gained.
 	YieldStoreUnreached YieldReason = "store_unreached"
-	// YieldHostTooSmall means that this host is too small to own the pool. A member that is large enough may take
-	// over.
+	// YieldHostTooSmall means that this host is too small to own the pool. A member that is large enough
+	// may take over.
 	YieldHostTooSmall YieldReason = "host_too_small"
 )
 
