--- a/pkg/jobhost/doc.go
+++ b/pkg/jobhost/doc.go
@@ -6,6 +6,8 @@
 //
 //	callers   answers callers' requests (platform.JobHandler)
 //	ready     answers the platform's health check
+//	operators serves metrics, explanations of jobs and foldarch's own jobs API
+//	settings  applies changes of the settings file
 //	config    watches the operator's keys in the store: the configuration, waves and evacuations
 //	writer    writes accepted jobs into the store, many in one transaction
 //	election  watches the owner's record, and takes over when the owner has failed
--- a/pkg/jobhost/election.go
+++ b/pkg/jobhost/election.go
@@ -133,8 +133,8 @@
 
 // mayTakeOver reports whether this host should replace the owner's record now. This requires that the
 // owner's lease has expired, unless the owner has asked this host to take over or was a previous process
-// of this host; in these cases asked is true.
-func (h *Host) mayTakeOver() (may, asked bool, revision int64, term int64) {
+// of this host. In these cases immediate is true: the takeover need not be left to stronger hosts.
+func (h *Host) mayTakeOver() (may, immediate bool, revision int64, term int64) {
 	e := &h.election
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -164,7 +164,7 @@
 func (h *Host) campaign(ctx context.Context) {
 	allowedSince := clock.Time(0) // when this host became allowed to take over
 	clock.Every(ctx, campaignInterval, func() {
-		may, asked, _, _ := h.mayTakeOver()
+		may, immediate, _, _ := h.mayTakeOver()
 		if !may {
 			allowedSince = 0
 			return
@@ -173,15 +173,15 @@
 		if allowedSince == 0 {
 			allowedSince = now
 		}
-		if !asked && now.Sub(allowedSince) < takeoverDelay(hostStrength(*h.cfg.Load())) {
+		if !immediate && now.Sub(allowedSince) < takeoverDelay(hostStrength(*h.cfg.Load())) {
 			return
 		}
 		clock.Sleep(ctx, rand.N(campaignJitter))
-		may, asked, revision, term := h.mayTakeOver()
+		may, immediate, revision, term := h.mayTakeOver()
 		if !may {
 			return
 		}
-		h.tryTakeOver(ctx, !asked, revision, term)
+		h.tryTakeOver(ctx, !immediate, revision, term)
 		allowedSince = 0
 	})
 }
--- a/pkg/jobhost/intake_mode.go
+++ b/pkg/jobhost/intake_mode.go
@@ -46,25 +46,25 @@
 
 // mode returns the mode in which this host is now.
 func (h *Host) mode() reach.Mode {
-	seen := h.observe()
+	observation := h.observe()
 	h.intakeMode.mu.Lock()
 	defer h.intakeMode.mu.Unlock()
-	return h.intakeMode.tracker.Update(seen, h.clk.Now())
+	return h.intakeMode.tracker.Update(observation, h.clk.Now())
 }
 
 // observe returns what this host knows about the store and the owner.
 func (h *Host) observe() reach.Observation {
-	seen := reach.Observation{StoreAnswers: h.hasStoreAnswered() && !h.writer.isStoreUnresponsive() && !h.isProbeUnanswered()}
+	observation := reach.Observation{StoreAnswers: h.hasStoreAnswered() && !h.writer.isStoreUnresponsive() && !h.isProbeUnanswered()}
 	switch o := h.owner.Load(); {
-	case seen.StoreAnswers:
-		seen.Owner.Responsive = h.isOwnerResponsive()
+	case observation.StoreAnswers:
+		observation.Owner.Responsive = h.isOwnerResponsive()
 	case o != nil:
-		seen.Owner = o.Reach()
-		seen.Owner.IsThisHost = true
+		observation.Owner = o.Reach()
+		observation.Owner.IsThisHost = true
 	case h.isOwnerResponsive():
-		seen.Owner = h.ownerView()
+		observation.Owner = h.ownerView()
 	}
-	return seen
+	return observation
 }
 
 // ownerView returns what the owner has last reported about whom it reaches.
--- a/pkg/jobhost/jobs.go
+++ b/pkg/jobhost/jobs.go
@@ -355,7 +355,7 @@
 	return int(a.Pending), nil
 }
 
-// advise carries out a call for advice that the owner has assigned to this host.
+// advise carries out an advice call that the owner has assigned to this host.
 func (h *Host) advise(ctx context.Context, call *poolpb.AdviceCall) *poolpb.AdviceResult {
 	result := &poolpb.AdviceResult{Number: call.Number}
 	client := h.advice.Load()
--- a/pkg/poolowner/call_limiter.go
+++ b/pkg/poolowner/call_limiter.go
@@ -14,7 +14,7 @@
 	// maxSlotTime is how long a call occupies a slot at most. A call to a worker that does not answer
 	// must not block other calls until its time limit.
 	maxSlotTime = 50 * time.Millisecond
-	// maxWaitingSlotTime is the same for a poll, which the worker may hold open until a run ends.
+	// maxWaitingSlotTime is the same for a poll, which the worker may leave open until a run ends.
 	maxWaitingSlotTime = 10 * time.Millisecond
 )
 
--- a/pkg/poolowner/doc.go
+++ b/pkg/poolowner/doc.go
@@ -6,8 +6,10 @@
 //	sessions  one per worker incarnation: polls that extend leases and bring reports
 //	commits   write outcomes and progress to the store before workers may forget run ends
 //	jobs      watches the store for accepted and cancelled jobs
+//	unknown   reads the records of jobs that workers list but that no host has reported
 //	workers   watches the workers' entries in the store
 //	roster    writes the workers to the store before they get tasks
+//	confirm   reads the owner's record before runs of a silent worker are restarted elsewhere
 //	upkeep    carries out upkeep waves of machines
 //	members   communicates with the other entry hosts (package poolrpc)
 //
--- a/pkg/poolowner/owner.go
+++ b/pkg/poolowner/owner.go
@@ -70,7 +70,7 @@
 	Store   *platform.Store
 	Workers *platform.WorkerClient
 	// WorkerTimeout is the time limit of a call to a worker, in addition to the time that the worker may
-	// hold the call open.
+	// leave the call open.
 	WorkerTimeout time.Duration
 	// Machines is nil when the platform has no machine service.
 	Machines *platform.MachineClient
--- a/pkg/poolowner/sessions.go
+++ b/pkg/poolowner/sessions.go
@@ -103,8 +103,9 @@
 	}
 }
 
-// poll sends one poll and applies its answer; with waits, the worker may hold the call open until a run
-// ends. needed is false when the worker needs no more polls.
+// poll sends one poll and applies its answer. With raise, the poll has a higher token, which fences the
+// worker. With waits, the worker may leave the call open until a run ends. needed is false when the
+// worker needs no more polls.
 func (s *workerSession) poll(ctx context.Context, class callClass, raise, waits bool) (answered, needed bool) {
 	if m := s.pollPath(&raise); m != nil {
 		return s.sendPoll(ctx, m, raise, waits)
--- a/pkg/poolrpc/owner.go
+++ b/pkg/poolrpc/owner.go
@@ -139,14 +139,14 @@
 	for ctx.Err() == nil {
 		status := h.Status(session)
 		session.Send(&poolpb.OwnerMessage{Content: &poolpb.OwnerMessage_Status{Status: status}})
-		limit := time.NewTimer(heartbeatInterval(status.HeartbeatMs))
+		timer := time.NewTimer(heartbeatInterval(status.HeartbeatMs))
 		select {
-		case <-limit.C:
+		case <-timer.C:
 		case <-h.Done:
 			cancel()
 		case <-ctx.Done():
 		}
-		limit.Stop()
+		timer.Stop()
 		if s.clk.Now().Sub(clock.Time(session.lastHeardAt.Load())) > silenceLimit(session.HeartbeatInterval()) {
 			cancel()
 			return
--- a/pkg/queue/config.go
+++ b/pkg/queue/config.go
@@ -25,7 +25,7 @@
 	TargetLatency time.Duration `json:"target_latency,omitempty"`
 	// Public means that callers need no key.
 	Public bool `json:"public,omitempty"`
-	// Advice is the duration of calls for advice; nil if any worker of the pool may run a step.
+	// Advice is the duration of advice calls; nil if any worker of the pool may run a step.
 	Advice *AdviceCost `json:"advice,omitempty"`
 }
 
