--- a/pkg/jobhost/jobs.go
+++ b/pkg/jobhost/jobs.go
@@ -148,7 +148,7 @@
 }
 
 // writeUnderOwner writes a key on condition that the owner's record has the given revision. The mode of
-// this host decides who writes (package reach). Errors: as of batchWriter.writeIfAbsent.
+// this host decides who writes (package reach). Errors: those of batchWriter.writeIfAbsent.
 func (h *Host) writeUnderOwner(ctx context.Context, key string, value []byte, ownerRevision int64) (created bool, err error) {
 	mode := h.mode()
 	if !mode.AcceptsJobs() {
@@ -355,7 +355,7 @@
 	return int(a.Pending), nil
 }
 
-// advise carries out a call for advice that the owner has assigned to this host.
+// advise carries out an advice call that the owner has assigned to this host.
 func (h *Host) advise(ctx context.Context, call *poolpb.AdviceCall) *poolpb.AdviceResult {
 	result := &poolpb.AdviceResult{Number: call.Number}
 	client := h.advice.Load()
--- a/pkg/poolowner/call_limiter.go
+++ b/pkg/poolowner/call_limiter.go
@@ -14,7 +14,7 @@
 	// maxSlotTime is how long a call occupies a slot at most. A call to a worker that does not answer
 	// must not block other calls until its time limit.
 	maxSlotTime = 50 * time.Millisecond
-	// maxWaitingSlotTime is the same for a poll, which the worker may hold open until a run ends.
+	// maxWaitingSlotTime is the same for a poll, which the worker may leave open until a run ends.
 	maxWaitingSlotTime = 10 * time.Millisecond
 )
 
@@ -144,7 +144,7 @@
 	l.freeSlots++
 }
 
-// admit admits the first waiting call of a class; it returns whether there was one. The caller holds
+// admit admits the first waiting call of a class; it reports whether there was one. The caller holds
 // l.mu.
 func (l *callLimiter) admit(class callClass) bool {
 	waiting := l.waiting[class]
--- a/pkg/queue/config.go
+++ b/pkg/queue/config.go
@@ -16,7 +16,7 @@
 	Prefix string `json:"prefix,omitempty"`
 	// Pool is the name of the pool whose workers run the queue's tasks.
 	Pool string `json:"pool"`
-	// Priority orders the queues; 0 goes first.
+	// Priority orders the queues; the lowest number goes first.
 	Priority    int `json:"priority,omitempty"`
 	MaxAttempts int `json:"max_attempts,omitempty"`
 	// Extension and TargetLatency define a job's objective: Extension times the duration of its longest
@@ -25,7 +25,7 @@
 	TargetLatency time.Duration `json:"target_latency,omitempty"`
 	// Public means that callers need no key.
 	Public bool `json:"public,omitempty"`
-	// Advice is the duration of calls for advice; nil if any worker of the pool may run a step.
+	// Advice is the duration of advice calls; nil if any worker of the pool may run a step.
 	Advice *AdviceCost `json:"advice,omitempty"`
 }
 
