--- a/pkg/batch/doc.go
+++ b/pkg/batch/doc.go
@@ -7,10 +7,10 @@
 // passes between two writes, so that all shards of a cell together stay within the store's write rate.
 // There are three kinds of entries: the submission of a request; for a request that is not repeatable, the
 // intention to start it, written before the start; and the end of a request with its result. Placements
-// of repeatable requests are not written, since a new owner learns from the workers what runs.
+// of repeatable requests are not written, since the workers report to a new owner what runs.
 //
 // A new owner treats a request that has not ended and that no worker reports as follows. A repeatable
-// request is run again, as its former run is certainly over. A request that is not repeatable is run if
+// request is run again, as its previous run is certainly over. A request that is not repeatable is run if
 // no intention to start it was written; otherwise its outcome is unknown.
 //
 // A segment is removed when all its requests ended long enough ago. A segment with the end of a request is
--- a/pkg/batch/segments.go
+++ b/pkg/batch/segments.go
@@ -42,18 +42,18 @@
 	if _, ok := s.byKey[segment.Key]; ok {
 		return
 	}
-	h := &indexedSegment{revision: segment.Revision, unsettled: segment.Unsettled, ids: map[ID]bool{}}
+	indexed := &indexedSegment{revision: segment.Revision, unsettled: segment.Unsettled, ids: map[ID]bool{}}
 	for _, e := range segment.Entries {
 		id, isEnd := e.request()
-		h.ids[id] = h.ids[id] || isEnd
+		indexed.ids[id] = indexed.ids[id] || isEnd
 	}
-	for id, isEnd := range h.ids {
+	for id, isEnd := range indexed.ids {
 		s.segmentCount[id]++
 		if !isEnd {
 			s.unfinishedCount[id]++
 		}
 	}
-	s.byKey[segment.Key] = h
+	s.byKey[segment.Key] = indexed
 }
 
 // request returns the request that an entry belongs to, and whether the entry is the request's end.
@@ -73,16 +73,16 @@
 // after the deletion the request would seem unfinished, and the next owner would run it again.
 func (s *SegmentIndex) Removable(requests *RequestTable, now time.Time, keep func(Record) time.Duration) (Segment, bool) {
 	for _, key := range slices.Sorted(maps.Keys(s.byKey)) {
-		if h := s.byKey[key]; !h.unsettled && s.obsolete(h, requests, now, keep) {
-			return Segment{Key: key, Revision: h.revision}, true
+		if indexed := s.byKey[key]; !indexed.unsettled && s.obsolete(indexed, requests, now, keep) {
+			return Segment{Key: key, Revision: indexed.revision}, true
 		}
 	}
 	return Segment{}, false
 }
 
 // obsolete reports whether no request needs the segment any more.
-func (s *SegmentIndex) obsolete(h *indexedSegment, requests *RequestTable, now time.Time, keep func(Record) time.Duration) bool {
-	for id, isEnd := range h.ids {
+func (s *SegmentIndex) obsolete(indexed *indexedSegment, requests *RequestTable, now time.Time, keep func(Record) time.Duration) bool {
+	for id, isEnd := range indexed.ids {
 		r, ok := requests.Get(id)
 		if !ok || !r.State.Ended() || now.Before(r.EndedAt.Add(keep(r))) {
 			return false
@@ -97,12 +97,12 @@
 // Remove removes a segment that was deleted from the store, and removes from the table the requests that
 // no remaining segment contains.
 func (s *SegmentIndex) Remove(key string, requests *RequestTable) {
-	h, ok := s.byKey[key]
+	indexed, ok := s.byKey[key]
 	if !ok {
 		return
 	}
 	delete(s.byKey, key)
-	for id, isEnd := range h.ids {
+	for id, isEnd := range indexed.ids {
 		if !isEnd {
 			decrement(s.unfinishedCount, id)
 		}
--- a/pkg/entry/doc.go
+++ b/pkg/entry/doc.go
@@ -21,10 +21,11 @@
 //
 // # Files
 //
-// process.go has the start and the planned stop of a process. store_watch.go, membership.go and
-// engines.go have its background work. calls.go and batches.go implement the callers' API,
-// forward.go passes requests to owners, and operator_commands.go and operator_queries.go
-// implement the operators' API.
+// main.go has the command line, and process.go the start and the planned stop of a process.
+// store_watch.go, membership.go and engines.go have its background work, and peer_listener.go
+// the listener for peers. calls.go and batches.go implement the callers' API, forward.go passes
+// requests to owners, and operator_commands.go and operator_queries.go implement the operators'
+// API.
 //
 // # Usage
 //
--- a/pkg/entry/engines.go
+++ b/pkg/entry/engines.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// observeStoredRecords passes the records of the hall's shards to a new controller, which was
-// not there when the watch on the store reported them.
+// observeStoredRecords passes the records of the hall's shards to a new controller, which did
+// not exist when the watch on the store reported them.
 func (p *Process) observeStoredRecords(c *ownership.Controller) {
 	for id, record := range p.readRecords() {
 		c.Observe(id, record.record, record.revision)
--- a/pkg/entry/forward.go
+++ b/pkg/entry/forward.go
@@ -21,8 +21,8 @@
 const (
 	// refusalRetryAfter is the retry delay for requests that this process refuses.
 	refusalRetryAfter = 500 * time.Millisecond
-	// answerTimeoutMargin is how long beyond a request's own time limit this process waits for
-	// the owner's answer.
+	// answerTimeoutMargin is how much longer than a request's own time limit this process waits
+	// for the owner's answer.
 	answerTimeoutMargin = 500 * time.Millisecond
 	// While a forwarded request waits for its answer, ownerCheckInterval is how often the owner
 	// of its shard is checked. If the owner has changed, the previous one gets the further time
--- a/pkg/entry/membership.go
+++ b/pkg/entry/membership.go
@@ -54,9 +54,9 @@
 // sendHeartbeat exchanges heartbeats with one peer, and fetches its settings if they are newer
 // than those in force here.
 func (p *Process) sendHeartbeat(ctx context.Context, address netip.AddrPort) {
-	beatCtx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
+	heartbeatCtx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
-	m, err := p.peers.Heartbeat(beatCtx, address, p.describeSelf())
+	m, err := p.peers.Heartbeat(heartbeatCtx, address, p.describeSelf())
 	if err != nil {
 		return
 	}
--- a/pkg/entry/operator_queries.go
+++ b/pkg/entry/operator_queries.go
@@ -16,7 +16,7 @@
 )
 
 // ReadCellStatus returns the state of this process, of the shards of its hall and of the other
-// processes that it knows.
+// processes in its table of members.
 func (h *handler) ReadCellStatus(context.Context) (*entryapi.ProcessStatus, error) {
 	p := h.p
 	revision, _, _ := p.settings.current()
@@ -31,7 +31,7 @@
 }
 
 // ShardStatuses returns the states of the shards of this process's hall, sorted by shard. The
-// fields that only a shard's engine knows are set for the shards that this process owns.
+// fields that come from a shard's engine are set for the shards that this process owns.
 func (p *Process) ShardStatuses() []entryapi.ShardStatus {
 	list := []entryapi.ShardStatus{}
 	c := p.controller.Load()
--- a/pkg/keys/table.go
+++ b/pkg/keys/table.go
@@ -84,7 +84,7 @@
 	finished bool
 	bodyKept bool
 	answer   Answer
-	useID    int // tells this entry from an earlier one of the same key that was removed by Abort
+	useID    int // distinguishes this entry from an earlier one of the same key that Abort removed
 }
 
 type expiry struct {
@@ -165,7 +165,7 @@
 	return Verdict{Kind: Fresh}
 }
 
-// issuedAfterTakeover says whether the previous owner can't have accepted the key. This
+// issuedAfterTakeover reports whether the previous owner can't have accepted the key. This
 // holds even when the caller's clock is wrong: the previous owner refused keys issued more
 // than MaxSkew after its own time, and its clock differs from ours by at most MaxSkew.
 func (t *Table) issuedAfterTakeover(req Request) bool {
--- a/pkg/placement/choose.go
+++ b/pkg/placement/choose.go
@@ -25,7 +25,7 @@
 	return p.choosePack(t)
 }
 
-// fits says whether the worker can take the task now.
+// fits reports whether the worker can take the task now.
 func (w *worker) fits(t *Task) bool {
 	if w.closed || (w.reserved != "" && w.reserved != t.ID) || !t.Resources.Fits(w.free()) {
 		return false
@@ -114,7 +114,7 @@
 	workers map[string]int
 }
 
-// prefers says whether a is a better choice than b under policy spread: fewer tasks of the
+// prefers reports whether a is a better choice than b under policy spread: fewer tasks of the
 // workload on its rack, then on the worker itself, then the lower utilization.
 func (s *spreadCount) prefers(a, b *worker) bool {
 	if s != nil {
--- a/pkg/placement/doc.go
+++ b/pkg/placement/doc.go
@@ -19,7 +19,7 @@
 // until it fits there.
 //
 // A team's tasks stay within its quota while other teams' tasks of the same class wait;
-// otherwise the team may use idle resources beyond its quota. Urgent tasks are exempt.
+// otherwise the team may exceed its quota and use idle resources. Urgent tasks are exempt.
 //
 // # Choice of the worker
 //
--- a/pkg/placement/model.go
+++ b/pkg/placement/model.go
@@ -50,7 +50,7 @@
 	Preempt             // stop the task on the worker to make room for an urgent one
 )
 
-// Decision tells the owner to start or to stop one task.
+// Decision is the decision to start or to stop one task, which the owner carries out.
 type Decision struct {
 	Kind   Kind
 	Task   Task
--- a/pkg/placement/placer.go
+++ b/pkg/placement/placer.go
@@ -97,7 +97,7 @@
 	p.waitQueue.add(&t)
 }
 
-// Withdraw removes a task from the queue and says whether it was waiting there.
+// Withdraw removes a task from the queue and reports whether it was waiting there.
 func (p *Placer) Withdraw(id string) bool {
 	_, ok := p.waitQueue.remove(id)
 	if ok {
@@ -106,8 +106,8 @@
 	return ok
 }
 
-// AddRunning records a task that a worker was found to run, as a new owner learns it from
-// the worker's report. The task leaves the queue, and its resources count as used even
+// AddRunning records a task that already runs on a worker, which a new owner finds in the
+// worker's report. The task leaves the queue, and its resources count as used even
 // when they exceed the worker's capacity.
 func (p *Placer) AddRunning(t Task, workerID string) {
 	w, ok := p.workers[workerID]
@@ -144,7 +144,7 @@
 }
 
 // Next returns decisions that can be carried out now. It examines no further tasks once
-// it has limit decisions; the last task may add several preemptions beyond the limit.
+// it has limit decisions; the last task may add several preemptions and so exceed it.
 func (p *Placer) Next(now clock.Time, limit int) []Decision {
 	if now.Sub(p.lastAging) >= agingInterval {
 		p.waitQueue.promote(now, p.cfg)
@@ -250,7 +250,7 @@
 	return failedSearches{}
 }
 
-// covers says whether a search failed that needed no more than t does.
+// covers reports whether a search failed that needed no more than t does.
 func (f failedSearches) covers(t *Task) bool {
 	for _, r := range f[searchKey{t.Workload, t.Policy}] {
 		if r.Fits(t.Resources) {
--- a/pkg/placement/queries.go
+++ b/pkg/placement/queries.go
@@ -44,7 +44,7 @@
 	return t.Task, true
 }
 
-// IsWaiting says whether a task is in the queue.
+// IsWaiting reports whether a task is in the queue.
 func (p *Placer) IsWaiting(taskID string) bool {
 	_, ok := p.waitQueue.tasks[taskID]
 	return ok
--- a/pkg/result/doc.go
+++ b/pkg/result/doc.go
@@ -1,5 +1,5 @@
 // Package result defines the numbered result codes of foldarch's answers to callers and
-// operators. For each code it holds the name, whether the request ran, and the HTTP status.
+// operators. For each code it gives the name, whether the request ran, and the HTTP status.
 // docs/result-codes.md documents the codes; a test compares the two.
 //
 // The hundreds digit gives the class of a code:
@@ -17,6 +17,6 @@
 //
 // and where an error becomes an answer:
 //
-//	problem := result.From(err) // *result.Error, result.Internal for any other error
-//	info := problem.Code.Info()
+//	e := result.From(err) // a *result.Error; its code is result.Internal for any other error
+//	info := e.Code.Info()
 package result
--- a/pkg/revision/doc.go
+++ b/pkg/revision/doc.go
@@ -10,8 +10,8 @@
 //	settings/doc/0b1…        the text of one file
 //
 // Revisions count up by one. A rollback is a new revision with the files of an old one. The
-// write id makes every head unique, so that a write whose answer was lost can be told from
-// the write of another operator.
+// write id makes every head unique, so that a write whose answer was lost can be distinguished
+// from the write of another operator.
 //
 // # Usage
 //
--- a/pkg/routing/doc.go
+++ b/pkg/routing/doc.go
@@ -1,7 +1,6 @@
-// Package routing decides which endpoint runs a request, and when. It holds what the owner
-// of a shard knows of the shard's endpoints. Since only the owner sends requests to them, it
-// knows exactly how many slots are in use and never sends an endpoint more requests than it
-// has slots.
+// Package routing decides which endpoint runs a request, and when. It holds the owner's view of
+// the endpoints of one shard. Since only the owner sends requests to them, its count of the slots
+// in use is exact, and it never sends an endpoint more requests than the endpoint has slots.
 //
 // The package does no I/O, starts no goroutines and reads no clock: events and clock readings
 // are passed in and decisions are returned, so that recorded traces can be replayed through
--- a/pkg/shard/batch.go
+++ b/pkg/shard/batch.go
@@ -15,7 +15,7 @@
 const (
 	submitTimeout       = 5 * time.Second
 	storeDownRetryAfter = 2 * time.Second
-	maxPauseAttempt     = 6 // number of failed reads after which the pause no longer grows
+	maxPauseAttempt     = 6 // number of failed reads after which the delay no longer grows
 )
 
 // Submission is a batch request as a caller submits it.
--- a/pkg/shard/call.go
+++ b/pkg/shard/call.go
@@ -193,7 +193,7 @@
 	return a
 }
 
-// takeRetry takes one retry from the budget and says whether there was one.
+// takeRetry takes one retry from the budget and reports whether there was one.
 func (e *Engine) takeRetry() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -331,7 +331,7 @@
 	return refusal(result.SendFailed, got.Err.Error(), refusalRetryAfter), true
 }
 
-// mayRunAgain says whether a request that ran and failed may run once more, and counts the
+// mayRunAgain reports whether a request that ran and failed may run once more, and counts the
 // retry.
 func (e *Engine) mayRunAgain(p *pendingCall) bool {
 	if p.call.NotRepeatable || p.retries >= p.workload.Retries {
--- a/pkg/shard/doc.go
+++ b/pkg/shard/doc.go
@@ -14,8 +14,9 @@
 //	recovery    runs once: reads the batch requests from the store
 //
 // One lock guards the state. It is held while a decision is made, and never while anything
-// is sent. Decisions reach the goroutine of a worker and that of a request through a
-// bounded channel of its own.
+// is sent. A decision about a request reaches the goroutine of its caller through a channel
+// of size 1. Commands to a worker are collected in its workerController, whose goroutine is
+// woken through a channel of size 1.
 //
 // Right before anything is sent to a worker or an endpoint, the engine checks on the
 // monotonic clock that its authority over the shard has not ended. Commands to workers
@@ -24,9 +25,9 @@
 // # Files
 //
 // Commands and queries are in separate files: engine.go has the life cycle of an engine,
-// call.go and batch.go the requests of callers, tasks.go, worker_controller.go and
-// worker_reports.go the tasks on workers, health.go the state of endpoints,
-// segment_removal.go the removal of batch segments, queries.go what only reads.
+// call.go, retry_budget.go and batch.go the requests of callers, tasks.go,
+// worker_controller.go and worker_reports.go the tasks on workers, health.go the state of
+// endpoints, segment_removal.go the removal of batch segments, queries.go what only reads.
 //
 // # Usage
 //
--- a/pkg/shard/engine.go
+++ b/pkg/shard/engine.go
@@ -46,11 +46,11 @@
 	Workers   *worker.Client
 	Endpoints *endpoint.Client
 	// Authority returns the epoch in which this process owns the shard, when its authority
-	// ends, and whether it has any now; see ownership.Keeper.Authority.
+	// ends, and whether it has any now; see ownership.Controller.Authority.
 	Authority func() (cell.Epoch, clock.Time, bool)
 	// LoadBatches reads all batch segments of the shard from the store.
 	LoadBatches func(ctx context.Context) ([]batch.Segment, error)
-	// StoreAvailable says whether the store has answered recently.
+	// StoreAvailable reports whether the store has answered recently.
 	StoreAvailable func() bool
 	// PutSegment writes a batch segment to the store.
 	PutSegment func(ctx context.Context, key, value string) (revision int64, err error)
@@ -88,8 +88,7 @@
 	inFlight   int
 }
 
-// recoveryState tells how much a new owner has learned of the state that the previous
-// owner left behind.
+// recoveryState is the progress of a new owner in recovering the state that the previous owner left.
 type recoveryState struct {
 	inherited     bool // the shard had an owner before
 	hostsKnown    bool // the platform's host list was received
@@ -138,7 +137,7 @@
 	e.goroutines.Wait()
 }
 
-// authorized says whether this process still owns the shard in the engine's epoch. It is
+// authorized reports whether this process still owns the shard in the engine's epoch. It is
 // called right before anything is sent.
 func (e *Engine) authorized() bool {
 	epoch, _, ok := e.deps.Authority()
--- a/pkg/shard/health.go
+++ b/pkg/shard/health.go
@@ -14,17 +14,17 @@
 	healthTimeout  = 300 * time.Millisecond
 )
 
-// healthCheck is a check of an endpoint that may run foreign requests: requests whose
+// healthCheck is a check of an endpoint that may run orphaned requests: requests whose
 // answer this owner does not wait for, because the previous owner sent them or because
 // the answer was lost.
 type healthCheck struct {
 	id      string
 	address netip.AddrPort
-	// foreignEnded says that foreign requests have ended because their time limit has passed.
+	// orphansEnded says that the orphaned requests have ended because their time limit has passed.
 	foreignEnded bool
 }
 
-// runHealthChecks periodically asks the endpoints that may run foreign requests how many
+// runHealthChecks periodically asks the endpoints that may run orphaned requests how many
 // requests they run.
 func (e *Engine) runHealthChecks(ctx context.Context) {
 	clock.Every(ctx, healthInterval, func() {
@@ -54,8 +54,9 @@
 	return checks
 }
 
-// checkHealth asks an endpoint for its health and passes the number of its foreign
-// requests to the router. When their time limit has passed there are none.
+// checkHealth asks an endpoint for its health and passes an upper bound on its orphaned
+// requests to the router: 0 once their time limit has passed, otherwise the number of
+// requests that the endpoint runs.
 func (e *Engine) checkHealth(ctx context.Context, check healthCheck) {
 	health, ok, err := e.deps.Endpoints.Health(ctx, check.address, healthTimeout)
 	e.mu.Lock()
--- a/pkg/shard/queries.go
+++ b/pkg/shard/queries.go
@@ -75,7 +75,7 @@
 	return list
 }
 
-// DrainWorker drains a worker on an operator's command, and says whether the shard has
+// DrainWorker drains a worker on an operator's command, and reports whether the shard has
 // that worker.
 func (e *Engine) DrainWorker(id string) bool {
 	e.mu.Lock()
--- a/pkg/shard/retry_budget.go
+++ b/pkg/shard/retry_budget.go
@@ -21,7 +21,7 @@
 	b.tokens = min(b.tokens+tokensPerRequest, maxTokens)
 }
 
-// withdraw takes one token and says whether there was one.
+// withdraw takes one token and reports whether there was one.
 func (b *retryBudget) withdraw() bool {
 	if b.tokens < 1 {
 		return false
--- a/pkg/shard/segment_removal.go
+++ b/pkg/shard/segment_removal.go
@@ -18,7 +18,7 @@
 // handleStoredSegment records a segment that was written to the store and accepts the
 // requests that it contains. Both happen under one lock: otherwise the removal of segments
 // could run between them and find a segment whose requests are unknown. Requests in an
-// unsettled segment, which the store may not hold, are not accepted.
+// unsettled segment, which the store may not contain, are not accepted.
 func (e *Engine) handleStoredSegment(s batch.Segment) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/pkg/shard/segment_removal_test.go
+++ b/pkg/shard/segment_removal_test.go
@@ -154,10 +154,10 @@
 func TestRequestStoredWithoutAnswerIsAccepted(t *testing.T) {
 	g := NewWithT(t)
 	s := newSegmentStore()
-	lapsed := false
+	ended := false
 	e := newRecoveredOwner(t, s, 1, func() bool {
-		if s.len() > 0 && !lapsed {
-			lapsed = true
+		if s.len() > 0 && !ended {
+			ended = true
 			return false
 		}
 		return true
--- a/pkg/shard/tasks.go
+++ b/pkg/shard/tasks.go
@@ -18,8 +18,8 @@
 	placementInterval = 200 * time.Millisecond
 	// maxDecisions limits the placement decisions that are made in one turn under the lock.
 	maxDecisions = 128
-	// intentPauseAttempt is the attempt number passed to store.Pause after an intention to
-	// start a request could not be stored; it sets the length of the pause.
+	// intentBackoffAttempt is the attempt number passed to store.Backoff after an intention to
+	// start a request could not be stored; it sets the length of the delay.
 	intentPauseAttempt = 5
 	// firstReportsTimeout is how long the first owner of a shard waits for the reports of
 	// all workers.
--- a/pkg/shard/worker_reports.go
+++ b/pkg/shard/worker_reports.go
@@ -10,11 +10,11 @@
 	"github.com/sirupsen/logrus"
 )
 
-// endpointState is the state of an endpoint that the router does not hold.
+// endpointState is the part of an endpoint's state that the router does not keep.
 type endpointState struct {
 	address  netip.AddrPort
 	workload string
-	// foreignSince is when the endpoint last may have received a request whose answer this
+	// orphansSince is when the endpoint last may have received a request whose answer this
 	// owner does not wait for: when this owner's epoch began, or when an answer was lost.
 	foreignSince clock.Time
 }
@@ -57,7 +57,7 @@
 }
 
 // adopt records a task that a worker runs although this owner did not start it there, and
-// says whether it did so. A task that is placed on another worker is not adopted; its
+// reports whether it did so. A task that is placed on another worker is not adopted; its
 // lease is not renewed, and it ends when the lease expires.
 func (e *Engine) adopt(w *workerController, r worker.Report) bool {
 	if other, ok := e.placer.WorkerOf(r.ID); ok && other != w.host.ID {
--- a/pkg/store/store_test.go
+++ b/pkg/store/store_test.go
@@ -120,15 +120,15 @@
 		items []store.Item
 		err   error
 	}
-	heard := make(chan seen, 1)
+	results := make(chan seen, 1)
 	go func() {
 		items, _, err := s.Watch(ctx, "p/", after, 30*time.Second)
-		heard <- seen{items, err}
+		results <- seen{items, err}
 	}()
 	_, err = s.Swap(ctx, store.Item{Key: "p/x", Value: "v"}, 0)
 	g.Expect(err).NotTo(HaveOccurred())
 	var got seen
-	g.Eventually(heard, "30s").Should(Receive(&got))
+	g.Eventually(results, "30s").Should(Receive(&got))
 	g.Expect(got.err).NotTo(HaveOccurred())
 	g.Expect(got.items).To(HaveLen(1))
 }
--- a/pkg/store/writes.go
+++ b/pkg/store/writes.go
@@ -125,8 +125,8 @@
 // Backoff waits before another attempt: exponentially longer with each attempt, with random jitter so
 // that many processes do not retry at the same moment. It returns early, with an error, when ctx ends.
 func Backoff(ctx context.Context, attempt int) error {
-	most := min(minRetryDelay<<min(attempt, 10), maxRetryDelay)
-	t := time.NewTimer(most/2 + rand.N(most/2))
+	longest := min(minRetryDelay<<min(attempt, 10), maxRetryDelay)
+	t := time.NewTimer(longest/2 + rand.N(longest/2))
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
--- a/pkg/worker/client.go
+++ b/pkg/worker/client.go
@@ -83,7 +83,7 @@
 	Sequence int64
 	// ValidUntil is when the sender's authority ends, on the sender's clock.
 	ValidUntil clock.Time
-	// Known is the last status received from the worker, from which its clock is derived.
+	// LastStatus is the last status received from the worker, from which its clock is derived.
 	Known Status
 	Lease time.Duration
 	Start []Task
--- a/pkg/worker/doc.go
+++ b/pkg/worker/doc.go
@@ -12,9 +12,9 @@
 //	c := worker.New(dialer, clock.System())
 //	status, err := c.Status(ctx, address)
 //	status, err = c.Command(ctx, address, worker.Commands{
-//		Shard: shard, Epoch: 4, ValidUntil: grantExpiry, Known: status,
+//		Shard: shard, Epoch: 4, ValidUntil: grantExpiry, LastStatus: status,
 //		Start: []worker.Task{{ID: "fit-17", …}},
 //	})
-//	errors.Is(err, worker.ErrStale)       // the worker knows a higher epoch, or the command came too late
+//	errors.Is(err, worker.ErrStale)       // the worker has seen a higher epoch, or the command came too late
 //	errors.Is(err, worker.ErrAnswerLost)  // the command may have been carried out
 package worker
