--- a/pkg/cli/apply.go
+++ b/pkg/cli/apply.go
@@ -27,7 +27,7 @@
 
 // Help returns the detailed help text with an example; kong calls it.
 func (ApplyCommand) Help() string {
-	return "The settings are changed as a whole or not at all. When someone else changed them since,\nthe command is refused and names the other change.\n\nExample:\n\n  foldarch apply --store 127.0.0.1:7000 --note \"more scoring\" declarations\n  revision 8 is in force"
+	return "The settings are changed as a whole or not at all. When someone else changed them since,\nthe command is refused and names the other change.\n\nExample:\n\n  foldarch apply --store 127.0.0.1:7000 --note \"more scoring\" declarations\n  revision 8 is accepted"
 }
 
 // Run applies the directory. With --wait it returns only when every live process uses the new revision.
--- a/pkg/cli/job.go
+++ b/pkg/cli/job.go
@@ -6,8 +6,8 @@
 
 // JobCommand lists the subcommands for jobs on the platform.
 type JobCommand struct {
-	Show      JobShowCommand      `cmd:"" default:"withargs" help:"Show what the owner of the pool knows of a job, and what it waits for."`
-	Submit    JobSubmitCommand    `cmd:"" help:"Hand in a job of steps."`
+	Show      JobShowCommand      `cmd:"" default:"withargs" help:"Show the state of a job at the owner of the pool, and what it waits for."`
+	Submit    JobSubmitCommand    `cmd:"" help:"Submit a job of steps."`
 	State     JobStateCommand     `cmd:"" help:"Show how far a job is, also one that has ended."`
 	Cancel    JobCancelCommand    `cmd:"" help:"End a job."`
 	Customers JobCustomersCommand `cmd:"" help:"List the customers with what they have running and waiting."`
--- a/pkg/cli/job_show.go
+++ b/pkg/cli/job_show.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// JobShowCommand shows what the owner of the pool knows of a job on the platform.
+// JobShowCommand shows the state of a job on the platform, as its pool's owner has it.
 type JobShowCommand struct {
 	hostFlag
 	jobArgument
--- a/pkg/cli/job_submit.go
+++ b/pkg/cli/job_submit.go
@@ -20,7 +20,7 @@
 
 // Help returns the detailed help text with an example; kong calls it.
 func (JobSubmitCommand) Help() string {
-	return "Handing in the same id again changes nothing.\n\nExample:\n\n" +
+	return "Submitting the same id again changes nothing.\n\nExample:\n\n" +
 		"  echo '{\"spec\":\"alloy 7\",\"steps\":[{\"count\":4,\"cpu_millis\":500,\"memory_mb\":256}]}' |\n" +
 		"    foldarch job submit --host 10.1.0.13:9100 --queue fits 5c0e7a21d94b36f8 -"
 }
--- a/pkg/cli/local.go
+++ b/pkg/cli/local.go
@@ -9,7 +9,7 @@
 // LocalCommand runs a small cell in this process.
 type LocalCommand struct {
 	Trace    string        `default:"all" enum:"all,hanbit,association" help:"Recorded traffic: hanbit, association or all."`
-	Duration time.Duration `default:"12s" help:"Into how long the recorded time is pressed."`
+	Duration time.Duration `default:"12s" help:"Time into which each recorded trace is compressed."`
 	Seed     uint64        `default:"1" help:"Seed of the recorded traffic."`
 }
 
--- a/pkg/cli/owner_query.go
+++ b/pkg/cli/owner_query.go
@@ -22,11 +22,11 @@
 		return nil, err
 	}
 	if status == http.StatusMisdirectedRequest {
-		holder, err := jobstore.DecodeOwnerRecord(body)
-		if err != nil || !holder.Address.IsValid() {
-			return nil, errors.Newf("%s knows of no owner at present", f.Host)
+		record, err := jobstore.DecodeOwnerRecord(body)
+		if err != nil || !record.Address.IsValid() {
+			return nil, errors.Newf("%s has no owner on record", f.Host)
 		}
-		owner := netip.AddrPortFrom(holder.Address.Addr(), f.Host.Port())
+		owner := netip.AddrPortFrom(record.Address.Addr(), f.Host.Port())
 		if status, body, err = getFromHost(owner, path); err != nil {
 			return nil, err
 		}
--- a/pkg/cli/plan.go
+++ b/pkg/cli/plan.go
@@ -20,7 +20,7 @@
 
 // Help returns the detailed help text with an example; kong calls it.
 func (PlanCommand) Help() string {
-	return "Example:\n\n  foldarch plan --store 127.0.0.1:7000 declarations\n  changed  baseball/group.toml\n  scoring: changed\n    rules.queue: 256 -> 64"
+	return "Example:\n\n  foldarch plan --store 127.0.0.1:7000 declarations\n  against revision 7:\n  changed  baseball/group.toml\n  workload scoring: changed\n    rules.queue: 256 -> 64"
 }
 
 // Run prints the differences between the directory and the settings in force.
--- a/pkg/cli/program.go
+++ b/pkg/cli/program.go
@@ -35,7 +35,7 @@
 	Drain    DrainCommand    `cmd:"" help:"Make a worker or an entry host leave without cutting a request."`
 	Release  ReleaseCommand  `cmd:"" help:"Free a shard whose owner and successor are known to have ended."`
 	Replay   ReplayCommand   `cmd:"" help:"Run a recorded trace through the decisions and print them."`
-	Job      JobCommand      `cmd:"" help:"Hand in, show, cancel and count jobs on the platform."`
+	Job      JobCommand      `cmd:"" help:"Submit, show, cancel and count jobs on the platform."`
 	Local    LocalCommand    `cmd:"" help:"Run a small cell in this process with recorded traffic."`
 }
 
@@ -60,7 +60,7 @@
 func Main(args []string, out, errOut io.Writer) int {
 	var p Program
 	parser, err := kong.New(&p, kong.Name(programName),
-		kong.Description("Declares what a foldarch cell runs, and looks into it.\n\n"+
+		kong.Description("Declares what a foldarch cell runs, and inspects it.\n\n"+
 			"Example: foldarch apply --store 127.0.0.1:7000 --author kim --note \"more scoring\" declarations"),
 		kong.Writers(out, errOut), kong.UsageOnError(), kong.Exit(func(int) {}))
 	if err != nil {
--- a/pkg/cli/release.go
+++ b/pkg/cli/release.go
@@ -18,7 +18,7 @@
 	HostsGone bool   `required:"" help:"You have made sure that the hosts of the owner and the successor are switched off."`
 }
 
-// Help returns the detailed help text, which tells what the operator has to make sure of; kong calls it.
+// Help returns the detailed help text, which says what the operator has to make sure of; kong calls it.
 func (ReleaseCommand) Help() string {
 	return "A shard whose owner and successor were lost without a trace (power, network) stays without an\nowner, because foldarch can't tell them from processes that are cut off and still serve. Release\nit only when both hosts are certainly off: otherwise work may run twice.\n\nExample:\n\n  foldarch release --store 127.0.0.1:7000 --hosts-gone seoul-1/0"
 }
--- a/pkg/dispatch/history_previous_owner_test.go
+++ b/pkg/dispatch/history_previous_owner_test.go
@@ -144,7 +144,7 @@
 	simulateShare(t, allSeeds, func(w *world) { w.announceToPrevious, w.slowLoading = true, true })
 }
 
-// Guards against a customer beyond its quota. An owner that does not know a job whose runs workers report
+// Guards against a customer above its quota. An owner that does not know a job whose runs workers report
 // does not know the customer of these runs, and starts others of the same customer. (The logs of all
 // these seeds but 412, whose log was not examined, have run_unknown before the starts.)
 func TestQuotasHoldWhenPreviousOwnersGetJobs(t *testing.T) {
--- a/pkg/dispatch/invalidated_start_fixture_test.go
+++ b/pkg/dispatch/invalidated_start_fixture_test.go
@@ -30,7 +30,7 @@
 	endReasons map[job.ID]EndReason
 	// losesAnswer says which starts get no answer; these become pending.
 	losesAnswer     func(StartOrder) bool
-	callsStayOpen   bool // the calls of starts without an answer stay open: the pool is not told of the failure
+	callsStayOpen   bool // the calls of starts without an answer stay open: the pool gets no error for them
 	pendingStarts   []pendingStart
 	firstUnanswered StartOrder                // the first start without an answer
 	lateStartedAt   map[job.TaskID]clock.Time // when a pending start was carried out late
--- a/pkg/dispatch/late_ends_test.go
+++ b/pkg/dispatch/late_ends_test.go
@@ -7,8 +7,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// newUnreportedEnd returns a simulation in which worker 1 has done the only task, which the owner can't
-// learn. Tasks are then placed on worker 0 alone, which leaves the first start there without an answer.
+// newUnreportedEnd returns a simulation in which worker 1 has done the only task but can't report
+// that to the owner. Tasks are then placed on worker 0 alone, which leaves the first start there without an
+// answer.
 func newUnreportedEnd(t *testing.T) *poolSim {
 	sim := newPoolSim(t, 2)
 	sim.cordonOnly(0)
--- a/pkg/dispatch/previous_owner_starts_test.go
+++ b/pkg/dispatch/previous_owner_starts_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// Guards against a second unanswered start that the store is no longer told of because a report lists
+// Guards against a second unanswered start that is no longer recorded in the store because a report lists
 // its number: the first start was carried out, and the next owner knows of no other.
 func TestNextOwnerKnowsTheSecondStartUnderOneNumber(t *testing.T) {
 	sim := newTwoUnansweredStarts(t, time.Hour)
--- a/pkg/dispatch/recorded_workers_test.go
+++ b/pkg/dispatch/recorded_workers_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// Guards against a run that a later owner does not look for, as its owner dies before the worker is
+// Guards against a run that a later owner does not look for, as its owner ends before the worker is
 // recorded in the store.
 func TestWorkerCountsAsRecordedOnlyOnceCommitted(t *testing.T) {
 	f := newFixture(t, 1, recordingFromFirstTerm)
--- a/pkg/dispatch/restart_number_test.go
+++ b/pkg/dispatch/restart_number_test.go
@@ -158,7 +158,7 @@
 	})
 }
 
-// Guards against an operator who is not told what a job waits for, by the present owner and by the next.
+// Guards against an explanation that does not name what a job waits for, by the present owner or by the next.
 func TestWaitForALateStartIsExplained(t *testing.T) {
 	sim := newFailureBesideLateStart(t, testJob("a", testStep(1)))
 	e, _ := sim.pool.Explain("a", sim.now)
--- a/pkg/dispatch/retirement_test.go
+++ b/pkg/dispatch/retirement_test.go
@@ -26,7 +26,7 @@
 }
 
 // Guards against a takeover that blocks all jobs until the leases of workers expire that were retired
-// before their owner died and never report again.
+// before their owner ended and never report again.
 func TestTakeoverBlocksOnlyJobsOfARetiredWorker(t *testing.T) {
 	record := retiredWorker(t)
 	f := newFixture(t, 2, afterPreviousOwner)
--- a/pkg/load/experiment.go
+++ b/pkg/load/experiment.go
@@ -30,7 +30,7 @@
 	Rate     float64 `toml:"rate"` // requests a second
 	Callers  int     `toml:"callers"`
 	Class    string  `toml:"class"`
-	// Work is the mean work duration, which each request tells the stand-ins: half of it is fixed, the other
+	// Work is the mean work duration, which each request passes to the stand-ins: half of it is fixed, the other
 	// half is drawn from an exponential distribution.
 	Work     tomlfile.Duration `toml:"work"`
 	Deadline tomlfile.Duration `toml:"deadline"`
--- a/pkg/local/cell.go
+++ b/pkg/local/cell.go
@@ -50,19 +50,19 @@
 
 // startCell starts the stand-ins and the entry hosts. The caller has to call close.
 func startCell(out io.Writer) (*localCell, error) {
-	farm, err := standin.StartEnvironment(standin.EnvironmentConfig{Workers: standin.UniformWorkers(halls, workersPerHall, workerCapacity)})
+	environment, err := standin.StartEnvironment(standin.EnvironmentConfig{Workers: standin.UniformWorkers(halls, workersPerHall, workerCapacity)})
 	if err != nil {
 		return nil, err
 	}
-	c := &localCell{out: out, standIns: farm, decisions: &decisionCounter{}}
+	c := &localCell{out: out, standIns: environment, decisions: &decisionCounter{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	c.cancel = cancel
 	if err := c.startEntries(ctx); err != nil {
 		c.close()
 		return nil, err
 	}
-	fmt.Fprintf(out, "a cell of %d entry hosts and %d workers in %d halls, on the loopback\n",
-		len(c.processes), len(farm.Workers), len(halls))
+	fmt.Fprintf(out, "a cell of %d entry hosts and %d workers in %d halls, on the loopback interface\n",
+		len(c.processes), len(environment.Workers), len(halls))
 	return c, nil
 }
 
@@ -181,7 +181,7 @@
 	}
 	for begin := time.Now(); time.Since(begin) < readyTimeout; time.Sleep(readyPollInterval) {
 		if c.countEndpoints() == wanted {
-			fmt.Fprintf(c.out, "%d instances of services are placed and take requests after %.1f s\n", wanted, time.Since(begin).Seconds())
+			fmt.Fprintf(c.out, "%d instances of services are placed and accept requests after %.1f s\n", wanted, time.Since(begin).Seconds())
 			return nil
 		}
 	}
--- a/pkg/local/run.go
+++ b/pkg/local/run.go
@@ -92,7 +92,7 @@
 // returns an error if there are violations.
 func (c *localCell) printViolations() error {
 	v := c.standIns.RunLog.Check()
-	fmt.Fprintf(c.out, "%d runs in the back ends' ledger; violations: ", v.Runs)
+	fmt.Fprintf(c.out, "%d runs in the run log of the stand-ins; violations: ", v.Runs)
 	violations := 0
 	for _, invariant := range standin.Invariants() {
 		violations += v.Violations[invariant]
--- a/pkg/standin/doc.go
+++ b/pkg/standin/doc.go
@@ -4,7 +4,7 @@
 //
 // The stand-ins record in a RunLog what ran where and when. Tests check the invariants of foldarch against
 // this record and not against what foldarch reports about itself. For this reason the workers and endpoints
-// accept work beyond their capacity and count it as a violation, where a real one would refuse it.
+// accept work that exceeds their capacity and count it as a violation, where a real one would refuse it.
 //
 // Faults can be injected into running stand-ins: the store can be down or slow, lose answers to writes that
 // took effect, or refuse calls above a rate; a worker can be killed, or leave.
--- a/pkg/standin/endpoint.go
+++ b/pkg/standin/endpoint.go
@@ -18,7 +18,7 @@
 )
 
 // leavingGrace is how long after the start of leaving an endpoint may still be sent calls without a
-// violation, because the entry hosts need time to learn of it. The endpoint refuses these calls.
+// violation, because the entry hosts need time to notice that it leaves. The endpoint refuses these calls.
 const leavingGrace = 3 * time.Second
 
 // EndpointConfig describes one stand-in endpoint.
@@ -48,12 +48,12 @@
 }
 
 // StartEndpoint starts an endpoint on a free port of the loopback interface.
-func StartEndpoint(cfg EndpointConfig, ledger *RunLog) (*Endpoint, error) {
+func StartEndpoint(cfg EndpointConfig, log *RunLog) (*Endpoint, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, errors.Wrapf(err, "endpoint %s", cfg.ID)
 	}
-	e := &Endpoint{cfg: cfg, runLog: ledger, listener: l, inFlight: map[*Run]bool{}}
+	e := &Endpoint{cfg: cfg, runLog: log, listener: l, inFlight: map[*Run]bool{}}
 	e.idle = sync.NewCond(&e.mu)
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+endpoint.HealthPath, e.handleHealth)
@@ -76,7 +76,7 @@
 }
 
 // WaitIdle returns when no call is in flight or the endpoint was stopped, but not before leavingGrace has
-// passed, in which the entry hosts learn that the endpoint is leaving.
+// passed, in which the entry hosts notice that the endpoint is leaving.
 func (e *Endpoint) WaitIdle() {
 	time.Sleep(leavingGrace)
 	e.mu.Lock()
@@ -137,8 +137,8 @@
 	time.Sleep(d)
 }
 
-// beginCall starts to record a call, or returns the reason for which the endpoint refuses it. Calls beyond
-// the slots are accepted and counted as violations.
+// beginCall starts to record a call, or returns the reason for which the endpoint refuses it. Calls that
+// exceed the slots are accepted and counted as violations.
 func (e *Endpoint) beginCall(r *http.Request) (*Run, string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/pkg/standin/main.go
+++ b/pkg/standin/main.go
@@ -30,7 +30,7 @@
 // cellCommand runs the stand-ins of a cell: store, workers and endpoints.
 type cellCommand struct {
 	Store        netip.AddrPort `default:"127.0.0.1:7000" help:"Where the platform store listens."`
-	Admin        netip.AddrPort `default:"127.0.0.1:7001" help:"Where faults are switched and the ledger is read."`
+	Admin        netip.AddrPort `default:"127.0.0.1:7001" help:"Where the admin API listens: it sets faults and returns the run log."`
 	Halls        []string       `default:"seoul-1,seoul-2,seoul-3" help:"Halls."`
 	Workers      int            `default:"4" help:"Workers in each hall."`
 	CPUMillis    int64          `default:"16000" help:"Processors of a worker, in thousandths."`
--- a/pkg/standin/run_log.go
+++ b/pkg/standin/run_log.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// maxNotes limits the notes from AddViolation; the violations beyond it are still counted.
+// maxNotes limits the notes from AddViolation; further violations are counted without a note.
 const maxNotes = 50
 
 // The names of the invariants; they are the keys of CheckResult.Violations.
--- a/pkg/standin/store.go
+++ b/pkg/standin/store.go
@@ -31,7 +31,7 @@
 }
 
 // Store is a stand-in for the key-value store and the host list of the platform. Items are kept in memory,
-// and deleted items stay as markers so that watchers learn of the deletion.
+// and deleted items stay as markers so that watchers see the deletion.
 type Store struct {
 	mu           sync.Mutex
 	items        map[string]storeapi.Item
@@ -265,7 +265,7 @@
 	return &storeapi.RefusedStatusCode{StatusCode: status, Response: storeapi.Refusal{Reason: reason}}
 }
 
-// Tick ends the leases that have expired, so that watchers learn of it even when no call arrives.
+// Tick ends the leases that have expired, so that watchers see the deleted items even when no call arrives.
 func (s *Store) Tick() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/standin/worker.go
+++ b/pkg/standin/worker.go
@@ -54,9 +54,9 @@
 }
 
 // NewWorker returns a worker without tasks.
-func NewWorker(cfg WorkerConfig, ledger *RunLog) *Worker {
+func NewWorker(cfg WorkerConfig, log *RunLog) *Worker {
 	return &Worker{
-		cfg: cfg, runLog: ledger, incarnation: uuid.NewString(), startTime: time.Now(),
+		cfg: cfg, runLog: log, incarnation: uuid.NewString(), startTime: time.Now(),
 		tasks: map[string]*task{}, epochs: map[string]int64{}, sequence: map[string]int64{},
 	}
 }
@@ -206,8 +206,8 @@
 	}
 }
 
-// startTask starts a task, also beyond the capacity of the worker. A task that the worker already has is not
-// started again.
+// startTask starts a task, even if it exceeds the capacity of the worker. A task that the worker already has
+// is not started again.
 func (w *Worker) startTask(spec workerapi.TaskSpec, epoch int64) {
 	if _, ok := w.tasks[spec.ID]; ok {
 		return
--- a/spec/lives.pml
+++ b/spec/lives.pml
@@ -2,19 +2,19 @@
  *
  * There are one owner, one task and one worker, which may restart once. The owner has sent a start to the
  * first incarnation and got no answer. The order may be executed late, by either incarnation, since it names
- * only the worker. If an incarnation answers a hold with a higher token and has not begun the order, the
- * order is invalid there. Then the owner starts the task again on the same worker, or elsewhere as soon as no
- * incarnation can execute the order any more. Not before that time does it acknowledge an end of the task, on
- * that worker or as a member of its gang. Checked: the task never runs in two places, and it does not start
- * after an end of it was acknowledged.
+ * only the worker. If an incarnation answers a poll with a higher token and has not executed the order, the
+ * order is invalidated for it. Then the owner starts the task again on the same worker, or elsewhere as soon
+ * as no incarnation can execute the order any more. Only from then on does the owner acknowledge an end of
+ * the task, on that worker or as a member of its gang. Checked: the task never runs in two places, and it does
+ * not start after an end of it was acknowledged.
  *
  * Broken variants, each of which must violate an assertion:
  *   BROKEN_LAPSE   although the entry of the next incarnation is known, the leases of the first one count as
  *                  expired by the first one's clock alone
- *   BROKEN_FENCE   an answer of the next incarnation to a hold counts although it was not given a higher
+ *   BROKEN_FENCE   an answer of the next incarnation to a poll counts although the poll had no higher
  *                  token
  *   BROKEN_CARRY   the pending start is forgotten when the next incarnation answers
- *   BROKEN_VOID    the task starts elsewhere as soon as the order is invalid on the first incarnation
+ *   BROKEN_VOID    the task starts elsewhere as soon as the order is invalidated for one incarnation
  *   BROKEN_UNSEEN  the task starts elsewhere as soon as no incarnation can execute the order any more,
  *                  although an incarnation that has not answered may run it already
  *   BROKEN_NOTED   an end is acknowledged while the order may still be executed
@@ -30,18 +30,18 @@
 byte t = 0;
 byte life = 0;        /* the running incarnation, or NONE */
 byte until = 0;       /* end of the lease of the run on the worker */
-bool begun1 = false;  /* the next incarnation has begun */
+bool begun1 = false;  /* the next incarnation has started */
 bool read1 = false;   /* its entry was read */
-bool inTime = false;  /* and that was before the task started elsewhere */
+bool inTime = false;  /* its entry was read before the task started elsewhere */
 bool cut = false;     /* the owner is not connected to the worker */
 bool loose = true;    /* the order may still be executed */
 bool fenced[2];       /* the incarnation has seen a higher token */
-bool answered[2];     /* and the owner believes so */
+bool answered[2];     /* the owner assumes that the incarnation has seen a higher token */
 bool here = false, elsewhere = false;
 bool listed = false;  /* the owner knows that the task runs on the worker */
-bool voided = false;   /* an incarnation has answered a higher token and did not run the task */
-bool heard = false;    /* and one did so when the order could no longer be executed */
-bool again = false;    /* the owner has restarted the task on the worker and knows of no end */
+bool voided = false;   /* an incarnation answered a poll with a higher token and did not run the task */
+bool heard = false;    /* an incarnation did so when the order could no longer be executed */
+bool again = false;    /* the owner has restarted the task on the worker and has received no end */
 bool done = false, noted = false; /* a run of the task has completed, and its end is acknowledged */
 
 inline carryOut() {
@@ -78,7 +78,7 @@
 	od
 }
 
-/* The running incarnation answers a hold with a higher token. */
+/* The running incarnation answers a poll with a higher token. */
 inline holdAnswered() {
 	d_step {
 		answered[life] = true;
--- a/spec/ownership.pml
+++ b/spec/ownership.pml
@@ -57,7 +57,7 @@
 byte sEpoch = 1, sOwner = 0, sSucc = 1, sRev = 1;
 #endif
 
-/* the record and the role that each process knows */
+/* the record and the role as each process has them */
 byte kEpoch[NP], kOwner[NP] = NONE, kSucc[NP] = NONE, kRev[NP];
 byte role[NP];
 bool dead[NP + 1];        /* dead[NONE] is always false */
@@ -283,7 +283,7 @@
 	:: atomic { !dead[i] && wState[i] == REFUSED ->
 		clearWrite(i); role[i] = BYSTANDER; clearOwner(i); clearSuccessor(i) }
 	:: atomic { !dead[i] && wState[i] == SENT && !storeUp ->
-		/* the process knows that the write was not sent */
+		/* the process gives up a write that was certainly not sent */
 		clearWrite(i); soleCap[i] = 0;
 		if
 		:: role[i] == OWNER -> since[i] = now
--- a/spec/takeover.pml
+++ b/spec/takeover.pml
@@ -44,7 +44,7 @@
 bool cut1[W];              /* the previous owner is not connected to the worker */
 bool cut2[W];              /* the new owner is not connected to the worker */
 bool committed = false;    /* the end is stored */
-bool noted = false;        /* a worker was told to forget the end */
+bool noted = false;        /* the end was acknowledged to a worker */
 byte record = 1;           /* the token of the owner on record in the store */
 
 #ifdef NAMED
@@ -56,8 +56,8 @@
 #ifdef RETIRED
 #define LEAVER 2           /* the worker that may be disconnected from the new owner */
 bool retired = false;      /* the previous owner sends LEAVER no more starts */
-bool listed = false;       /* and the task may run there */
-bool stored = false;       /* and both are stored */
+bool listed = false;       /* the task may run on LEAVER */
+bool stored = false;       /* retired and listed are stored */
 #endif
 
 byte assigned1 = NONE, assigned2 = NONE;
@@ -201,7 +201,7 @@
 	:: atomic { MAYNAME1(2) -> named[2] = true }
 #endif
 #ifdef RETIRED
-	/* a worker that has answered this owner is retired; the owner knows then whether the task may run there */
+	/* the owner retires a worker that has answered it, and records whether the task may run there */
 	:: atomic { !done1 && !retired && !cut1[LEAVER] && fence[LEAVER] <= 1 -> retired = true; listed = COUNTED1 }
 	:: atomic { record == 1 && !done1 && retired && !stored -> stored = true }
 #endif
--- a/test/e2e/basic_path_test.go
+++ b/test/e2e/basic_path_test.go
@@ -76,8 +76,8 @@
 		fromTheFuture := func() reply {
 			return c.call("north-a", "scoring", "k", "x", "Foldarch-Issued-At", "9999999999999")
 		}
-		// The key's home may be another hall, whose owner a host learns of a little later than of its own
-		// hall's.
+		// The key's home may be another hall, whose owner becomes known to a host a little later than that
+		// of its own hall.
 		Eventually(func() int { return fromTheFuture().problem.Code }, maxWait).ShouldNot(Equal(int(result.NoOwner)))
 		expectCode(fromTheFuture(), result.IssuedInFuture)
 		expectCode(c.call("north-a", "scoring", "", "x", "Foldarch-Caller", ""), result.Malformed)
--- a/test/e2e/failure_test.go
+++ b/test/e2e/failure_test.go
@@ -199,7 +199,7 @@
 	})
 })
 
-// Values of a refusal that tell whether the request ran.
+// Values of a refusal that say whether the request ran.
 const (
 	ranNo      = entryapi.ProblemRanNo
 	ranUnknown = entryapi.ProblemRanUnknown
--- a/test/e2e/silence_test.go
+++ b/test/e2e/silence_test.go
@@ -12,8 +12,8 @@
 
 // Guards against accepted settings that no process uses for up to 21 s. The open connections of all hosts to
 // the store go silent, and then an operator applies settings. A watch waits for 20 s. If only its timeout
-// reveals that its connection is silent, no host learns of the settings before, since no other host knows of
-// them either.
+// reveals that its connection is silent, no host gets the settings before, since no other host has them
+// either.
 var _ = ginkgo.Describe("open connections to the store that go silent", func() {
 	ginkgo.It("hold up settings for a few seconds at most", func() {
 		c := newCell(ginkgo.GinkgoT(), []string{"north", "south"}, 3, 1, "")
--- a/test/platform/cell_test.go
+++ b/test/platform/cell_test.go
@@ -85,7 +85,7 @@
 	return k
 }
 
-// reserveHost reserves a host for one fault and reports false if another fault holds it.
+// reserveHost reserves a host for one fault and reports false if another fault has reserved it.
 func (c *cell) reserveHost(n int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/test/platform/example_test.go
+++ b/test/platform/example_test.go
@@ -9,7 +9,7 @@
 )
 
 // Runs the example of `make run`, in which jobs on an emulated platform continue after the host that owns the
-// pool dies.
+// pool is killed.
 func TestExampleOfJobs(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
