--- a/pkg/dispatch/history_informed_owner_test.go
+++ b/pkg/dispatch/history_informed_owner_test.go
@@ -56,7 +56,7 @@
 	return 0.002
 }
 
-// change changes the owner; with informedOwner it does so soon after jobs were submitted.
+// changeOwner elects another owner; with informedOwner it does so soon after jobs were submitted.
 func (w *world) change() {
 	if !w.informedOwner {
 		w.elect()
--- a/pkg/dispatch/invalidated_start_fixture_test.go
+++ b/pkg/dispatch/invalidated_start_fixture_test.go
@@ -44,7 +44,7 @@
 	gangMemberWait = 7 * time.Second // how long a gang member waits for the others before it gives up
 )
 
-// simWorker is the incarnation of a worker that is alive.
+// simWorker is the live incarnation of a worker.
 type simWorker struct {
 	testIncarnation
 	token       int64
@@ -93,18 +93,18 @@
 }
 
 // addIncarnation starts an incarnation and writes its entry.
-func (sim *poolSim) addIncarnation(l testIncarnation) {
-	sim.addIncarnationWithoutEntry(l)
-	sim.addEntry(l)
+func (sim *poolSim) addIncarnation(inc testIncarnation) {
+	sim.addIncarnationWithoutEntry(inc)
+	sim.addEntry(inc)
 }
 
 // addIncarnationWithoutEntry starts an incarnation that has not written its entry yet.
-func (sim *poolSim) addIncarnationWithoutEntry(l testIncarnation) {
-	sim.logf("%s begins", l.id)
-	sim.workers[l.workerNumber] = &simWorker{testIncarnation: l, endedAt: map[int64]clock.Time{}, stopping: map[job.TaskID]bool{}}
+func (sim *poolSim) addIncarnationWithoutEntry(inc testIncarnation) {
+	sim.logf("%s begins", inc.id)
+	sim.workers[inc.workerNumber] = &simWorker{testIncarnation: inc, endedAt: map[int64]clock.Time{}, stopping: map[job.TaskID]bool{}}
 }
 
-// crashWorker ends the incarnation that is alive of worker n.
+// crashWorker ends the live incarnation of worker n.
 func (sim *poolSim) crashWorker(n int) {
 	sim.logf("%s crashes", workerID(n))
 	delete(sim.workers, n)
@@ -226,7 +226,7 @@
 	return true
 }
 
-// pollWorker polls a worker; the incarnation that is alive answers.
+// pollWorker polls a worker; its live incarnation answers.
 func (sim *poolSim) pollWorker(id WorkerID, raise bool) {
 	o, ok := sim.pool.NewPoll(id, raise, true, sim.now)
 	if !ok {
@@ -320,8 +320,8 @@
 	return true
 }
 
-// executeLate has the incarnation that is alive carry out a pending start, which is then no longer
-// pending. It reports whether the start was carried out.
+// executeLate has the live incarnation carry out a pending start, which is then no longer pending. It
+// reports whether the start was carried out.
 func (sim *poolSim) executeLate(pending pendingStart) bool {
 	sim.Expect(sim.now.Sub(pending.sentAt)).To(BeNumerically("<=", maxOrderDelay), "the start may still be carried out")
 	if !sim.executeStart(sim.workers[workerNumber(pending.Worker)], pending.StartOrder) {
--- a/pkg/dispatch/invalidated_start_test.go
+++ b/pkg/dispatch/invalidated_start_test.go
@@ -63,7 +63,7 @@
 }
 
 // Guards against two runs of a task whose start was still in flight when its owner was replaced: that
-// owner never learned that the start got no answer.
+// owner never received the failure of the call.
 func TestStartInFlightOfAPreviousOwnerDoesNotRunTwice(t *testing.T) {
 	sim := newPoolSim(t, 1)
 	sim.callsStayOpen = true
@@ -245,7 +245,7 @@
 }
 
 // executeOnNextIncarnation crashes worker 0 just before the late start expires; the next incarnation
-// carries out the start before the owner learns of that incarnation.
+// carries out the start before it has written its entry.
 func (sim *poolSim) executeOnNextIncarnation(pending pendingStart) {
 	sim.advanceTicks(pending.sentAt.Add(maxOrderDelay - 300*time.Millisecond).Sub(sim.now))
 	sim.crashWorker(0)
@@ -449,7 +449,7 @@
 	sim.Expect(sim.ackedEnds[0].Run).To(Equal(pending.Run))
 }
 
-// The previous owner never learned of the run; the next one finds its end.
+// The previous owner received no report of the run; the next one finds its end.
 func testEndedUnderPreviousOwner(t *testing.T) {
 	sim, _ := newLostAnswer(t)
 	sim.workers[0].unreachable = true
--- a/test/e2e/chaos_test.go
+++ b/test/e2e/chaos_test.go
@@ -178,9 +178,9 @@
 	for end := time.Now().Add(time.Duration(*chaosSeconds) * time.Second); time.Now().Before(end); {
 		x.injectRound(names)
 	}
-	healed := time.Now()
+	faultsEnded := time.Now()
 	for _, hall := range halls {
-		Eventually(tr.succeededSince(hall, healed), maxWait).Should(BeTrue(), "hall "+hall+" does not recover")
+		Eventually(tr.succeededSince(hall, faultsEnded), maxWait).Should(BeTrue(), "hall "+hall+" does not recover")
 	}
 	violations := tr.violations()
 	printSummary(tr, names, violations)
@@ -194,7 +194,7 @@
 	for _, s := range tr.sent {
 		switch {
 		case s.reply.ok() || s.reply.status == 202:
-			outcomes["done or kept"]++
+			outcomes["done or accepted"]++
 		case s.reply.err != nil:
 			outcomes["connection lost"]++
 		default:
@@ -206,7 +206,7 @@
 	for _, name := range slices.Sorted(maps.Keys(outcomes)) {
 		fmt.Fprintf(w, "  %-40s %6d\n", name, outcomes[name])
 	}
-	fmt.Fprintln(w, "faults made:")
+	fmt.Fprintln(w, "faults injected:")
 	for _, name := range slices.Sorted(maps.Keys(names)) {
 		fmt.Fprintf(w, "  %-40s %6d\n", name, names[name])
 	}
--- a/test/e2e/traffic_test.go
+++ b/test/e2e/traffic_test.go
@@ -87,12 +87,12 @@
 
 func (t *traffic) sendBatch(via, key string, rng *rand.Rand) {
 	workload, payload := "fit", fmt.Sprintf("ms=%d %s", rng.IntN(200), key)
-	tick := rng.IntN(2) == 0
-	if tick {
+	once := rng.IntN(2) == 0
+	if once {
 		workload, payload = "publish", fmt.Sprintf("ms=%d not-repeatable %s", rng.IntN(200), key)
 	}
 	s, r := t.cell.submitBatch(via, workload, key, payload)
-	t.record(sentRequest{key: s.ID, notRepeatable: tick, batch: s.ID, via: via, at: time.Now(), reply: r})
+	t.record(sentRequest{key: s.ID, notRepeatable: once, batch: s.ID, via: via, at: time.Now(), reply: r})
 }
 
 func (t *traffic) record(s sentRequest) {
@@ -134,8 +134,8 @@
 		count[r.Key]++
 	}
 	for _, s := range t.sent {
-		if broken := t.checkRequest(s, count[s.key]); broken != "" {
-			found = append(found, broken)
+		if violation := t.checkRequest(s, count[s.key]); violation != "" {
+			found = append(found, violation)
 		}
 	}
 	var v standin.CheckResult
@@ -150,13 +150,13 @@
 	case s.batch != "":
 		return "" // lostBatches awaits its end, and the stand-ins check the number of its runs
 	case s.reply.ok() && ran == 0:
-		return s.key + " was answered and never ran"
+		return s.key + " was answered but never ran"
 	case s.reply.ok() && !strings.HasSuffix(s.reply.body, s.body):
 		return s.key + " was given the answer " + s.reply.body
 	case s.notRepeatable && ran > 1:
 		return s.key + " ran twice"
 	case s.reply.problem.Ran == ranNo && ran > 0 && !t.mayHaveRun(s.key):
-		return s.key + " was called not run, and ran: " + s.reply.body
+		return s.key + " was reported as not run, but ran: " + s.reply.body
 	}
 	return ""
 }
@@ -205,7 +205,7 @@
 		}
 		for !t.batchEnded(s.batch) {
 			if time.Now().After(deadline) {
-				lost = append(lost, "batch request "+s.batch+" was acknowledged and has no end: "+t.cell.batchState(s.via, s.batch)())
+				lost = append(lost, "batch request "+s.batch+" was accepted but has not ended: "+t.cell.batchState(s.via, s.batch)())
 				break
 			}
 			time.Sleep(pollInterval)
--- a/test/platform/soak_test.go
+++ b/test/platform/soak_test.go
@@ -172,9 +172,9 @@
 	load := c.startLoad(ctx, 20, quickJob, chainJob, quickJob, gangJob)
 	customers.start(ctx, c, load)
 	var injections sync.WaitGroup
-	troubles := slices.Concat(soakFaults, buildFaults())
+	allFaults := slices.Concat(soakFaults, buildFaults())
 	for ctx.Err() == nil {
-		fault := troubles[r.IntN(len(troubles))]
+		fault := allFaults[r.IntN(len(allFaults))]
 		faultRNG := rand.New(rand.NewPCG(r.Uint64(), 1))
 		t.Logf("%s", fault.name)
 		injections.Go(func() { fault.inject(c, faultRNG) })
