--- a/pkg/dispatch/busy_pool_test.go
+++ b/pkg/dispatch/busy_pool_test.go
@@ -163,7 +163,7 @@
 
 // answerPoll has a worker report its active runs and the given ended ones.
 func (b *busyPool) answerPoll(id WorkerID, ended []FinishedRun) {
-	h, ok := b.pool.NewPoll(id, false, true, b.now)
+	order, ok := b.pool.NewPoll(id, false, true, b.now)
 	if !ok {
 		return
 	}
@@ -171,7 +171,7 @@
 	for _, s := range b.activeRuns[id] {
 		report.Active = append(report.Active, ActiveRun{Task: s.Task, Run: s.Run, Percent: 10})
 	}
-	b.pool.HandlePollAnswer(h, Answer{Verdict: VerdictDone, Clock: b.workerClock}, report, b.now)
+	b.pool.HandlePollAnswer(order, Answer{Verdict: VerdictDone, Clock: b.workerClock}, report, b.now)
 }
 
 // executeStart has a worker start a task, and schedules its end as done after the step's estimate.
--- a/pkg/dispatch/customer_limits_test.go
+++ b/pkg/dispatch/customer_limits_test.go
@@ -48,8 +48,8 @@
 	return &customerLoad{l, map[string]int{}, map[string]int{}}
 }
 
-// simulate submits jobs for loadDuration, with one customer above its usual rate throughout, and continues until
-// the jobs have to be done. Jobs above the limits are refused if enforced is set.
+// simulate submits jobs for loadDuration, with one customer above its usual rate throughout, and continues
+// until the jobs have to be done. Jobs above the limits are refused if enforced is set.
 func (l *customerLoad) simulate(enforced bool) {
 	stop := l.now.Add(loadDuration)
 	var limits []admission.Limit
--- a/pkg/dispatch/incarnations_transferred_test.go
+++ b/pkg/dispatch/incarnations_transferred_test.go
@@ -159,8 +159,8 @@
 	testSilentAtOnce(t, func(f *fixture) { f.addEntry(secondIncarnation(0)) })
 }
 
-// testSilentAtOnce has the next incarnation answer one poll and no more. That poll had no higher token,
-// so the start may be carried out until maxOrderDelay after it was sent.
+// testSilentAfterOneAnswer has the next incarnation answer one poll and no more. That poll had no higher
+// token, so the start may be carried out until maxOrderDelay after it was sent.
 func testSilentAtOnce(t *testing.T, then func(*fixture)) {
 	f, s := newFixtureWithUnansweredStart(t, withShortLeases)
 	sentAt := f.pool.workers[s.Worker].runs[runKey{s.Task, s.Run}].startCall.OrderedAt
--- a/pkg/dispatch/late_starts_test.go
+++ b/pkg/dispatch/late_starts_test.go
@@ -159,7 +159,7 @@
 	sim.runTimes["a"] = 10 * time.Second
 	sim.cordonOnly(0)
 	sim.waitUntilInvalidated()
-	sim.newPoll(firstIncarnation(0), false) // in flight while the incarnation ends, of which the owner does not learn
+	sim.newPoll(firstIncarnation(0), false) // in flight while the incarnation ends, which the owner does not notice
 	sim.crashWorker(0)
 	sim.advance(600 * time.Millisecond)
 	sim.addIncarnationWithoutEntry(secondIncarnation(0))
@@ -269,7 +269,7 @@
 	sim.Expect(sim.ackedEnds).To(HaveLen(1))
 }
 
-// Guards against an end that the worker forgets before the owner has learned of it: a poll for an ended
+// Guards against an end that the worker forgets before the owner has received it: a poll for an ended
 // incarnation reaches the next one, which has carried out a late start, and acknowledges the end numbers
 // of the incarnation before.
 func TestPollForAnEndedIncarnationAcknowledgesNoEndOfTheNext(t *testing.T) {
@@ -291,7 +291,7 @@
 	sim.Expect(sim.executeLate(sim.pendingStarts[0])).To(BeTrue())
 	sim.endDueRuns(sim.workers[0])
 	sim.pollWorker(firstIncarnation(0).id, false)
-	sim.Expect(sim.ackedEnds).To(HaveLen(1), "the owner has not learned of that end")
+	sim.Expect(sim.ackedEnds).To(HaveLen(1), "the owner has not received that end")
 }
 
 // Guards against a run elsewhere beside a start that was sent a while after it was ordered: the time
--- a/pkg/dispatch/preempt_test.go
+++ b/pkg/dispatch/preempt_test.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// activeRows lists all runs of worker w0 as active.
+// activeRunsOfWorker0 lists all runs of worker w0 as active.
 func activeRows(f *fixture) []ActiveRun {
 	var rows []ActiveRun
 	for _, r := range sortedRuns(f.pool.workers["w0"]) {
--- a/test/e2e/failure_test.go
+++ b/test/e2e/failure_test.go
@@ -141,7 +141,7 @@
 		t.expectNoViolations()
 	})
 
-	ginkgo.It("runs tasks of a lost worker elsewhere, once their leases have lapsed", func() {
+	ginkgo.It("runs tasks of a lost worker elsewhere, once their leases have expired", func() {
 		c.injectFault("worker", standin.WorkerFault{Worker: "north-w0", State: store.HostGone})
 		c.injectFault("worker", standin.WorkerFault{Worker: "east-w1", State: store.HostGone})
 		c.awaitEndpoints(4)
--- a/test/platform/worker_restart_test.go
+++ b/test/platform/worker_restart_test.go
@@ -19,7 +19,7 @@
 		fault   func(*cell)
 	}{
 		"one after the other": {emulator.Options{Workers: 6}, func(*cell) {}},
-		"back at once, holding less": {emulator.Options{Workers: 6}, func(c *cell) {
+		"back at once, with less capacity": {emulator.Options{Workers: 6}, func(c *cell) {
 			for range 4 {
 				for _, w := range c.p.Workers {
 					w.Crash(30 * time.Millisecond)
