--- a/pkg/dispatch/deferred_ends_test.go
+++ b/pkg/dispatch/deferred_ends_test.go
@@ -52,10 +52,10 @@
 // ackedEnd commits, and returns the number up to which the next poll of a worker acknowledges its ends.
 func (f *fixture) ackedEnd(n int) int64 {
 	f.commit()
-	h, ok := f.pool.NewPoll(workerID(n), false, true, f.now)
+	poll, ok := f.pool.NewPoll(workerID(n), false, true, f.now)
 	f.Expect(ok).To(BeTrue())
 	f.pool.HandlePollFailure(workerID(n), f.now)
-	return h.AckedEnd
+	return poll.AckedEnd
 }
 
 // newOwnerAfterTakeover returns an owner that has completed its takeover from another one. The first of its
@@ -101,10 +101,10 @@
 	f.Expect(starts).To(HaveLen(1))
 	s := starts[0]
 	f.pool.HandleStartAnswer(s, Answer{}, errors.New("no answer"), f.now)
-	h, _ := f.pool.NewPoll(s.Worker, true, true, f.now)
+	poll, _ := f.pool.NewPoll(s.Worker, true, true, f.now)
 	f.advance(time.Millisecond)
 	deferred := Report{Finished: []FinishedRun{firstRunDone(1, "x", 0), {Number: 2, Task: s.Task, Run: s.Run, Reason: EndDone}}}
-	f.pool.HandlePollAnswer(h, Answer{Verdict: VerdictDone, Clock: f.workerClock}, deferred, f.now)
+	f.pool.HandlePollAnswer(poll, Answer{Verdict: VerdictDone, Clock: f.workerClock}, deferred, f.now)
 	f.Expect(f.plan().Starts).To(BeEmpty(), "the start was carried out, and its task is done")
 }
 
@@ -181,8 +181,8 @@
 	f := newFixture(t, 2, afterPreviousOwner)
 	f.add(testJob("a", testStep(1)))
 	f.report(1, Report{})
-	h, _ := f.pool.NewPoll("w0", false, true, f.now)
+	poll, _ := f.pool.NewPoll("w0", false, true, f.now)
 	f.pool.HandleStopAnswer(StopOrder{Worker: "w0"}, Answer{Verdict: VerdictDone, Clock: f.workerClock + 10}, f.now)
-	f.pool.HandlePollAnswer(h, Answer{Verdict: VerdictDone, Clock: f.workerClock}, Report{Active: activeFirstRuns(0)}, f.now)
+	f.pool.HandlePollAnswer(poll, Answer{Verdict: VerdictDone, Clock: f.workerClock}, Report{Active: activeFirstRuns(0)}, f.now)
 	f.Expect(f.plan().Starts).To(BeEmpty(), "a.0 runs on w0")
 }
