--- a/test/e2e/failure_test.go
+++ b/test/e2e/failure_test.go
@@ -141,7 +141,7 @@
 		t.expectNoViolations()
 	})
 
-	ginkgo.It("runs tasks of a lost worker elsewhere, once their leases have lapsed", func() {
+	ginkgo.It("runs tasks of a lost worker elsewhere, once their leases have expired", func() {
 		c.injectFault("worker", standin.WorkerFault{Worker: "north-w0", State: store.HostGone})
 		c.injectFault("worker", standin.WorkerFault{Worker: "east-w1", State: store.HostGone})
 		c.awaitEndpoints(4)
@@ -199,7 +199,7 @@
 	})
 })
 
-// Values of a refusal that tell whether the request ran.
+// Values of a refusal that say whether the request ran.
 const (
 	ranNo      = entryapi.ProblemRanNo
 	ranUnknown = entryapi.ProblemRanUnknown
