--- a/pkg/advice/rates.go
+++ b/pkg/advice/rates.go
@@ -26,7 +26,7 @@
 
 // Update updates a queue's rate by an answer: how many workers it allowed of its call's targets, counting
 // those that were asked about for the first time for their step. targets is above 0.
-func (r Rates) Learn(queueName string, allowed, targets int) {
+func (r Rates) Update(queueName string, allowed, targets int) {
 	share := float64(allowed) / float64(targets)
 	weight := rateWeight * min(float64(targets)/rateSample, 1)
 	r[queueName] = r.Of(queueName)*(1-weight) + share*weight
--- a/pkg/advice/rounds.go
+++ b/pkg/advice/rounds.go
@@ -33,7 +33,7 @@
 
 // Update updates a queue's ratio by a finished step, from how long the calls for it took and how long one
 // round takes.
-func (r Rounds) Learn(queueName string, took, roundTime time.Duration) {
+func (r Rounds) Update(queueName string, took, roundTime time.Duration) {
 	ratio := float64(took) / float64(max(roundTime, time.Millisecond))
 	r[queueName] = r.Of(queueName)*(1-roundsWeight) + ratio*roundsWeight
 }
--- a/pkg/advice/rounds_test.go
+++ b/pkg/advice/rounds_test.go
@@ -11,7 +11,7 @@
 func TestRoundsFollowFinishedSteps(t *testing.T) {
 	g, r := NewWithT(t), Rounds{}
 	g.Expect(r.Of("q")).To(Equal(1.0))
-	r.Learn("q", 3*time.Second, time.Second)
+	r.Update("q", 3*time.Second, time.Second)
 	g.Expect(r.Of("q")).To(BeNumerically("~", 1.2, 1e-9))
 	g.Expect(r.Of("other")).To(Equal(1.0))
 }
--- a/pkg/dispatch/advice.go
+++ b/pkg/dispatch/advice.go
@@ -217,7 +217,7 @@
 			allowed++
 		}
 	}
-	p.advice.rates.Learn(a.queue, allowed, len(newTargets))
+	p.advice.rates.Update(a.queue, allowed, len(newTargets))
 }
 
 // recordAdvice records the answer to a call for the step, and returns the tickets that it issued.
--- a/pkg/dispatch/advice_targets_test.go
+++ b/pkg/dispatch/advice_targets_test.go
@@ -55,7 +55,7 @@
 	s.advice.allowed = map[WorkerID]bool{"w0": true}
 	f.Expect(f.plan().AdviceCalls).To(BeEmpty(), "the room is expected in 2 s")
 	f.advance(1600 * time.Millisecond)
-	f.report(0, Report{Active: activeRows(f)})
+	f.report(0, Report{Active: activeRunsOfWorker0(f)})
 	f.Expect(f.plan().AdviceCalls).To(HaveLen(1))
 }
 
--- a/pkg/dispatch/commit.go
+++ b/pkg/dispatch/commit.go
@@ -78,7 +78,7 @@
 			continue
 		}
 		j.committed = true
-		p.outcomes.Put(change.Job, outcome.Outcome{State: change.Outcome, Customer: change.Customer, LearnedAt: p.now})
+		p.outcomes.Put(change.Job, outcome.Outcome{State: change.Outcome, Customer: change.Customer, RecordedAt: p.now})
 		p.forgetJobIfIdle(j)
 	}
 }
--- a/pkg/dispatch/history_informed_owner_test.go
+++ b/pkg/dispatch/history_informed_owner_test.go
@@ -57,7 +57,7 @@
 }
 
 // changeOwner elects another owner; with informedOwner it does so soon after jobs were submitted.
-func (w *world) change() {
+func (w *world) changeOwner() {
 	if !w.informedOwner {
 		w.elect()
 		return
--- a/pkg/dispatch/history_leaving_test.go
+++ b/pkg/dispatch/history_leaving_test.go
@@ -42,7 +42,7 @@
 		w.logf("%s stops answering", m.id)
 		w.schedule(maxLeaveTime, func() { m.unreachable = false })
 		if w.chance(0.7) && w.now < w.faultsUntil {
-			w.schedule(w.drawDuration(historyTick, time.Second), w.change)
+			w.schedule(w.drawDuration(historyTick, time.Second), w.changeOwner)
 		}
 	})
 	scheduleIfAlive(4*time.Second, maxLeaveTime, func() { w.crashWorker(m) })
--- a/pkg/dispatch/history_test.go
+++ b/pkg/dispatch/history_test.go
@@ -191,7 +191,7 @@
 // injectFaults draws which faults and changes happen at a tick.
 func (w *world) injectFaults() {
 	if w.chance(w.electionProbability()) {
-		w.change()
+		w.changeOwner()
 	}
 	if ids := w.jobs(); len(ids) > 0 && w.chance(w.cancelProbability()) {
 		id := ids[w.rand.IntN(len(ids))]
--- a/pkg/dispatch/incarnations_ends_test.go
+++ b/pkg/dispatch/incarnations_ends_test.go
@@ -104,7 +104,7 @@
 // Seed 386 of the histories behind relays: a poll for the previous incarnation was sent when the entry of
 // the next one was known. It was carried out by the next one seconds later, with the end numbers of the
 // previous one.
-func testPollOfDoubtfulIncarnation(t *testing.T) {
+func testPollOfPossiblyEndedIncarnation(t *testing.T) {
 	f := newIncarnationFixture(t, 1, nil)
 	f.completeOnFirst("a")
 	f.addEntry(secondIncarnation(0))
--- a/pkg/dispatch/incarnations_test.go
+++ b/pkg/dispatch/incarnations_test.go
@@ -20,7 +20,7 @@
 		"a gang with a member on the previous incarnation restarts":             testGangRestarts,
 		"a service restarts":                                                    testServiceRestarts,
 		"an unread end is not acknowledged":                                     testUnreadEndIsNotAcknowledged,
-		"a poll for an incarnation that may have ended":                         testPollOfDoubtfulIncarnation,
+		"a poll for an incarnation that may have ended":                         testPollOfPossiblyEndedIncarnation,
 		"a late poll for the previous incarnation":                              testLatePollOfPreviousIncarnation,
 		"a late poll for a terminated incarnation":                              testLatePollOfTerminatedIncarnation,
 		"an unanswered start may run there":                                     testUnansweredStartRunsOnNextIncarnation,
--- a/pkg/dispatch/incarnations_transferred_test.go
+++ b/pkg/dispatch/incarnations_transferred_test.go
@@ -152,16 +152,16 @@
 // The next incarnation has answered once, in place of the previous one, and may have carried out a start
 // by then.
 func testSilentNextIncarnation(t *testing.T) {
-	testSilentAtOnce(t, func(*fixture) {})
+	testSilentAfterOneAnswer(t, func(*fixture) {})
 }
 
 func testSilentNextIncarnationWithEntry(t *testing.T) {
-	testSilentAtOnce(t, func(f *fixture) { f.addEntry(secondIncarnation(0)) })
+	testSilentAfterOneAnswer(t, func(f *fixture) { f.addEntry(secondIncarnation(0)) })
 }
 
 // testSilentAfterOneAnswer has the next incarnation answer one poll and no more. That poll had no higher
 // token, so the start may be carried out until maxOrderDelay after it was sent.
-func testSilentAtOnce(t *testing.T, then func(*fixture)) {
+func testSilentAfterOneAnswer(t *testing.T, then func(*fixture)) {
 	f, s := newFixtureWithUnansweredStart(t, withShortLeases)
 	sentAt := f.pool.workers[s.Worker].runs[runKey{s.Task, s.Run}].startCall.OrderedAt
 	f.answerPoll(f.newPoll(firstIncarnation(0), false), secondIncarnation(0), Report{})
--- a/pkg/dispatch/long_running_test.go
+++ b/pkg/dispatch/long_running_test.go
@@ -149,7 +149,7 @@
 			f.add(testJob("a", serviceStep(1)))
 			f.Expect(f.plan().Stops).To(BeEmpty())
 			f.advance(worth.MaxServiceWait)
-			f.report(0, Report{Active: activeRows(f)})
+			f.report(0, Report{Active: activeRunsOfWorker0(f)})
 			f.Expect(f.plan().Stops).NotTo(BeEmpty())
 		})
 	}
--- a/pkg/dispatch/pool.go
+++ b/pkg/dispatch/pool.go
@@ -228,7 +228,7 @@
 	if !p.jobsLoaded {
 		p.addEndedJobUse(ended)
 	}
-	p.outcomes.Put(id, outcome.Outcome{State: ended.Outcome, Customer: ended.Customer.Name, LearnedAt: now, LateStartsExpireAt: p.lateStartExpiry(ended.LastLateStart, now)})
+	p.outcomes.Put(id, outcome.Outcome{State: ended.Outcome, Customer: ended.Customer.Name, RecordedAt: now, LateStartsExpireAt: p.lateStartExpiry(ended.LastLateStart, now)})
 	p.resolveUnknownJob(id, now)
 	j, known := p.jobs[id]
 	if !known {
--- a/pkg/dispatch/pool_test.go
+++ b/pkg/dispatch/pool_test.go
@@ -28,8 +28,8 @@
 }
 
 const (
-	epoch     = 1000 << 20
-	nextEpoch = 2000 << 20
+	ownerToken     = 1000 << 20
+	nextOwnerToken = 2000 << 20
 )
 
 var testQueue = queue.Queue{Name: "ticks", Pool: "pool", MaxAttempts: 3, Extension: 2, TargetLatency: time.Second}
@@ -37,7 +37,7 @@
 func newFixture(t *testing.T, workers int, change func(*Config)) *fixture {
 	f := &fixture{WithT: NewWithT(t), now: 100_000, wall: time.Unix(1_700_000_000, 0), workerClock: 50_000}
 	cfg := Config{
-		LeaseDuration: 5 * time.Second, MaxLeaseDuration: 6 * time.Second, WorkerMaxLease: 6 * time.Second, Token: epoch, AuthorityTerm: 2 * time.Second,
+		LeaseDuration: 5 * time.Second, MaxLeaseDuration: 6 * time.Second, WorkerMaxLease: 6 * time.Second, Token: ownerToken, AuthorityTerm: 2 * time.Second,
 		WallClock: func() time.Time { return f.wall }, Log: func(e Event) { f.events = append(f.events, e) },
 	}
 	if change != nil {
--- a/pkg/dispatch/preempt_test.go
+++ b/pkg/dispatch/preempt_test.go
@@ -82,7 +82,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFullWorker(t, c.change)
 			f.advance(c.pass)
-			f.report(0, Report{Active: activeRows(f)})
+			f.report(0, Report{Active: activeRunsOfWorker0(f)})
 			r := testJob("a", testStep(1))
 			if c.urgent != nil {
 				c.urgent(&r)
@@ -95,7 +95,7 @@
 }
 
 // activeRunsOfWorker0 lists all runs of worker w0 as active.
-func activeRows(f *fixture) []ActiveRun {
+func activeRunsOfWorker0(f *fixture) []ActiveRun {
 	var rows []ActiveRun
 	for _, r := range sortedRuns(f.pool.workers["w0"]) {
 		rows = append(rows, ActiveRun{Task: r.task.id(), Run: r.number, Percent: 10})
--- a/pkg/dispatch/quota_test.go
+++ b/pkg/dispatch/quota_test.go
@@ -167,7 +167,7 @@
 // started.
 func TestNewOwnerCountsUnreportedUse(t *testing.T) {
 	f := newFixture(t, 2, func(c *Config) {
-		c.HasPreviousOwner, c.Term, c.Token = true, 2, nextEpoch
+		c.HasPreviousOwner, c.Term, c.Token = true, 2, nextOwnerToken
 	})
 	f.configureCustomers(2, northWithQuota(3000))
 	previous := withCustomer(northWithQuota(0), testJob("a", testStep(2)))
@@ -189,7 +189,7 @@
 // not reported may have ended that step, and the previous owner may have begun the next one before the
 // end was committed. A customer could then have both running: six tasks with a quota of three.
 func TestNewOwnerCountsTheNextStepInUnreportedUse(t *testing.T) {
-	f := newFixture(t, 2, func(c *Config) { c.HasPreviousOwner, c.Term, c.Token = true, 2, nextEpoch })
+	f := newFixture(t, 2, func(c *Config) { c.HasPreviousOwner, c.Term, c.Token = true, 2, nextOwnerToken })
 	f.configureCustomers(2, northWithQuota(3000))
 	next := testStep(3)
 	next.After = []int{0}
@@ -234,7 +234,7 @@
 // over, and its runs are found after the job was forgotten, since its cancellation was committed. Seen
 // with seed 606: customer south had 10000 of 6000 running.
 func TestLateReportedRunsOfACancelledJobCount(t *testing.T) {
-	f := newFixture(t, 2, func(c *Config) { c.HasPreviousOwner, c.Term, c.Token = true, 2, nextEpoch })
+	f := newFixture(t, 2, func(c *Config) { c.HasPreviousOwner, c.Term, c.Token = true, 2, nextOwnerToken })
 	f.configureCustomers(2, northWithQuota(3000))
 	previous := withCustomer(northWithQuota(0), testJob("a", testStep(3)))
 	previous.Term = 1
@@ -258,7 +258,7 @@
 // newRunOfEndedJob returns a pool whose new owner finds a run on worker 1 of a job that had ended before
 // the owner loaded the jobs, and has another job of the customer waiting.
 func newRunOfEndedJob(t *testing.T) *fixture {
-	f := newFixture(t, 2, func(c *Config) { c.HasPreviousOwner, c.Term, c.Token = true, 2, nextEpoch })
+	f := newFixture(t, 2, func(c *Config) { c.HasPreviousOwner, c.Term, c.Token = true, 2, nextOwnerToken })
 	f.configureCustomers(2, northWithQuota(3000))
 	f.pool.AddOutcome("a", job.Record{Outcome: job.Cancelled, Customer: customer.Customer{Name: "north"}}, f.now)
 	f.report(0, Report{})
@@ -287,7 +287,7 @@
 // reported, but not once the leases must have expired.
 func TestNewOwnerCountsRemainingUseOfAnEndedJob(t *testing.T) {
 	for ago, starts := range map[time.Duration]int{time.Second: 1, time.Minute: 3} {
-		f := newFixture(t, 2, func(c *Config) { c.HasPreviousOwner, c.Term, c.Token = true, 2, nextEpoch })
+		f := newFixture(t, 2, func(c *Config) { c.HasPreviousOwner, c.Term, c.Token = true, 2, nextOwnerToken })
 		f.pool.jobsLoaded = false
 		f.configureCustomers(2, northWithQuota(3000))
 		remaining := job.RemainingUse{Need: cell.Resources{CPUMillis: 2000, MemoryMB: 2000}, WrittenAt: f.wall.Add(-ago)}
@@ -353,7 +353,7 @@
 // Once all workers have reported, the remaining use that a previous owner counted for a done task is not
 // passed on to a later owner as this owner's.
 func TestRemainingUseOfAPreviousOwnerIsDroppedWhenAllWorkersReported(t *testing.T) {
-	f := newFixture(t, 1, func(c *Config) { c.HasPreviousOwner, c.Term, c.Token = true, 2, nextEpoch })
+	f := newFixture(t, 1, func(c *Config) { c.HasPreviousOwner, c.Term, c.Token = true, 2, nextOwnerToken })
 	f.configureCustomers(2, northWithQuota(3000))
 	remaining := job.RemainingUse{Need: cell.Resources{CPUMillis: 1000, MemoryMB: 1000}, WrittenAt: f.wall}
 	f.pool.AddJob(withCustomer(northWithQuota(0), testJob("a", testStep(2))), job.Progress{Tasks: []job.TaskProgress{{Done: true}}, RemainingUse: remaining}, true, 0, f.now)
--- a/pkg/dispatch/run_ends.go
+++ b/pkg/dispatch/run_ends.go
@@ -251,7 +251,7 @@
 		return // a run of a previous owner that is still to be found needs the job
 	}
 	if p.jobs[j.job.ID] == j {
-		p.outcomes.Put(j.job.ID, outcome.Outcome{State: j.outcome, Customer: j.customer.Name, LearnedAt: p.now})
+		p.outcomes.Put(j.job.ID, outcome.Outcome{State: j.outcome, Customer: j.customer.Name, RecordedAt: p.now})
 		p.outcomes.ExtendLateStarts(j.job.ID, j.lateStartsExpireAt())
 		delete(p.jobs, j.job.ID)
 	}
--- a/pkg/dispatch/takeover_test.go
+++ b/pkg/dispatch/takeover_test.go
@@ -10,7 +10,7 @@
 
 // afterPreviousOwner is the configuration of an owner that takes over from a previous one.
 func afterPreviousOwner(c *Config) {
-	c.Token, c.HasPreviousOwner, c.RunNumberBase, c.Term = nextEpoch, true, 1000, 2
+	c.Token, c.HasPreviousOwner, c.RunNumberBase, c.Term = nextOwnerToken, true, 1000, 2
 }
 
 // Guards against an attempt that is not counted: a new owner reads three failures from two workers, the
--- a/pkg/dispatch/unreported_test.go
+++ b/pkg/dispatch/unreported_test.go
@@ -34,7 +34,7 @@
 		{"the first step is done", []job.Step{testStep(1), after(3, 0)}, []job.TaskProgress{{Done: true}}, 3000},
 		{"one task of the first step is done", []job.Step{testStep(2), after(1, 0)}, []job.TaskProgress{{Done: true}}, 1000},
 	} {
-		f := newFixture(t, 1, func(c *Config) { c.HasPreviousOwner, c.Term, c.Token = true, 2, nextEpoch })
+		f := newFixture(t, 1, func(c *Config) { c.HasPreviousOwner, c.Term, c.Token = true, 2, nextOwnerToken })
 		f.pool.AddJob(testJob("a", x.steps...), job.Progress{Tasks: x.done}, true, 0, f.now)
 		f.Expect(f.pool.jobs["a"].maxUnreportedUse().CPUMillis).To(Equal(x.want), x.name)
 	}
@@ -42,7 +42,7 @@
 
 // A worker has reported a task of the first step as running: the next step can't have begun.
 func TestUnreportedUseExcludesStepsAfterARunningStep(t *testing.T) {
-	f := newFixture(t, 2, func(c *Config) { c.HasPreviousOwner, c.Term, c.Token = true, 2, nextEpoch })
+	f := newFixture(t, 2, func(c *Config) { c.HasPreviousOwner, c.Term, c.Token = true, 2, nextOwnerToken })
 	next := testStep(5)
 	next.After = []int{0}
 	f.add(testJob("a", testStep(2), next))
--- a/pkg/jobhost/batch_writer.go
+++ b/pkg/jobhost/batch_writer.go
@@ -67,7 +67,7 @@
 // given revision. If the key already exists, that is no error, and created is false unless it holds the
 // same value. Errors: platform.ErrRefused if the key was certainly not written and never will be,
 // platform.ErrOutcomeUnknown, errOwnerChanged.
-func (b *batchWriter) writeOnce(ctx context.Context, key string, value []byte, ownerRevision int64) (created bool, err error) {
+func (b *batchWriter) writeIfAbsent(ctx context.Context, key string, value []byte, ownerRevision int64) (created bool, err error) {
 	if b.isStoreUnresponsive() {
 		return false, errors.Wrap(platform.ErrRefused, "the store does not answer")
 	}
--- a/pkg/jobhost/jobs.go
+++ b/pkg/jobhost/jobs.go
@@ -53,7 +53,7 @@
 	var stored storedValue
 	err := h.checkAcceptance(ctx, c, record)
 	if err == nil {
-		stored, err = h.writeOnce(ctx, jobstore.JobKey(j.ID), func(term int64) ([]byte, error) {
+		stored, err = h.writeIfAbsent(ctx, jobstore.JobKey(j.ID), func(term int64) ([]byte, error) {
 			record.Term = term
 			return record.Encode()
 		})
@@ -132,7 +132,7 @@
 // writeIfAbsent writes a key that is never changed afterwards; textUnder returns its value for an owner's
 // term. If the store does not answer this host, the owner is asked to write, since the store may answer
 // the owner. Errors: platform.ErrRefused, platform.ErrOutcomeUnknown.
-func (h *Host) writeOnce(ctx context.Context, key string, textUnder func(term int64) ([]byte, error)) (storedValue, error) {
+func (h *Host) writeIfAbsent(ctx context.Context, key string, textUnder func(term int64) ([]byte, error)) (storedValue, error) {
 	for range maxOwnerChanges {
 		ownerRevision, term := h.knownOwner()
 		text, err := textUnder(term)
@@ -158,7 +158,7 @@
 	if m := h.ownerForWrites(); mode == reach.OwnerWrites && m != nil {
 		return writeByOwner(ctx, m, key, value)
 	}
-	created, err = h.writer.writeOnce(ctx, key, value, ownerRevision)
+	created, err = h.writer.writeIfAbsent(ctx, key, value, ownerRevision)
 	m := h.ownerForWrites()
 	if err == nil || m == nil || errors.Is(err, errOwnerChanged) {
 		return created, err
@@ -216,7 +216,7 @@
 // writeForMember writes a key for another host, while this host is the owner.
 func (h *Host) writeForMember(ctx context.Context, key string, value []byte) *poolpb.Answer {
 	ownerRevision, _ := h.knownOwner()
-	created, err := h.writer.writeOnce(ctx, key, value, ownerRevision)
+	created, err := h.writer.writeIfAbsent(ctx, key, value, ownerRevision)
 	refused := errors.IsAny(err, platform.ErrRefused, errOwnerChanged)
 	return &poolpb.Answer{Created: created, Refused: refused, Unknown: err != nil && !refused}
 }
@@ -332,7 +332,7 @@
 		return errors.Wrap(platform.ErrNoJob, "the job has ended")
 	}
 	started := h.clk.Now()
-	_, err = h.writeOnce(ctx, jobstore.CancelKey(id), func(int64) ([]byte, error) { return []byte{}, nil })
+	_, err = h.writeIfAbsent(ctx, jobstore.CancelKey(id), func(int64) ([]byte, error) { return []byte{}, nil })
 	err = spreadRetries(ctx, id, err)
 	h.logOutcome("job_cancelled", id, record, "", started, err)
 	if err != nil {
--- a/pkg/outcome/outcome.go
+++ b/pkg/outcome/outcome.go
@@ -13,7 +13,7 @@
 	State    job.State
 	Customer string // customer of the job
 	// RecordedAt is when this owner added the outcome.
-	LearnedAt clock.Time
+	RecordedAt clock.Time
 	// LateStartsExpireAt is until when late starts of the job's tasks may be carried out; 0 without any.
 	LateStartsExpireAt clock.Time
 }
@@ -63,7 +63,7 @@
 // store has none of them, Forget removes them.
 func (o *Outcomes) Expired(keep time.Duration, maxJobs int, now clock.Time) []job.ID {
 	n := 0
-	for n < len(o.order) && n < maxJobs && now.Sub(o.byJob[o.order[n]].LearnedAt) >= keep {
+	for n < len(o.order) && n < maxJobs && now.Sub(o.byJob[o.order[n]].RecordedAt) >= keep {
 		n++
 	}
 	return slices.Clone(o.order[:n])
--- a/pkg/outcome/outcome_test.go
+++ b/pkg/outcome/outcome_test.go
@@ -15,11 +15,11 @@
 func TestFirstOutcomeIsKept(t *testing.T) {
 	g := NewWithT(t)
 	o := New()
-	o.Put("a", Outcome{State: job.Completed, Customer: "north", LearnedAt: at})
-	o.Put("a", Outcome{State: job.Failed, LearnedAt: at + 1})
+	o.Put("a", Outcome{State: job.Completed, Customer: "north", RecordedAt: at})
+	o.Put("a", Outcome{State: job.Failed, RecordedAt: at + 1})
 	x, known := o.Find("a")
 	g.Expect(known).To(BeTrue())
-	g.Expect(x).To(Equal(Outcome{State: job.Completed, Customer: "north", LearnedAt: at}))
+	g.Expect(x).To(Equal(Outcome{State: job.Completed, Customer: "north", RecordedAt: at}))
 	g.Expect(o.Contains("b")).To(BeFalse())
 }
 
@@ -27,7 +27,7 @@
 func TestLatestLateStartExpiryIsKept(t *testing.T) {
 	g := NewWithT(t)
 	o := New()
-	o.Put("a", Outcome{State: job.Completed, LearnedAt: at})
+	o.Put("a", Outcome{State: job.Completed, RecordedAt: at})
 	o.ExtendLateStarts("a", at+5)
 	o.ExtendLateStarts("a", at+2)
 	o.ExtendLateStarts("b", at+2)
@@ -41,7 +41,7 @@
 	g := NewWithT(t)
 	o := New()
 	for n, id := range []job.ID{"c", "a", "b"} {
-		o.Put(id, Outcome{State: job.Completed, LearnedAt: at.Add(time.Duration(n) * time.Second)})
+		o.Put(id, Outcome{State: job.Completed, RecordedAt: at.Add(time.Duration(n) * time.Second)})
 	}
 	g.Expect(o.Expired(time.Minute, 9, at)).To(BeEmpty())
 	now := at.Add(time.Minute + time.Second)
--- a/pkg/poolowner/relays.go
+++ b/pkg/poolowner/relays.go
@@ -87,5 +87,5 @@
 	if m == nil {
 		return relay.DirectCalls(o.deps.Workers)
 	}
-	return relay.WorkerCalls{Start: m.workerCalls.Start, Stop: m.workerCalls.Stop, Pace: m.workerCalls.Pace, Hold: m.workerCalls.Hold}
+	return relay.WorkerCalls{Start: m.workerCalls.Start, Stop: m.workerCalls.Stop, Pace: m.workerCalls.Pace, Poll: m.workerCalls.Poll}
 }
--- a/pkg/poolowner/sessions.go
+++ b/pkg/poolowner/sessions.go
@@ -132,7 +132,7 @@
 	if !ok {
 		return false, false
 	}
-	a, report, err := o.callsThrough(m).Hold(ctx, platform.HoldOrder{
+	a, report, err := o.callsThrough(m).Poll(ctx, platform.PollOrder{
 		Order:    platform.Order{Worker: p.Worker, Address: p.Address, Token: p.Token},
 		LastSeen: p.AckedEnd, Deadline: p.Deadline, Wait: wait, ExtraTimeout: s.extraTimeout(raise),
 	})
--- a/pkg/relay/client.go
+++ b/pkg/relay/client.go
@@ -105,7 +105,7 @@
 
 // Poll sends an order through the relay that extends the leases of the runs on a worker. It returns
 // the runs on the worker and those that have ended.
-func (c *Client) Hold(ctx context.Context, o platform.HoldOrder) (dispatch.Answer, dispatch.Report, error) {
+func (c *Client) Poll(ctx context.Context, o platform.PollOrder) (dispatch.Answer, dispatch.Report, error) {
 	order := &poolpb.Order{
 		Kind: poolpb.Order_HOLD, Worker: string(o.Worker), Address: o.Address.String(), Token: o.Token, Deadline: o.Deadline,
 		LastSeen: o.LastSeen, WaitMs: o.Wait.Milliseconds(), PatienceMs: o.ExtraTimeout.Milliseconds(),
--- a/pkg/relay/relay_test.go
+++ b/pkg/relay/relay_test.go
@@ -72,8 +72,8 @@
 	l.Expect(got).To(Equal(sent))
 }
 
-func TestHoldReturnsTheReport(t *testing.T) {
-	var got platform.HoldOrder
+func TestPollReturnsTheReport(t *testing.T) {
+	var got platform.PollOrder
 	report := dispatch.Report{
 		IncarnationStart: 1_767_225_600_000,
 		UnparsableRuns:   2,
@@ -81,12 +81,12 @@
 		Active:           []dispatch.ActiveRun{{Task: testTask(), Run: 2, Checkpoint: "c", Percent: 41, Load: 900}},
 		Finished:         []dispatch.FinishedRun{{Number: 58, Task: testTask(), Run: 1, Reason: dispatch.EndFailed, Checkpoint: "d"}},
 	}
-	l := newLoopback(t, WorkerCalls{Hold: func(_ context.Context, o platform.HoldOrder) (dispatch.Answer, dispatch.Report, error) {
+	l := newLoopback(t, WorkerCalls{Poll: func(_ context.Context, o platform.PollOrder) (dispatch.Answer, dispatch.Report, error) {
 		got = o
 		return dispatch.Answer{Verdict: dispatch.VerdictDone, Clock: 5}, report, nil
 	}})
-	sent := platform.HoldOrder{Order: testOrder(), LastSeen: 57, Deadline: 99, Wait: 30 * time.Millisecond, ExtraTimeout: time.Millisecond}
-	a, gotReport, err := l.client.Hold(t.Context(), sent)
+	sent := platform.PollOrder{Order: testOrder(), LastSeen: 57, Deadline: 99, Wait: 30 * time.Millisecond, ExtraTimeout: time.Millisecond}
+	a, gotReport, err := l.client.Poll(t.Context(), sent)
 	l.Expect(err).NotTo(HaveOccurred())
 	l.Expect(a).To(Equal(dispatch.Answer{Verdict: dispatch.VerdictDone, Clock: 5}))
 	l.Expect(gotReport).To(Equal(report))
@@ -156,7 +156,7 @@
 	l.Expect(l.messages).To(BeNumerically("<", orders/2))
 }
 
-func TestRelayReturnsOrdersBeyondItsLimit(t *testing.T) {
+func TestRelayReturnsOrdersAboveItsLimit(t *testing.T) {
 	g := NewWithT(t)
 	block := make(chan struct{})
 	defer close(block)
--- a/pkg/relay/server.go
+++ b/pkg/relay/server.go
@@ -20,12 +20,12 @@
 	Start func(ctx context.Context, o platform.StartOrder) (dispatch.Answer, error)
 	Stop  func(ctx context.Context, o platform.Order, task job.TaskID, run int) (dispatch.Answer, error)
 	Pace  func(ctx context.Context, o platform.Order, task job.TaskID, run, percent int) (dispatch.Answer, error)
-	Hold  func(ctx context.Context, o platform.HoldOrder) (dispatch.Answer, dispatch.Report, error)
+	Poll  func(ctx context.Context, o platform.PollOrder) (dispatch.Answer, dispatch.Report, error)
 }
 
 // DirectCalls returns calls that this host makes itself.
 func DirectCalls(w *platform.WorkerClient) WorkerCalls {
-	return WorkerCalls{Start: w.Start, Stop: w.Stop, Pace: w.Pace, Hold: w.Hold}
+	return WorkerCalls{Start: w.Start, Stop: w.Stop, Pace: w.Pace, Poll: w.Poll}
 }
 
 // Server is the relay's side: it makes calls to workers for an owner. It is safe for concurrent
@@ -93,7 +93,7 @@
 		return dispatch.Answer{}, errors.Mark(err, dispatch.ErrNotSent)
 	}
 	if o.Kind == poolpb.Order_HOLD {
-		a, report, err := s.calls.Hold(ctx, platform.HoldOrder{
+		a, report, err := s.calls.Poll(ctx, platform.PollOrder{
 			Order: target, LastSeen: o.LastSeen, Deadline: o.Deadline, Wait: time.Duration(o.WaitMs) * time.Millisecond,
 			ExtraTimeout: time.Duration(o.PatienceMs) * time.Millisecond,
 		})
--- a/pkg/shard/batch.go
+++ b/pkg/shard/batch.go
@@ -15,7 +15,7 @@
 const (
 	submitTimeout       = 5 * time.Second
 	storeDownRetryAfter = 2 * time.Second
-	maxPauseAttempt     = 6 // number of failed reads after which the delay no longer grows
+	maxBackoffAttempt   = 6 // number of failed reads after which the delay no longer grows
 )
 
 // Submission is a batch request as a caller submits it.
@@ -153,7 +153,7 @@
 			e.applyLoadedSegments(segments)
 			return
 		}
-		_ = store.Backoff(ctx, min(attempt, maxPauseAttempt))
+		_ = store.Backoff(ctx, min(attempt, maxBackoffAttempt))
 	}
 }
 
--- a/pkg/shard/call.go
+++ b/pkg/shard/call.go
@@ -305,7 +305,7 @@
 	defer e.mu.Unlock()
 	e.inFlight--
 	if state, ok := e.endpoints[to.ID]; ok && outcome == routing.NoAnswer {
-		state.foreignSince = e.now()
+		state.orphansSince = e.now()
 	}
 	e.deliverAll(e.router.Release(to, outcome, took, e.now()))
 }
--- a/pkg/shard/health.go
+++ b/pkg/shard/health.go
@@ -21,7 +21,7 @@
 	id      string
 	address netip.AddrPort
 	// orphansEnded says that the orphaned requests have ended because their time limit has passed.
-	foreignEnded bool
+	orphansEnded bool
 }
 
 // runHealthChecks periodically asks the endpoints that may run orphaned requests how many
@@ -49,7 +49,7 @@
 			continue
 		}
 		limit := e.tree.Workloads[state.workload].TimeLimit
-		checks = append(checks, healthCheck{id, state.address, e.now() > state.foreignSince.Add(limit+clockMargin)})
+		checks = append(checks, healthCheck{id, state.address, e.now() > state.orphansSince.Add(limit+clockMargin)})
 	}
 	return checks
 }
@@ -62,7 +62,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
-	case check.foreignEnded:
+	case check.orphansEnded:
 		e.deliverAll(e.router.UpdateOrphans(check.id, 0, e.now()))
 	case err == nil && ok:
 		e.applyHealth(check.id, health)
--- a/pkg/shard/tasks.go
+++ b/pkg/shard/tasks.go
@@ -20,7 +20,7 @@
 	maxDecisions = 128
 	// intentBackoffAttempt is the attempt number passed to store.Backoff after an intention to
 	// start a request could not be stored; it sets the length of the delay.
-	intentPauseAttempt = 5
+	intentBackoffAttempt = 5
 	// firstReportsTimeout is how long the first owner of a shard waits for the reports of
 	// all workers.
 	firstReportsTimeout = 2 * time.Second
@@ -226,7 +226,7 @@
 func (e *Engine) storeIntent(ctx context.Context, controller *workerController, task worker.Task) {
 	err := e.journal.Append(ctx, batch.Entry{Starting: batch.ID(task.ID)})
 	if err != nil {
-		_ = store.Backoff(ctx, intentPauseAttempt) // avoids a busy loop of placements while the store is down
+		_ = store.Backoff(ctx, intentBackoffAttempt) // avoids a busy loop of placements while the store is down
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/pkg/shard/worker_controller.go
+++ b/pkg/shard/worker_controller.go
@@ -221,7 +221,7 @@
 	w.leasesExpire = max(w.leasesExpire, until.Add(e.cfg.TaskLease+clockMargin))
 	cmds := worker.Commands{
 		Shard: e.cfg.Shard, Epoch: epoch, Sequence: w.sequence, ValidUntil: until,
-		Known: w.status, Lease: e.cfg.TaskLease,
+		LastStatus: w.status, Lease: e.cfg.TaskLease,
 		Drain:  slices.Sorted(maps.Keys(w.pendingDrains)),
 		Stop:   slices.Sorted(maps.Keys(w.pendingStops)),
 		Forget: slices.Sorted(maps.Keys(w.pendingForgets)),
--- a/pkg/shard/worker_reports.go
+++ b/pkg/shard/worker_reports.go
@@ -16,7 +16,7 @@
 	workload string
 	// orphansSince is when the endpoint last may have received a request whose answer this
 	// owner does not wait for: when this owner's epoch began, or when an answer was lost.
-	foreignSince clock.Time
+	orphansSince clock.Time
 }
 
 // handleReport processes a worker's report about one task.
@@ -87,7 +87,7 @@
 		e.removeEndpoint(r.ID)
 	}
 	inherited := e.recovery.inherited && !e.recovery.complete
-	e.endpoints[r.ID] = &endpointState{address: r.Endpoint, workload: r.Workload, foreignSince: e.startedAt}
+	e.endpoints[r.ID] = &endpointState{address: r.Endpoint, workload: r.Workload, orphansSince: e.startedAt}
 	e.router.PutEndpoint(r.Workload, r.ID, r.Slots, inherited)
 	e.deliverAll(e.router.DispatchAll(e.now()))
 }
--- a/pkg/worker/client.go
+++ b/pkg/worker/client.go
@@ -84,11 +84,11 @@
 	// ValidUntil is when the sender's authority ends, on the sender's clock.
 	ValidUntil clock.Time
 	// LastStatus is the last status received from the worker, from which its clock is derived.
-	Known Status
-	Lease time.Duration
-	Start []Task
-	Renew []string
-	Drain []string
+	LastStatus Status
+	Lease      time.Duration
+	Start      []Task
+	Renew      []string
+	Drain      []string
 	// Stop lists tasks to stop at once, after a checkpoint if the task makes checkpoints.
 	Stop []string
 	// Forget lists ended tasks that the worker may drop, since their results are stored elsewhere.
@@ -200,7 +200,7 @@
 func wireCommands(c Commands) *workerapi.Commands {
 	w := &workerapi.Commands{
 		Shard: c.Shard.String(), Epoch: int64(c.Epoch), Sequence: c.Sequence,
-		NotAfterMs: c.Known.clockMillis + c.ValidUntil.Sub(c.Known.received).Milliseconds(),
+		NotAfterMs: c.LastStatus.clockMillis + c.ValidUntil.Sub(c.LastStatus.received).Milliseconds(),
 		LeaseMs:    c.Lease.Milliseconds(),
 		Start:      []workerapi.TaskSpec{},
 		Renew:      append([]string{}, c.Renew...),
